--- a/heathway/logic.py
+++ b/heathway/logic.py
@@ -12,9 +12,9 @@
 from heapq import heappop
 from typing import Any
 
-from heathway import api, probing, state, warming
+from heathway import api, probing, slow_start, state
 from heathway.api import Effect, Group, ListKind, Outcome, Reason, WorkerState
-from heathway.pacing import CallPace
+from heathway.backoff import CallPace
 from heathway.state import Attempt, Job, Share, Worker
 
 MS = 1_000_000
@@ -231,15 +231,15 @@
         memory = worker.memory is None or worker.memory >= job.memory
         return slots and memory and (worker.cold_until <= self._now or self._cold_allows(worker, job))
 
-    def _cold_part(self, worker: Worker) -> warming.Part:
+    def _cold_part(self, worker: Worker) -> slow_start.Part:
         size = self.ring.size_when_warm(worker, self._usual[0], self._set.live_weights)
         runs = (None, worker.entry.kind)
         means = (self._service[c.name].mean for c in self._set.classes if c.worker_kind in runs)
-        return warming.part_of(self._set, worker.entry, self._now - worker.started_at, size, means)
+        return slow_start.part_of(self._set, worker.entry, self._now - worker.started_at, size, means)
 
     def _cold_allows(self, worker: Worker, job: Job) -> bool:
         """Danger: all dispatchers together push a cold worker over. Each keeps to its part of the budget."""
-        capacity = warming.likely_capacity(self._set, worker.started_at, self._now)
+        capacity = slow_start.likely_capacity(self._set, worker.started_at, self._now)
         mean = self._service[job.cls.name].mean
         if self._now + mean / capacity > job.aim_at and self.ring.open & ~self.ring.cold:
             return False
--- a/heathway/state.py
+++ b/heathway/state.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from heathway import api
-from heathway.starts import StartTimes
+from heathway.start_times import StartTimes
 
 FEW = 10  # of so many dispatchers one's own jobs are a fair sample: a tenth or more
 SessionName = tuple[str | None, int | None] | int
--- a/ironbarrow/fleet/rollout/coordinator.py
+++ b/ironbarrow/fleet/rollout/coordinator.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from heathway import api, warming
+from heathway import api, slow_start
 from ironbarrow.fleet.api import (
     NEVER,
     Action,
@@ -486,7 +486,7 @@
             out = way is not None and (way.sent or not way.answered or way.begun)
             part = 1.0 if one.up and not out else 0.0
             if part and one.since and self._settings is not None:
-                part = warming.capacity(self._settings, one.since, unix)
+                part = slow_start.capacity(self._settings, one.since, unix)
             found[name] = Capacity(one.target, part, one.since if part < 1 else 0)
         return found
 
--- a/ironbarrow/fleet/rollout/sizing.py
+++ b/ironbarrow/fleet/rollout/sizing.py
@@ -2,14 +2,14 @@
 
 Danger: each worker taken out leaves its load to the others, and each that starts is cold. If the warm ones
 can't carry the load, dispatchers turn to the cold ones, all at once, and a cold worker that is sent a
-multiple of what it can do falls over. ``heathway.warming`` divides that budget over the fleet; here the batch
-is kept so small that what is left for cold workers fits into it.
+multiple of what it can do falls over. ``heathway.slow_start`` divides that budget over the fleet; here the
+batch is kept so small that what is left for cold workers fits into it.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from heathway import api, warming
+from heathway import api, slow_start
 from ironbarrow.fleet.rollout.plan import Floor, Target
 
 CARRIES = 0.9  # part of their slots that warm workers can have in use before jobs wait
@@ -27,8 +27,8 @@
 def cold_room(rules: api.Settings, size: float, mean: float, age: int) -> float:
     """Slots of work that the whole fleet can keep sending to a cold worker of that age (ns), mean service
     time (ns) and size (slots): the jobs that fit its budget, over the window that this is for."""
-    budget = rules.fall_multiple * warming.capacity(rules, 0, age) * rules.fall_window * size
-    return warming.jobs_within(budget, mean) * mean / rules.fall_window
+    budget = rules.fall_multiple * slow_start.capacity(rules, 0, age) * rules.fall_window * size
+    return slow_start.jobs_within(budget, mean) * mean / rules.fall_window
 
 
 def carried(rules: api.Settings, fleet: Iterable[Capacity], mean: float, unix: int) -> float:
--- a/ironbarrow/lab/capacity/decisions.py
+++ b/ironbarrow/lab/capacity/decisions.py
@@ -6,7 +6,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from heathway import api, warming
+from heathway import api, slow_start
 from heathway.logic import Dispatcher
 from ironbarrow.lab.capacity.counting import ZONES, zone_of
 from ironbarrow.runtime.clock import MS, SECOND
@@ -187,7 +187,7 @@
     for me in range(dispatchers):
         settings = fleet_settings(dispatchers, me)
         for number in range(workers):
-            part = warming.part_of(settings, entry(number, started_at=_START), 0, _SLOTS, [mean])
+            part = slow_start.part_of(settings, entry(number, started_at=_START), 0, _SLOTS, [mean])
             found += part.holds([], mean)
     return ColdShare(dispatchers, mean_s, found / workers, 0)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,9 +11,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heathway import api, pacing
+from heathway import api, backoff
+from heathway.backoff import CallPace
 from heathway.logic import Dispatcher
-from heathway.pacing import CallPace
 from heathway.settings import read_settings
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.discovery import client as discovery
@@ -636,7 +636,7 @@
 
 TIMES = st.integers(0, 8_000)
 # of a larger fleet's first calls a service that answers 8 a second can't answer all in time
-ANSWERED_IN_TIME = pacing.ANSWERED_WITHIN // pacing.APART
+ANSWERED_IN_TIME = backoff.ANSWERED_WITHIN // backoff.APART
 
 
 @given(st.sampled_from(FAILS), TIMES, st.integers(1, 20_000), TIMES, st.integers(0, 99), st.booleans())
@@ -762,4 +762,4 @@
 
     assert next_call(2 * SECOND, listed=False) > 2_100 * MS
     for waited, listed in ((0, False), (discovery._ANSWER_LIMIT, False), (2 * SECOND, True)):
-        assert next_call(waited, listed) <= pacing.AGAIN_WITHIN + 210 * MS
+        assert next_call(waited, listed) <= backoff.AGAIN_WITHIN + 210 * MS
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from heathway import api, logic, pacing, probing
+from heathway import api, backoff, logic, probing
 from heathway.api import ListKind, Outcome, WorkerState
+from heathway.backoff import CallPace
 from heathway.logic import Dispatcher
-from heathway.pacing import CallPace
 from tests.world import MS, SAFE, UNSAFE, S, World, entries, make_settings
 
 
@@ -272,13 +272,13 @@
 
 def test_a_failed_call_is_made_again_after_a_jittered_pause_and_the_list_stays():
     world = World(make_settings(asks_for_list=True), entries(2))
-    world.advance(pacing.LEAST + logic.PERIOD)
+    world.advance(backoff.LEAST + logic.PERIOD)
     asked = [a for a in world.actions if isinstance(a, api.Subscribe)]
     assert len(asked) == 1
     world.listed(ListKind.LOST, ())
     job = world.arrive()
     assert len(world.attempts(job)) == 1
-    world.advance(2 * pacing.LEAST)
+    world.advance(2 * backoff.LEAST)
     assert sum(isinstance(a, api.Subscribe) for a in world.actions) == 2
 
 
@@ -451,10 +451,10 @@
 
 def test_the_pace_is_wider_after_each_failure_and_has_an_end():
     pace = CallPace(40, 10 * S, random.Random(1))
-    assert all(0 <= CallPace(40, 10 * S, random.Random(n)).first() <= 40 * pacing.APART for n in range(50))
+    assert all(0 <= CallPace(40, 10 * S, random.Random(n)).first() <= 40 * backoff.APART for n in range(50))
     assert all(pace.failed() <= 10 * S for _ in range(30))
     pace.answered()
-    assert pace.failed() <= 40 * pacing.APART
+    assert pace.failed() <= 40 * backoff.APART
 
 
 def test_a_long_job_on_a_worker_that_answers_its_probe_is_not_called_back():
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heathway import api, warming
+from heathway import api, slow_start
 from heathway.api import ListKind, Outcome, WorkerState
 from heathway.logic import Dispatcher
 from heathway.state import Worker
@@ -399,11 +399,11 @@
     st.floats(1, 4),
 )
 def test_parts_add_up_to_the_budget_at_most_and_none_shrinks_as_it_grows(budget, sizes, dispatchers, growth):
-    steps = tuple(sorted({math.ceil(math.log2(size) * warming.STEPS) for size in sizes}))
+    steps = tuple(sorted({math.ceil(math.log2(size) * slow_start.STEPS) for size in sizes}))
     shares = []
     for one in (budget, budget * growth):
-        parts = warming._parts(math.floor(math.log2(one) * warming.STEPS), steps, dispatchers)
-        assert warming._sum(parts) <= one
+        parts = slow_start._parts(math.floor(math.log2(one) * slow_start.STEPS), steps, dispatchers)
+        assert slow_start._sum(parts) <= one
         shares.append([next(p for until, p in parts if place < until) for place in range(dispatchers)])
     for before, after in zip(*shares, strict=True):
         assert after.work >= before.work * (1 - 1e-5)
