--- a/heathway/api.py
+++ b/heathway/api.py
@@ -39,8 +39,8 @@
 
 NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT))  # proven by these alone
 
-SIGNS_OF_LIFE = frozenset((Outcome.OK, Outcome.FULL))
-FAULTS = frozenset((Outcome.ERROR, Outcome.RESET))
+ALIVE_OUTCOMES = frozenset((Outcome.OK, Outcome.FULL))
+FAULT_OUTCOMES = frozenset((Outcome.ERROR, Outcome.RESET))
 
 
 class WorkerState(Enum):
--- a/heathway/backoff.py
+++ b/heathway/backoff.py
@@ -1,52 +1,55 @@
-"""When a dispatcher calls a list service that has to be asked. No decisions on jobs, no input or output.
-
-The service is one for the whole fleet and answers calls in turn. Danger: a call that has waited too long
-fails, but its place in the queue is served all the same; a fleet that calls faster than the service answers,
-and again after each failure, is not answered any more. Each dispatcher knows how many there are, and
-nothing else of the others: it spreads its calls so that the fleet's are so far apart on the average, and
-further with each failure. Delays are drawn, since all may have started, or failed, in the same instant.
-
-Danger: a change counts as told 6 s after the service had it, whatever calls failed. So the spread has an
-end: from a silence, a refusal or a call given up to the call after it, and its answer, no more than those 6 s
-may pass. But a service that refuses calls after it let them wait is overloaded: called so soon by a large
-fleet it would answer nobody any more, and then a call has to be as far from the others' as it takes.
+"""When a dispatcher calls a discovery service that has to be asked. No decisions on jobs, no input or output.
+
+One service serves the whole fleet and answers calls in turn. A call that has waited too long fails, but the
+service still works on it. If the fleet calls faster than the service answers, and again after each failure,
+no call is answered any more. A dispatcher knows how many others there are and nothing else of them, so it
+spreads its calls until those of the whole fleet are far enough apart on average, and spreads them further
+with each failure. Delays are random, since all dispatchers may have started, or failed, at the same moment.
+
+A dispatcher is expected to know a change 6 s after the service had it, even if calls failed. So the time from
+a silence, a refusal or an abandoned call to the next call and its answer must stay under 6 s, which limits
+the spread. A service that refuses calls after it let them wait is overloaded: a large fleet that calls again
+so soon would get no answers at all, so after such a refusal the whole spread of the fleet applies.
 """
 
 import random
 
 MS = 1_000_000
-APART = 150 * MS  # between the calls of the whole fleet, on the average
-LEAST = 1_000 * MS  # the calls of a small fleet are spread over this
-DOUBLINGS = 3
-FIRST_WITHIN = 3_500 * MS  # a start's first call; one that is refused leaves time for another
-AGAIN_WITHIN = 2_000 * MS  # the call after one that failed, or after a watch that broke
-ANSWERED_WITHIN = 6_000 * MS  # a fleet that spreads its calls over no more can have all its answers in time
-OVERLOADED = (1_000 * MS, 2_300 * MS)  # a call that waited so long was refused; longer, it was given up
-
-
-class CallPace:
-    """The delays of one dispatcher's calls, in ns. ``most``: the longest one."""
-
-    def __init__(self, dispatchers: int, most: int, draw: random.Random) -> None:
-        self._draw = draw
-        self._most = max(most, LEAST)
-        self._spread = max(LEAST, APART * dispatchers)
+CALL_INTERVAL = 150 * MS  # between the calls of the whole fleet, on average
+MIN_SPREAD = 1_000 * MS  # of the calls of a small fleet
+MAX_DOUBLINGS = 3  # of the spread, after failures in a row
+FIRST_CALL_LIMIT = 3_500 * MS  # latest first call after a start; leaves time for another if it is refused
+RETRY_LIMIT = 2_000 * MS  # latest call after a call that failed or a watch that broke
+ANSWERABLE_SPREAD = 6_000 * MS  # with a larger one, not all first calls of a fleet are answered in time
+OVERLOAD_WAIT = (1_000 * MS, 2_300 * MS)  # refused after such a wait: overload; longer waits are time-outs
+
+
+class ListCallBackoff:
+    """The delays between one dispatcher's calls for the worker list, in ns. ``most``: the longest delay."""
+
+    def __init__(self, dispatchers: int, most: int, rng: random.Random) -> None:
+        self._random = rng
+        self._most = max(most, MIN_SPREAD)
+        self._spread = max(MIN_SPREAD, CALL_INTERVAL * dispatchers)
         self._failures = 0
 
-    def first(self) -> int:
-        """Before the first call after a start."""
-        within = FIRST_WITHIN if self._spread <= ANSWERED_WITHIN else self._most
-        return int(self._draw.random() * min(self._spread, self._most, within))
+    def first_delay(self) -> int:
+        """The delay before the first call after a start."""
+        limit = FIRST_CALL_LIMIT if self._spread <= ANSWERABLE_SPREAD else self._most
+        return int(self._random.random() * min(self._spread, self._most, limit))
 
-    def failed(self, waited: int = 0) -> int:
-        """Before the next call after one that failed, or after what it brought was lost; ``waited``: from the
-        call to its failure."""
-        spread = min(self._spread << min(self._failures, DOUBLINGS), AGAIN_WITHIN)
-        if OVERLOADED[0] <= waited < OVERLOADED[1]:
+    def retry_delay(self, waited: int = 0) -> int:
+        """Counts a failure and returns the delay before the next call.
+
+        A failure is a failed call or the loss of the watch that a call opened. ``waited``: from the call to
+        its failure.
+        """
+        spread = min(self._spread << min(self._failures, MAX_DOUBLINGS), RETRY_LIMIT)
+        if OVERLOAD_WAIT[0] <= waited < OVERLOAD_WAIT[1]:
             spread = max(spread, self._spread)
         self._failures += 1
-        return int(min(spread, self._most) * self._draw.uniform(0.25, 1.0))
+        return int(min(spread, self._most) * self._random.uniform(0.25, 1.0))
 
-    def answered(self) -> None:
-        """A call has brought the list."""
+    def reset(self) -> None:
+        """Forgets past failures, after a call that brought the list."""
         self._failures = 0
--- a/heathway/state.py
+++ b/heathway/state.py
@@ -1,4 +1,4 @@
-"""The records that logic.py decides on, and their index. No decisions."""
+"""The records that logic.py decides on, and the index of workers. No decisions. Times are in ns."""
 
 import zlib
 from collections import Counter, deque
@@ -10,110 +10,126 @@
 from heathway import api
 from heathway.start_times import StartTimes
 
-FEW = 10  # of so many dispatchers one's own jobs are a fair sample: a tenth or more
+SMALL_FLEET = 10  # dispatchers; with no more, the own jobs are a fair sample of all: a tenth at least
 SessionName = tuple[str | None, int | None] | int
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """A worker as this dispatcher believes it to be."""
+    """What this dispatcher knows and estimates of a worker."""
 
     id: str
     entry: api.WorkerEntry
-    started_at: int = 0  # on the own clock, at the latest; 0: long ago
-    place: int = -1  # index in the ring; -1: not in it yet
-    others: float = 0.0  # slots that others' jobs had, when it was last told of
-    told_at: int = 0  # when that was; 0: never
-    memory: float | None = None  # believed free memory
+    started_at: int = 0  # latest possible start, on the own clock; 0: long ago
+    index: int = -1  # in Ring.workers; -1: not in it yet
+    peer_slots: float = 0.0  # slots used by other dispatchers' jobs at load_observed_at
+    load_observed_at: int = 0  # time of the last known load; 0: unknown
+    memory: float | None = None  # estimated free memory; None: unknown
     size: float = 0.0  # most slots ever seen on it
-    attempts: int = 0  # own attempts out
-    slots_out: float = 0.0  # their slots
-    heard_at: int = 0
-    heard_of: int = 0  # when it last reported or was probed
-    moves: deque[tuple[int, float, float]] = field(default_factory=deque)  # time, slots, memory
-    sends: deque[tuple[int, float]] = field(default_factory=deque)  # of the last window: time, work in ns
-    paused: bool = False
-    aside: bool = False
-    trial: bool = False  # set aside, but may get one job to show that it is back
-    aside_until: int = 0
-    asides: int = 0  # times in a row that it was set aside
+    attempts: int = 0  # own attempts in flight
+    slots_in_flight: float = 0.0  # their slots
+    alive_at: int = 0  # last sign of life
+    checked_at: int = 0  # last load report or probe
+    # own sends and ends after the last known load
+    load_changes: deque[tuple[int, float, float]] = field(default_factory=deque)  # time, slots, memory
+    sends: deque[tuple[int, float]] = field(default_factory=deque)  # within the last window: time, work
+    paused: bool = False  # gets no jobs for a moment after it was full
+    ejected: bool = False  # gets no jobs until it works again
+    on_trial: bool = False  # ejected, but may get one job to show that it works again
+    ejected_until: int = 0
+    ejections: int = 0  # in a row
     cold_until: int = 0
-    faults: int = 0  # what it has to make up for by good answers
-    best_weight: float = 0.0
-    waiting: int = 0  # own attempts that have not started for too long
-    fulls: int = 0  # jobs in a row that it sent back
+    fault_score: int = 0  # good answers that must make up for past faults
+    max_weight: float = 0.0  # the largest listed for it
+    overdue_starts: int = 0  # own attempts that have not started in time
+    full_count: int = 0  # jobs in a row that it turned away as full
 
-    def book(self, now: int, job: "Job", sign: int) -> None:
-        """Books an own send (1) or the end of one (-1)."""
+    def adjust_load(self, now: int, job: "Job", sign: int) -> None:
+        """Adds the load of a job sent to it (``sign`` 1) or takes off that of one that ended (-1)."""
         self.attempts += sign
-        self.slots_out += sign * job.slots
-        self.moves.append((now, sign * job.slots, sign * job.memory))
+        self.slots_in_flight += sign * job.slots
+        self.load_changes.append((now, sign * job.slots, sign * job.memory))
         if self.memory is not None:
             self.memory -= sign * job.memory
 
-    def take_report(self, made_at: int, report: api.LoadReport) -> None:
-        """Takes in a report: what it shows beyond the own jobs of that time are others' jobs."""
-        free, memory = _sane(report.free_slots), _sane(report.free_memory)
-        while self.moves and self.moves[0][0] <= made_at:
-            self.moves.popleft()
+    def apply_report(self, made_at: int, report: api.LoadReport) -> None:
+        """Applies a load report; load beyond the own jobs of that time is that of other dispatchers' jobs."""
+        free, memory = _plausible(report.free_slots), _plausible(report.free_memory)
+        while self.load_changes and self.load_changes[0][0] <= made_at:
+            self.load_changes.popleft()
         if free is not None:
-            own = self.slots_out - sum(move[1] for move in self.moves)
+            own = self.slots_in_flight - sum(change[1] for change in self.load_changes)
             self.size = max(self.size, free + own)
-            self.others = max(0.0, self.size - free - own) + (_sane(report.waiting) or 0.0)
-            self.told_at = made_at
+            self.peer_slots = max(0.0, self.size - free - own) + (_plausible(report.waiting) or 0.0)
+            self.load_observed_at = made_at
         if memory is not None:
-            self.memory = memory - sum(move[2] for move in self.moves)
-
-    def take_weight(self, made_at: int, newer: int, full: float, usual_size: float) -> None:
-        """Takes in a live weight, ``full`` being that of an idle worker of its kind: what it shows beyond
-        the own jobs of that time are others' jobs. A job counts as a slot, and a core as one. What
-        was told after ``newer`` is better."""
-        size = self.size or usual_size
-        if self.told_at > max(0, newer) or not size or not 0 < self.entry.weight <= full:
+            self.memory = memory - sum(change[2] for change in self.load_changes)
+
+    def apply_weight(self, made_at: int, stale_before: int, idle_weight: float, typical_size: float) -> None:
+        """Applies a live weight; load beyond the own jobs of that time is that of other dispatchers' jobs.
+
+        ``idle_weight``: that of an idle worker of its kind. A job counts as one slot, and so does a core. A
+        load observed after ``stale_before`` is more exact and is kept.
+        """
+        size = self.size or typical_size
+        if (
+            self.load_observed_at > max(0, stale_before)
+            or not size
+            or not 0 < self.entry.weight <= idle_weight
+        ):
             return
-        while self.moves and self.moves[0][0] <= made_at:
-            self.moves.popleft()
-        own = self.slots_out - sum(move[1] for move in self.moves)
-        self.others = max(0.0, size * (full / self.entry.weight - 1) - own)
-        self.told_at = made_at
-
-    def seen_full(self, now: int, taken: float) -> None:
-        """It has no slot free, with ``taken`` of them by own jobs that run."""
-        self.others, self.told_at = max(0.0, self.size - taken), now
-
-    def free(self, now: int, believed: int, usual: tuple[float, float]) -> float | None:
-        """Believed free slots; None: nothing is known. What was told of others' jobs gives way to
-        what is usual on a worker of usual size, over the time that a report is believed."""
-        size = self.size or usual[0]
+        while self.load_changes and self.load_changes[0][0] <= made_at:
+            self.load_changes.popleft()
+        own = self.slots_in_flight - sum(change[1] for change in self.load_changes)
+        self.peer_slots = max(0.0, size * (idle_weight / self.entry.weight - 1) - own)
+        self.load_observed_at = made_at
+
+    def mark_full(self, now: int, own_running: float) -> None:
+        """Notes that it has no free slot, with ``own_running`` slots used by own jobs that run."""
+        self.peer_slots, self.load_observed_at = max(0.0, self.size - own_running), now
+
+    def estimated_free(self, now: int, trust_time: int, typical: tuple[float, float]) -> float | None:
+        """Estimated free slots; None: nothing is known.
+
+        ``typical``: size of a worker and the slots that other dispatchers use on it. Over ``trust_time`` the
+        last known load of other dispatchers fades out in favour of the typical one.
+        """
+        size = self.size or typical[0]
         if not size:
             return None
-        trust = max(0.0, 1 - (now - self.told_at) / believed) if self.told_at else 0.0
-        return size - self.slots_out - trust * self.others - (1 - trust) * usual[1]
+        trust = max(0.0, 1 - (now - self.load_observed_at) / trust_time) if self.load_observed_at else 0.0
+        return size - self.slots_in_flight - trust * self.peer_slots - (1 - trust) * typical[1]
 
-    def note_sent(self, now: int, slots: float, mean: float, window: int) -> None:
-        """Notes a job sent, of that mean service time, ns, and forgets what was sent before the window.
-        Danger: what goes to a worker before its restart is told reaches it cold, and counts after it too."""
-        self.sent_since(now - window)
+    def sent(self, now: int, slots: float, mean: float, window: int) -> None:
+        """Records a job of that mean service time, and forgets what was sent before the window.
+
+        A restart does not clear the record: what was sent just before it was listed reaches the worker cold.
+        """
+        self.work_sent_since(now - window)
         self.sends.append((now, mean * max(1.0, slots)))
 
-    def sent_since(self, when: int) -> list[float]:
-        """The work of each job sent to it since."""
+    def work_sent_since(self, when: int) -> list[float]:
+        """The work of each job sent to it after ``when``."""
         while self.sends and self.sends[0][0] <= when:
             self.sends.popleft()
         return [work for _, work in self.sends]
 
-    def looks_free(self) -> bool:
-        """Whether the list gives it more than half the largest weight it ever had: live weights fall
-        to half at one job a core; others stay the same."""
-        return 2 * self.entry.weight > self.best_weight or self.best_weight <= 0
+    def seems_idle(self) -> bool:
+        """Whether its listed weight is above half of the largest it had.
+
+        A live weight falls to half at one job per core; a static one stays the same.
+        """
+        return 2 * self.entry.weight > self.max_weight or self.max_weight <= 0
+
+    def apply_entry(self, entry: api.WorkerEntry, cold_time: int, started_at: int) -> bool:
+        """Applies its entry of the list; returns whether the entry shows a new process.
 
-    def relist(self, entry: api.WorkerEntry, cold_time: int, started_at: int) -> bool:
-        """Takes in its line of the list and tells whether that shows a new process. ``started_at``: when it
-        started at the latest on the own clock, ns; 0: long ago."""
+        ``started_at``: its latest possible start on the own clock; 0: long ago.
+        """
         old, until = self.entry, self.cold_until
         if entry.state is api.WorkerState.GONE:
             entry = replace(old, state=api.WorkerState.GONE)
-        if entry.started_at < old.started_at:  # danger: by a list that comes late, a cold worker looks warm
+        if entry.started_at < old.started_at:  # a delayed list must not make a cold worker look warm
             entry = replace(entry, started_at=old.started_at)
         self.entry = entry
         self.started_at = started_at
@@ -122,35 +138,36 @@
             self.cold_until = min(until, self.cold_until)
         return entry.started_at != old.started_at
 
-    def forget(self) -> None:
-        """What was known of its load is void."""
-        self.told_at, self.memory = 0, None
+    def reset_load(self) -> None:
+        """Forgets its load and memory."""
+        self.load_observed_at, self.memory = 0, None
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a job."""
+    """One attempt to run a job, on one worker."""
 
     job: "Job"
     number: int
     worker: Worker
     sent_at: int
-    out: bool = True
+    in_flight: bool = True
     never_ran: bool = False
-    started_at: int = 0  # when the worker told that it runs
-    waits: bool = False  # it has not started for too long
-    guessed: bool = False  # sent to a warm worker that was believed to have room
-    checked_at: int = 0  # when its worker was probed, since nothing was heard for too long
+    started_at: int = 0  # when the worker reported the start; 0: not yet
+    start_overdue: bool = False  # not started in time; counted in Worker.overdue_starts
+    room_expected: bool = False  # sent to a warm worker that seemed to have room
+    probed_at: int = 0  # when its worker was last probed because of its silence; 0: never
 
-    def waits_no_more(self) -> None:
-        if self.waits:
-            self.waits = False
-            self.worker.waiting -= 1
+    def clear_start_overdue(self) -> None:
+        """Takes it off its worker's overdue starts."""
+        if self.start_overdue:
+            self.start_overdue = False
+            self.worker.overdue_starts -= 1
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job that this dispatcher has taken."""
+    """A job that this dispatcher has taken and not forgotten yet."""
 
     id: int
     cls: api.JobClass
@@ -159,56 +176,59 @@
     memory: float
     aim_at: int
     deadline: int
-    point: float  # where on the ring first fit starts
+    ring_start: float  # where first fit starts, as a part of the ring, from 0 to below 1
     attempts: list[Attempt] = field(default_factory=list)
-    held: bool = False
-    over: bool = False
-    most: int = 3  # attempts
-    resend: bool = True  # also if it may have run, where its class allows that
-    pause: int = 0  # before another attempt
-    foretold: bool = False  # its own work or wanted time was told
-    # by an earlier process. Danger: one that tells once more of an attempt there would be heard as telling of
-    # the next one
+    held: bool = False  # waits in this dispatcher's queue
+    over: bool = False  # owed no answer any more
+    max_sends: int = 3  # most attempts
+    resend: bool = True  # whether it may be sent again after it may have run, where its class allows that
+    pause: int = 0  # before another attempt, ns
+    target_known: bool = False  # its client gave its work or the time by which it wants the answer
+    # workers that an earlier process sent it to. It must not go there again: a late message about the earlier
+    # attempt would be taken for one about the new attempt
     tried_before: tuple[Worker, ...] = ()
 
     def latest_start(self, mean: float) -> int:
-        """The latest start that still makes an answer in time, ns, for a job of a class of that mean service
-        time, ns.
-
-        Danger: where longer jobs are wanted later, short ones that start that late are late all the same;
-        under overload most are, and fill the slots of the next ones for nothing. A job that may be tried
-        again starts while it is in time however short it is; if its own time is known, that holds anyhow."""
+        """The latest start that still makes an answer in time, for a class of that mean service time.
+
+        The target time may grow with a job's work (``stretch``), which is not known in advance. A short job
+        that starts as late as the mean work would allow misses its own target. Under overload most jobs that
+        start that late do, and take slots from the next jobs for nothing. So a safe job, whose client may
+        simply try again, must start early enough for even the shortest job to be in time. A job whose own
+        target is known needs no such margin.
+        """
         cls = self.cls
-        sure = cls.effect is api.Effect.SAFE and not cls.late_worth and not self.foretold
+        sure = cls.effect is api.Effect.SAFE and not cls.late_worth and not self.target_known
         return self.aim_at - int(mean * (max(1.0, cls.stretch) if sure else 1.0))
 
     def too_late(self, now: int, mean: float) -> bool:
-        """Whether it is worth nothing any more if it starts after ``now``, ns."""
+        """Whether an answer would be worth nothing if the job started after ``now``."""
         return not self.cls.late_worth and now > self.latest_start(mean)
 
-    def out(self) -> bool:
-        return any(attempt.out for attempt in self.attempts)
+    def in_flight(self) -> bool:
+        """Whether any attempt has not ended."""
+        return any(attempt.in_flight for attempt in self.attempts)
 
-    def tried(self) -> int:
-        """The workers it was sent to, as a set of the ring."""
+    def tried_mask(self) -> int:
+        """The workers it was sent to, as a bit mask of ``Ring.workers``."""
         workers = [*self.tried_before, *(attempt.worker for attempt in self.attempts)]
-        return sum({1 << worker.place for worker in workers if worker.place >= 0})
+        return sum({1 << worker.index for worker in workers if worker.index >= 0})
 
-    def risky(self) -> Attempt | None:
-        """The first attempt that has run, may have run or may still run."""
+    def possible_run(self) -> Attempt | None:
+        """The first attempt that has run, may have run or may still run; None: there is none."""
         return next((attempt for attempt in self.attempts if not attempt.never_ran), None)
 
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """A tenant's key with jobs here not long ago."""
+    """A tenant's key that had jobs here recently."""
 
-    open: int = 0
-    seen_at: int = 0
+    open_jobs: int = 0
+    last_job_at: int = 0
 
 
 class Sessions:
-    """The admitted sessions, the one seen longest ago first."""
+    """The admitted sessions, in order of their last job."""
 
     def __init__(self) -> None:
         self._all: dict[SessionName, Session] = {}
@@ -220,123 +240,135 @@
         return name in self._all
 
     def job_arrived(self, name: SessionName, now: int) -> None:
+        """Counts a job, and opens its session if it is new."""
         session = self._all.pop(name, None) or Session()
-        session.open += 1
-        session.seen_at = now
+        session.open_jobs += 1
+        session.last_job_at = now
         self._all[name] = session
 
     def job_over(self, name: SessionName) -> None:
+        """Counts the end of a job."""
         session = self._all.get(name)
         if session is not None:
-            session.open = max(0, session.open - 1)
+            session.open_jobs = max(0, session.open_jobs - 1)
 
-    def close_idle(self, seen_before: int, now: int) -> None:
+    def close_idle(self, idle_since: int, now: int) -> None:
+        """Closes the sessions without a job since then; one with open jobs stays and counts as used now."""
         for name in list(self._all):
             session = self._all[name]
-            if session.seen_at > seen_before:
+            if session.last_job_at > idle_since:
                 break
             del self._all[name]
-            if session.open:
-                session.seen_at = now
+            if session.open_jobs:
+                session.last_job_at = now
                 self._all[name] = session
 
 
-class Share:
-    """What a tenant may send here: so many jobs a second, four seconds' worth at once."""
+class Quota:
+    """Token bucket of a tenant: ``per_s`` jobs a second at this dispatcher, in bursts of up to 4 s' worth."""
 
     def __init__(self, per_s: float) -> None:
         self._per_s = per_s
-        self._most = max(1.0, 4 * per_s)
-        self._left = self._most
-        self._at = 0
+        self._burst = max(1.0, 4 * per_s)
+        self._tokens = self._burst
+        self._updated_at = 0
 
     def take(self, now: int) -> bool:
-        """Counts a job and tells whether it is within the share."""
-        self._left = min(self._most, self._left + self._per_s * (now - self._at) / 1e9)
-        self._at = now
-        within = self._left >= 1
-        self._left -= within
+        """Takes a token for a job; returns whether there was one."""
+        self._tokens = min(self._burst, self._tokens + self._per_s * (now - self._updated_at) / 1e9)
+        self._updated_at = now
+        within = self._tokens >= 1
+        self._tokens -= within
         return within
 
 
 @dataclass(slots=True)
 class ServiceTime:
-    """Running averages of a class's service time and of its deviation."""
+    """Moving averages of a class's service time and of its deviation, ns."""
 
     mean: float
     deviation: float
 
-    def learn(self, elapsed: int, weight: float) -> None:
+    def update(self, elapsed: int, weight: float) -> None:
+        """Adds a service time to the averages with that weight, from 0 to 1."""
         error = elapsed - self.mean
         self.mean += weight * error
         self.deviation += weight * (abs(error) - self.deviation)
 
-    def longest(self, deviations: float) -> int:
-        """The mean and so many deviations, at least twice the mean."""
+    def bound(self, deviations: float) -> int:
+        """The mean plus that many deviations; twice the mean at least."""
         return int(max(2 * self.mean, self.mean + deviations * self.deviation))
 
 
-class Worths:
-    """What all jobs so far were worth for their work; ``by_work``: a class's worth is that of a unit of
-    work, as the settings may have it, and not that of a job."""
+class WorthStats:
+    """The worth of all jobs so far in relation to their work, for shedding by class.
+
+    ``by_work``: a class's worth counts for each unit of work, not for each job.
+    """
 
-    FLOOR = 0.5  # a class has at least this part of what it would have if all were shed alike
-    RECENT = 64  # jobs of a class that count, roughly
+    # at least this part of a class is admitted, in relation to what would be if all were shed alike
+    MIN_ADMITTED_SHARE = 0.5
+    RECENT_JOBS = 64  # at this number of jobs of a class, its counts are halved
 
     def __init__(self, by_work: bool) -> None:
         self._by_work = by_work
-        self._asked: Counter[str] = Counter()  # recent jobs of each class
-        self._entered: Counter[str] = Counter()  # of these, the ones that entered, by whatever way
+        self._arrived: Counter[str] = Counter()  # recent jobs of each class
+        self._admitted: Counter[str] = Counter()  # of these, the admitted ones
         self._worth = self._work = 0.0
 
     def _of(self, cls: api.JobClass, mean: float) -> float:
         return cls.worth * mean if self._by_work else cls.worth
 
     def job_arrived(self, cls: api.JobClass, mean: float) -> None:
-        """Counts a job of a class with that mean service time, ns."""
-        if self._asked[cls.name] >= self.RECENT:
-            self._asked[cls.name] //= 2
-            self._entered[cls.name] //= 2
-        self._asked[cls.name] += 1
+        """Counts a job of a class with that mean service time."""
+        if self._arrived[cls.name] >= self.RECENT_JOBS:
+            self._arrived[cls.name] //= 2
+            self._admitted[cls.name] //= 2
+        self._arrived[cls.name] += 1
         self._worth += self._of(cls, mean)
         self._work += mean
 
-    def job_entered(self, cls: api.JobClass) -> None:
-        """Counts a job that was let in."""
-        self._entered[cls.name] += 1
+    def job_admitted(self, cls: api.JobClass) -> None:
+        """Counts a job that was admitted."""
+        self._admitted[cls.name] += 1
 
-    def starves(self, cls: api.JobClass, part: float) -> bool:
-        """Whether fewer of a class's recent jobs have entered than it is owed, ``part`` being the part of all
-        that could enter. Danger: with dear classes spared, the others alone pay for the overload, for as
-        long as it lasts: a class of little worth would not be served at all."""
-        return self._entered[cls.name] + 1 <= self.FLOOR * part * self._asked[cls.name]
+    def is_starved(self, cls: api.JobClass, part: float) -> bool:
+        """Whether fewer of a class's recent jobs were admitted than its minimum.
 
-    def dear(self, cls: api.JobClass, mean: float) -> bool:
-        """Whether a class of that mean service time, ns, is worth more for its work than the mean of all
-        jobs; with no job counted yet, none is."""
+        ``part``: the part of all jobs that there is room for. Since valuable classes are not shed, the others
+        alone bear the overload; without a minimum, a class of little worth would not be served at all.
+        """
+        return self._admitted[cls.name] + 1 <= self.MIN_ADMITTED_SHARE * part * self._arrived[cls.name]
+
+    def is_valuable(self, cls: api.JobClass, mean: float) -> bool:
+        """Whether a class of that mean service time is worth more for its work than the mean of all jobs.
+
+        False while no job is counted.
+        """
         return self._of(cls, mean) * self._work > self._worth * mean
 
 
-class Guesses:
-    """How often a warm worker that was believed to have room had it, the last sends counting most."""
+class RoomAccuracy:
+    """How often a warm worker that seemed to have room had it: a moving average over sends."""
 
-    WEIGHT = 0.1  # of one send
+    SEND_WEIGHT = 0.1  # of one send in the average
 
     def __init__(self) -> None:
-        self.right = 1.0  # part of the sends that started at once
+        self.correct = 1.0  # part of the sends that found room
 
-    def note(self, attempt: Attempt, right: bool) -> None:
-        """Counts an attempt once, at the first sign of whether its worker had room."""
-        if attempt.guessed:
-            attempt.guessed = False
-            self.right += self.WEIGHT * (right - self.right)
+    def record(self, attempt: Attempt, correct: bool) -> None:
+        """Counts an attempt, once: at the first sign of whether its worker had room."""
+        if attempt.room_expected:
+            attempt.room_expected = False
+            self.correct += self.SEND_WEIGHT * (correct - self.correct)
 
     def mostly_wrong(self) -> bool:
-        return self.right < 0.5
+        """Whether most recent sends found no room."""
+        return self.correct < 0.5
 
 
 class HeldJobs:
-    """Jobs that wait, in one queue for each kind of worker they need, by latest start."""
+    """Jobs that wait here: a queue for each kind of worker that they need, ordered by latest start."""
 
     def __init__(self) -> None:
         self.slots = 0.0
@@ -344,47 +376,52 @@
         self._count = 0
 
     def add(self, job: Job, start_by: int) -> None:
+        """Queues a job that has to start by then."""
         job.held = True
         self.slots += job.slots
         self._count += 1
         heappush(self.queues.setdefault(job.cls.worker_kind, []), (start_by, self._count, job))
 
-    def put_back(self, queue: list[tuple[int, int, Job]], some: list[tuple[int, int, Job]]) -> None:
-        for item in some:
+    def put_back(self, queue: list[tuple[int, int, Job]], items: list[tuple[int, int, Job]]) -> None:
+        """Returns queue entries that were taken out but not used."""
+        for item in items:
             heappush(queue, item)
 
     def remove(self, job: Job) -> None:
-        """Its entry in the queue is dropped when it comes up."""
+        """Marks a job as not held; its queue entry is dropped when it comes to the front."""
         if job.held:
             job.held = False
             self.slots -= job.slots
 
-    def first_start(self, default: int) -> int:
+    def next_start(self, default: int) -> int:
+        """The earliest time by which a held job has to start, at most ``default``."""
         return min([default, *(queue[0][0] for queue in self.queues.values() if queue)])
 
 
 class KeyShares:
-    """Which part of the jobs each key has, the recent ones counting more."""
+    """Each key's share of the jobs, recent ones counting more, and where its jobs start on the ring."""
 
-    def __init__(self, own: float, most: int = 20_000) -> None:
-        """``own``: the dispatcher's place on the ring, from 0 to below 1."""
-        self._own = own
+    def __init__(self, own_start: float, max_count: int = 20_000) -> None:
+        """``own_start``: the dispatcher's own place on the ring, from 0 to below 1."""
+        self._own_start = own_start
         self._jobs: dict[int, int] = {}
         self._all = 0
-        self._most = most
+        self._max_count = max_count
+
+    def start(self, key: int | None) -> float:
+        """Counts a job and returns where on the ring first fit starts for its key, from 0 to below 1.
 
-    def point(self, key: int | None) -> float:
-        """Counts a job; where on the ring first fit starts for its key. Danger: from one common start all
-        dispatchers pile onto the same worker; and what a key needs is kept by few workers if all its jobs
-        start together."""
+        From one common start, all dispatchers would load the same worker first. And jobs of one key that
+        start together run on few workers, which keep what the key needs.
+        """
         if key is None:
-            return self._own
-        arc = self.count(key)  # a busy key has more than one worker's part of the ring
-        return (zlib.crc32(str(key).encode()) / (1 << 32) + arc * self._own) % 1.0
+            return self._own_start
+        spread = self.count(key)  # the busier a key, the further apart the dispatchers start its jobs
+        return (zlib.crc32(str(key).encode()) / (1 << 32) + spread * self._own_start) % 1.0
 
     def count(self, key: int) -> float:
-        """Counts a job and tells the key's share."""
-        if self._all >= self._most:
+        """Counts a job and returns the key's share of the jobs."""
+        if self._all >= self._max_count:
             self._jobs = {key: jobs // 2 for key, jobs in self._jobs.items() if jobs > 1}
             self._all = sum(self._jobs.values())
         self._jobs[key] = self._jobs.get(key, 0) + 1
@@ -392,170 +429,189 @@
         return self._jobs[key] / self._all
 
 
-class Agenda:
-    """Things to do at a time, in order of time."""
+class TimerQueue:
+    """Calls that are due at a time, in order of time."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
 
-    def at(self, due: int, what: Callable[..., None], *args: Any) -> None:
+    def call_at(self, due: int, what: Callable[..., None], *args: Any) -> None:
+        """Adds a call that is made at ``due`` or, if that is late, at the next turn."""
         self._count += 1
         heappush(self._heap, (due, self._count, what, args))
 
-    def first(self, default: int) -> int:
+    def next_due(self, default: int) -> int:
+        """When the next call is due, at most ``default``."""
         return min(default, self._heap[0][0]) if self._heap else default
 
-    def run(self, now: int) -> None:
+    def run_due(self, now: int) -> None:
+        """Makes all calls that are due."""
         while self._heap and self._heap[0][0] <= now:
             _, _, what, args = heappop(self._heap)
             what(*args)
 
 
 class Ring:
-    """The workers in order of id. A set of workers is a number whose bit i stands for workers[i]."""
+    """All listed workers, in order of id. A set of them is a bit mask whose bit i stands for workers[i]."""
 
     def __init__(self, cold_time: int) -> None:
-        self.starts = StartTimes(cold_time)
+        self.start_times = StartTimes(cold_time)
         self.workers: list[Worker] = []
-        self.open = 0  # takes new jobs, as far as is known
+        self.available = 0  # take new jobs, as far as is known
         self.cold = 0
-        self.trials = 0  # set aside, on trial
-        self.reported = 0  # with a report
-        self.ready = 0  # up and not set aside
-        self.unreached: Counter[str] = Counter()  # failed connections to a zone since it last answered
+        self.trials = 0  # ejected, on trial
+        self.reported = 0  # with a known load
+        self.ready = 0  # up and not ejected
+        self.connect_failures: Counter[str] = Counter()  # by zone, since it last answered
         self._groups: dict[tuple[str, object], int] = {}
-        self._full: dict[str, float] = {}  # the largest weight ever listed, for each kind
-        self._mean_full = 0.0  # the mean of that over the workers that are up
-
-    def full_weight(self, entry: api.WorkerEntry) -> float:
-        """The weight of an idle worker of the entry's kind, as far as one was ever listed."""
-        # danger: one nonsensical weight would make the mean of all nonsense
-        self._full[entry.kind] = full = max(_sane(entry.weight) or 0.0, self._full.get(entry.kind, 0.0))
+        self._idle_weights: dict[str, float] = {}  # by kind: the largest weight ever listed
+        self._mean_idle_weight = 0.0  # over the workers that are up
+
+    def update_idle_weight(self, entry: api.WorkerEntry) -> float:
+        """Notes the entry's weight; returns that of an idle worker of its kind: the largest ever listed."""
+        # an implausible weight counts as 0: it would spoil the mean of all kinds
+        self._idle_weights[entry.kind] = full = max(
+            _plausible(entry.weight) or 0.0, self._idle_weights.get(entry.kind, 0.0)
+        )
         return full
 
-    def strength(self, entry: api.WorkerEntry) -> float:
-        """What an idle worker of the entry's kind weighs, as a part of the mean of all that are ready; 1
-        where nothing is known. Danger: of kinds that differ fourfold, one size for all is too much for the
-        weak and leaves the strong idle."""
-        full = self._full.get(entry.kind, 0.0)
-        return full / self._mean_full if full and self._mean_full else 1.0
+    def relative_weight(self, entry: api.WorkerEntry) -> float:
+        """The idle weight of the entry's kind in relation to the mean of all workers; 1: nothing is known.
+
+        Where kinds differ fourfold, one size for all is too much for the slow ones and leaves the fast ones
+        idle.
+        """
+        full = self._idle_weights.get(entry.kind, 0.0)
+        return full / self._mean_idle_weight if full and self._mean_idle_weight else 1.0
 
-    def size_when_warm(self, worker: Worker, usual_size: float, live: bool) -> float:
-        """The slots, of mean speed, that a cold worker will have; ``live``: weights tell of load, too."""
-        if not usual_size:  # danger: right after a list nothing is usual, and all kinds would count alike
+    def size_when_warm(self, worker: Worker, typical_size: float, live: bool) -> float:
+        """The slots, at mean speed, that a cold worker will have; ``live``: weights depend on load, too."""
+        if not typical_size:  # right after a list no typical size is known
             sizes = [other.size for other in self.workers if other.size]
-            usual_size = sum(sizes) / max(1, len(sizes))
-        size = usual_size * self.strength(worker.entry)
-        if worker.size and not live:  # danger: its slots tell nothing of a slow worker's speed
+            typical_size = sum(sizes) / max(1, len(sizes))
+        size = typical_size * self.relative_weight(worker.entry)
+        if worker.size and not live:  # slots alone don't show that a worker is slow
             size = min(worker.size, size)
         return size or worker.size or 1.0
 
-    def sort(self, workers: dict[str, Worker]) -> None:
+    def rebuild(self, workers: dict[str, Worker]) -> None:
+        """Builds the index of these workers; ``mark`` has to be called for each of them afterwards."""
         self.workers = [workers[name] for name in sorted(workers)]
-        self.open = self.cold = self.trials = self.reported = self.ready = 0
+        self.available = self.cold = self.trials = self.reported = self.ready = 0
         self._groups = {}
-        fulls = [
-            self._full.get(w.entry.kind, 0.0) for w in self.workers if w.entry.state is api.WorkerState.UP
+        idle_weights = [
+            self._idle_weights.get(w.entry.kind, 0.0)
+            for w in self.workers
+            if w.entry.state is api.WorkerState.UP
         ]
-        self._mean_full = sum(fulls) / len(fulls) if fulls else 0.0
-        for place, worker in enumerate(self.workers):
-            worker.place = place
-            worker.best_weight = max(worker.best_weight, worker.entry.weight)
+        self._mean_idle_weight = sum(idle_weights) / len(idle_weights) if idle_weights else 0.0
+        for index, worker in enumerate(self.workers):
+            worker.index = index
+            worker.max_weight = max(worker.max_weight, worker.entry.weight)
             entry = worker.entry
             for name in (("kind", entry.kind), ("zone", entry.zone), ("cell", entry.cell)):
-                self._groups[name] = self._groups.get(name, 0) | 1 << place
+                self._groups[name] = self._groups.get(name, 0) | 1 << index
 
     def mark(self, worker: Worker, takes: bool, cold: bool) -> None:
-        """Notes whether a worker takes new jobs, and whether it is ready and cold."""
-        ready = worker.entry.state is api.WorkerState.UP and not worker.aside
-        bit = 1 << worker.place
-        self.open = self.open | bit if takes else self.open & ~bit
-        self.trials = self.trials | bit if worker.trial else self.trials & ~bit
-        self.reported = self.reported | bit if worker.told_at else self.reported & ~bit
+        """Sets a worker's bits in all sets; ``takes``: it takes new jobs."""
+        ready = worker.entry.state is api.WorkerState.UP and not worker.ejected
+        bit = 1 << worker.index
+        self.available = self.available | bit if takes else self.available & ~bit
+        self.trials = self.trials | bit if worker.on_trial else self.trials & ~bit
+        self.reported = self.reported | bit if worker.load_observed_at else self.reported & ~bit
         self.ready = self.ready | bit if ready else self.ready & ~bit
         self.cold = self.cold | bit if cold else self.cold & ~bit
 
-    def cut_off(self, after: int, own: str) -> int:
-        """The workers of the other zones that so many connections in a row could not reach."""
-        cut = 0
-        for zone, failures in self.unreached.items():
+    def unreachable(self, after: int, own: str) -> int:
+        """The workers of other zones to which at least ``after`` connections in a row have failed."""
+        unreachable_mask = 0
+        for zone, failures in self.connect_failures.items():
             if failures >= after and zone != own:
-                cut |= self.group("zone", zone)
-        return cut
+                unreachable_mask |= self.group("zone", zone)
+        return unreachable_mask
 
     def group(self, what: str, value: object) -> int:
+        """The workers of one kind, zone or cell, by ``what``."""
         return self._groups.get((what, value), 0)
 
-    def why_held(self, job: Job) -> api.Reason:
-        """Why a job that was held to the last found no place, as far as the sets of workers tell."""
-        if not self.open:
+    def hold_reason(self, job: Job) -> api.Reason:
+        """Why a job that was held until its latest start found no worker, as far as the sets show."""
+        if not self.available:
             return api.Reason.NO_WORKER
         kind = job.cls.worker_kind
-        some = self.open & ~job.tried() & (-1 if kind is None else self.group("kind", kind))
-        if not some:
+        mask = self.available & ~job.tried_mask() & (-1 if kind is None else self.group("kind", kind))
+        if not mask:
             return api.Reason.TRIED_ALL
-        return api.Reason.NO_ROOM if some & ~self.cold else api.Reason.COLD_ONLY
+        return api.Reason.NO_ROOM if mask & ~self.cold else api.Reason.COLD_ONLY
 
-    def drops_repeats(self, worker: Worker, group: api.Group) -> int:
-        """The workers that drop repeats of a keyed job together with that one; all of them: -1."""
+    def dedup_group(self, worker: Worker, group: api.Group) -> int:
+        """The workers that drop repeats of a keyed job together with that one; -1: all."""
         if group is api.Group.ALL:
             return -1
         entry = worker.entry
         return self.group("zone", entry.zone) if group is api.Group.ZONE else self.group("cell", entry.cell)
 
-    def aside(self) -> frozenset[str]:
-        """The ids of the workers that are set aside, on trial or not."""
-        return frozenset(worker.id for worker in self.workers if worker.aside)
+    def ejected(self) -> frozenset[str]:
+        """The ids of the ejected workers, on trial or not."""
+        return frozenset(worker.id for worker in self.workers if worker.ejected)
 
-    def members(self, some: int) -> list[Worker]:
-        """The workers of a set, in order: for whole sets, several times as fast as ``walk``."""
+    def workers_in(self, mask: int) -> list[Worker]:
+        """The workers of a set, in order: for large sets several times as fast as ``walk``."""
         return [
-            worker for worker, bit in zip(self.workers, reversed(f"{some:b}"), strict=False) if bit == "1"
+            worker for worker, bit in zip(self.workers, reversed(f"{mask:b}"), strict=False) if bit == "1"
         ]
 
-    def usual(self, own: float, dispatchers: int, told_after: int) -> tuple[float, float]:
-        """The mean size of the ready workers that a size is known of, and the slots that others use on
-        one: in a wide fleet what most of them told after that time, else a part of ``own`` running slots
-        times the other dispatchers.
+    def typical_load(self, own_slots: float, dispatchers: int, observed_after: int) -> tuple[float, float]:
+        """The mean known size of the ready workers, and the mean slots that other dispatchers use on one.
 
-        Danger: guessed from the own jobs, a fleet of 188 looks three times as full to a dispatcher that
-        sees three times the mean, which then turns a third of its jobs away. Of a few dispatchers the own
-        jobs are a large sample, and newer than what was told. ``told_after``: ns, on the clock of
-        ``Worker.told_at``."""
-        ready = self.members(self.ready)
+        In a large fleet the latter come from the loads observed after ``observed_after``, if most workers
+        have one; else from the own running slots, multiplied by the number of other dispatchers. Estimated
+        from the own jobs, a fleet of 188 looks three times as full to a dispatcher that gets three times the
+        mean, which then turns a third of its jobs away. Of few dispatchers, the own jobs are a large sample
+        and newer than the observed loads.
+        """
+        ready = self.workers_in(self.ready)
         sizes = [worker.size for worker in ready if worker.size]
-        told = [worker.others for worker in ready if worker.told_at > max(0, told_after)]
-        if dispatchers > FEW and 2 * len(told) > len(ready):
-            others = sum(told) / len(told)
+        observed = [worker.peer_slots for worker in ready if worker.load_observed_at > max(0, observed_after)]
+        if dispatchers > SMALL_FLEET and 2 * len(observed) > len(ready):
+            peer_slots = sum(observed) / len(observed)
         else:
-            others = own * (dispatchers - 1) / max(1, len(ready))
-        return sum(sizes) / max(1, len(sizes)), others
-
-    def spare(self, now: int, believed: int, usual: tuple[float, float]) -> float:
-        """Believed free slots of the ready workers that take jobs: the sum of ``Worker.free`` where it is
-        above 0, in one loop, since a large fleet is summed up several times a second."""
-        total, (usual_size, usual_others) = 0.0, usual
-        for worker in self.members(self.ready & self.open):
-            size = worker.size or usual_size
+            peer_slots = own_slots * (dispatchers - 1) / max(1, len(ready))
+        return sum(sizes) / max(1, len(sizes)), peer_slots
+
+    def total_free(self, now: int, trust_time: int, typical: tuple[float, float]) -> float:
+        """Estimated free slots of the ready workers that take jobs.
+
+        The sum of ``Worker.estimated_free`` where that is above 0, written out in one loop because a large
+        fleet is summed up several times a second.
+        """
+        total, (typical_size, typical_peer_slots) = 0.0, typical
+        for worker in self.workers_in(self.ready & self.available):
+            size = worker.size or typical_size
             if size:
-                age = now - worker.told_at if worker.told_at else believed
-                trust = 1 - age / believed if age < believed else 0.0
-                slots = size - worker.slots_out - trust * worker.others - (1 - trust) * usual_others
+                age = now - worker.load_observed_at if worker.load_observed_at else trust_time
+                trust = 1 - age / trust_time if age < trust_time else 0.0
+                slots = (
+                    size
+                    - worker.slots_in_flight
+                    - trust * worker.peer_slots
+                    - (1 - trust) * typical_peer_slots
+                )
                 if slots > 0:
                     total += slots
         return total
 
-    def walk(self, some: int, start: int) -> Iterator[Worker]:
-        """The workers of a set, in order from a starting point and round."""
-        after = some >> start << start
-        for part in (after, some ^ after):
+    def walk(self, mask: int, start: int) -> Iterator[Worker]:
+        """The workers of a set, in order from index ``start``, then from the first worker on."""
+        after = mask >> start << start
+        for part in (after, mask ^ after):
             while part:
                 bit = part & -part
                 yield self.workers[bit.bit_length() - 1]
                 part ^= bit
 
 
-def _sane(value: float | None) -> float | None:
-    """A worker may report nonsense: a negative or absurd figure or NaN counts as none."""
+def _plausible(value: float | None) -> float | None:
+    """The value, or None if it is NaN, negative or 1e6 and more: a worker may report anything."""
     return value if value is not None and 0 <= value < 1e6 else None
--- a/ironbarrow/core/host.py
+++ b/ironbarrow/core/host.py
@@ -136,7 +136,7 @@
     @property
     def avoided(self) -> frozenset[str]:
         """The workers that the decisions have set aside: they get a trial job now and then, at the most."""
-        return self._dispatcher.ring.aside()
+        return self._dispatcher.ring.ejected()
 
     @property
     def workers(self) -> list[api.WorkerEntry]:
--- a/ironbarrow/fleet/rollout/coordinator.py
+++ b/ironbarrow/fleet/rollout/coordinator.py
@@ -486,7 +486,7 @@
             out = way is not None and (way.sent or not way.answered or way.begun)
             part = 1.0 if one.up and not out else 0.0
             if part and one.since and self._settings is not None:
-                part = slow_start.capacity(self._settings, one.since, unix)
+                part = slow_start.guaranteed_capacity(self._settings, one.since, unix)
             found[name] = Capacity(one.target, part, one.since if part < 1 else 0)
         return found
 
--- a/ironbarrow/fleet/rollout/sizing.py
+++ b/ironbarrow/fleet/rollout/sizing.py
@@ -27,7 +27,7 @@
 def cold_room(rules: api.Settings, size: float, mean: float, age: int) -> float:
     """Slots of work that the whole fleet can keep sending to a cold worker of that age (ns), mean service
     time (ns) and size (slots): the jobs that fit its budget, over the window that this is for."""
-    budget = rules.fall_multiple * slow_start.capacity(rules, 0, age) * rules.fall_window * size
+    budget = rules.fall_multiple * slow_start.guaranteed_capacity(rules, 0, age) * rules.fall_window * size
     return slow_start.jobs_within(budget, mean) * mean / rules.fall_window
 
 
--- a/ironbarrow/lab/capacity/costs.py
+++ b/ironbarrow/lab/capacity/costs.py
@@ -130,7 +130,7 @@
     """Turns with room, then turns in which all workers are full and jobs wait."""
     now = 1_700_000_000 * SECOND
     dispatcher = CountingDispatcher(fleet_settings(230), 0)
-    dispatcher._service[TASK.name].mean = float(_RUNS)
+    dispatcher._service_time[TASK.name].mean = float(_RUNS)
     dispatcher.handle(now, [whole_list(size)])
     placed: list[float] = []
     for number in range(1, _TURNS + 1):
@@ -140,7 +140,7 @@
         placed.append(1000 * (time.process_time() - began))
         dispatcher.handle(now + MS, _ends(actions))
     for worker in dispatcher._workers.values():
-        worker.size, worker.others, worker.told_at = 2.4, 24.0, now
+        worker.size, worker.peer_slots, worker.load_observed_at = 2.4, 24.0, now
     # of sessions that are known: others would not be let in
     waiting = [replace(_arrived(n), job=_TURNS + n) for n in range(_TURNS - _HELD, _TURNS)]
     dispatcher.handle(now, waiting)
--- a/ironbarrow/lab/capacity/decisions.py
+++ b/ironbarrow/lab/capacity/decisions.py
@@ -83,8 +83,8 @@
         return cls(
             len(dispatcher._workers),
             len(dispatcher._jobs),
-            len(dispatcher._agenda._heap),
-            sum(len(worker.moves) for worker in workers),
+            len(dispatcher._timers._heap),
+            sum(len(worker.load_changes) for worker in workers),
             sum(len(worker.sends) for worker in workers),
             len(dispatcher._sessions),
         )
@@ -187,8 +187,8 @@
     for me in range(dispatchers):
         settings = fleet_settings(dispatchers, me)
         for number in range(workers):
-            part = slow_start.part_of(settings, entry(number, started_at=_START), 0, _SLOTS, [mean])
-            found += part.holds([], mean)
+            part = slow_start.share_of(settings, entry(number, started_at=_START), 0, _SLOTS, [mean])
+            found += part.allows([], mean)
     return ColdShare(dispatchers, mean_s, found / workers, 0)
 
 
@@ -197,4 +197,4 @@
     dispatcher = Dispatcher(fleet_settings(8), 0)
     for turn in range(lists):
         dispatcher.handle(_START + turn * SECOND, [whole_list(cold, turn, _START)])
-    return len(dispatcher._agenda._heap)
+    return len(dispatcher._timers._heap)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -319,7 +319,7 @@
 
 def assert_probes(found: list[int]) -> None:
     jobs = 4 * 11
-    assert max(found) <= probing.PER_JOB * jobs + 4 * probing.MOST_SAVED
+    assert max(found) <= probing.PROBES_PER_JOB * jobs + 4 * probing.MAX_SAVED
     assert max(found) <= 1.05 * min(found)
 
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -241,7 +241,7 @@
         ("_may_send_again", lambda *_: True, "an unsafe job sent again"),
         ("_may_refuse", lambda *_: True, "rule 2: refused"),
         ("_repeat_group", lambda *_: -1, "rule 2: (past the window|another)"),
-        ("_update", sent_anywhere, "rule 3"),
+        ("_update_ring", sent_anywhere, "rule 3"),
     ],
 )
 def test_drawn_steps_catch_decisions_that_break_a_rule(method, instead, rule, monkeypatch):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from heathway import api, backoff
-from heathway.backoff import CallPace
+from heathway.backoff import ListCallBackoff
 from heathway.logic import Dispatcher
 from heathway.settings import read_settings
 from ironbarrow.core.endings import ConnectionEndedError, Ending
@@ -611,7 +611,7 @@
 
 
 def told_at(
-    agent: Agent, loop: VirtualLoop, until: int, pace: CallPace | None, seed: int, known: bool = True
+    agent: Agent, loop: VirtualLoop, until: int, pace: ListCallBackoff | None, seed: int, known: bool = True
 ) -> int:
     """When the discovery service's change arrives; ``pace``: it is asked for. Without a known list, as after
     a move, the whole list comes first."""
@@ -620,23 +620,23 @@
     def listed(news: api.WorkerList) -> None:
         if news.kind is api.ListKind.LOST:
             assert pace is not None
-            loop.call_at(loop.now() + pace.failed(), client.ask)
+            loop.call_at(loop.now() + pace.retry_delay(), client.ask)
         elif any(e.state is api.WorkerState.DRAINING for e in news.entries):
             found.append(loop.now())
         elif pace is not None:
-            pace.answered()
+            pace.reset()
 
     client = discovery.Discovery(loop, ("d", 1), listed, on_request=pace is not None, seed=seed)  # type: ignore[arg-type]
     client.start(json.loads(told(entry(status="up"), index=41, whole=True)) if known else {})
     if pace is not None:
-        loop.call_at(loop.now() + pace.first(), client.ask)
+        loop.call_at(loop.now() + pace.first_delay(), client.ask)
     loop.run(until)
     return found[0] if found else NEVER
 
 
 TIMES = st.integers(0, 8_000)
 # of a larger fleet's first calls a service that answers 8 a second can't answer all in time
-ANSWERED_IN_TIME = backoff.ANSWERED_WITHIN // backoff.APART
+ANSWERED_IN_TIME = backoff.ANSWERABLE_SPREAD // backoff.CALL_INTERVAL
 
 
 @given(st.sampled_from(FAILS), TIMES, st.integers(1, 20_000), TIMES, st.integers(0, 99), st.booleans())
@@ -676,7 +676,7 @@
         up = (down + lasts) * MS
         agent = Agent(loop, fails, down * MS, up, max(0, down + change) * MS)
         patch.setattr(discovery, "connect", agent.connect)
-        pace = CallPace(dispatchers, within * SECOND, random.Random(seed))
+        pace = ListCallBackoff(dispatchers, within * SECOND, random.Random(seed))
         arrived = told_at(agent, loop, up + 40 * SECOND, pace, seed)
         # where it was down at the first call, it could not be reached before it was back
         missed = agent.change_at >= agent.down or agent.down <= agent.calls[0] < up
@@ -688,9 +688,9 @@
 def test_a_limit_a_pause_and_an_answer_fit_before_a_change_counts_as_told(
     dispatchers: int, within: int, failures: int, seed: int
 ) -> None:
-    pace = CallPace(dispatchers, within * SECOND, random.Random(seed))
-    first = pace.first() if dispatchers <= ANSWERED_IN_TIME else 0
-    pauses = [pace.failed() for _ in range(failures + 1)]
+    pace = ListCallBackoff(dispatchers, within * SECOND, random.Random(seed))
+    first = pace.first_delay() if dispatchers <= ANSWERED_IN_TIME else 0
+    pauses = [pace.retry_delay() for _ in range(failures + 1)]
     answer_comes = 1 * SECOND
     lost = max(discovery._SILENCE_LIMIT, discovery._ANSWER_LIMIT)
     assert all(lost + pause + answer_comes < TOLD for pause in pauses)
@@ -704,10 +704,11 @@
     dispatchers: int, within: int, failures: int, seed: int
 ) -> None:
     paces = [
-        CallPace(dispatchers, within * SECOND, random.Random(seed * 2_000 + n)) for n in range(dispatchers)
+        ListCallBackoff(dispatchers, within * SECOND, random.Random(seed * 2_000 + n))
+        for n in range(dispatchers)
     ]
     longest = min(within * SECOND, 2 * SECOND)
-    due = sorted([pace.failed() for _ in range(failures + 1)][-1] for pace in paces)
+    due = sorted([pace.retry_delay() for _ in range(failures + 1)][-1] for pace in paces)
     assert due[-1] - due[0] > longest // 2
     for start in range(0, longest, longest // 8):
         assert sum(start <= d < start + longest // 8 for d in due) < dispatchers * 0.45
@@ -716,8 +717,8 @@
 def calls_when_a_service_is_back(dispatchers: int, guarded: bool) -> tuple[int, int]:
     """Of a fleet whose calls all failed in one instant, to a service that answers 8 a second, refuses after
     2 s and serves what it refused all the same: the calls, and the dispatchers answered, within a minute."""
-    paces = [CallPace(dispatchers, 10 * SECOND, random.Random(n)) for n in range(dispatchers)]
-    due = [(pace.failed(), n) for n, pace in enumerate(paces)]
+    paces = [ListCallBackoff(dispatchers, 10 * SECOND, random.Random(n)) for n in range(dispatchers)]
+    due = [(pace.retry_delay(), n) for n, pace in enumerate(paces)]
     heapq.heapify(due)
     free_at = calls = answered = 0
     while due and due[0][0] < 60 * SECOND:
@@ -727,7 +728,7 @@
         if free_at - now <= 2 * SECOND:
             answered += 1
         else:
-            heapq.heappush(due, (now + 2 * SECOND + paces[n].failed(2 * SECOND if guarded else 0), n))
+            heapq.heappush(due, (now + 2 * SECOND + paces[n].retry_delay(2 * SECOND if guarded else 0), n))
     return calls, answered
 
 
@@ -762,4 +763,4 @@
 
     assert next_call(2 * SECOND, listed=False) > 2_100 * MS
     for waited, listed in ((0, False), (discovery._ANSWER_LIMIT, False), (2 * SECOND, True)):
-        assert next_call(waited, listed) <= backoff.AGAIN_WITHIN + 210 * MS
+        assert next_call(waited, listed) <= backoff.RETRY_LIMIT + 210 * MS
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -583,8 +583,8 @@
     wide = msgspec.structs.replace(load_world(EXPERIMENTS / "wide.toml"), duration=ms(6000), faults=[])
     few = msgspec.structs.replace(wide, dispatchers=msgspec.structs.replace(wide.dispatchers, count=3))
     small, large = fleet_counts(monkeypatch, few), fleet_counts(monkeypatch, wide)
-    saved = probing.MOST_SAVED * wide.dispatchers.count / large["asked"]
-    assert max(small["probes"], large["probes"]) <= probing.PER_JOB + saved
+    saved = probing.MAX_SAVED * wide.dispatchers.count / large["asked"]
+    assert max(small["probes"], large["probes"]) <= probing.PROBES_PER_JOB + saved
     assert large["sends"] <= 1.4 * small["sends"]  # 1.30 and 1.02: what others hold is known late
 
 
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -25,16 +25,16 @@
 def test_the_average_is_of_load_over_sessions_and_leaves_out_empty_periods():
     world = with_reports(8.0)
     module = world.dispatcher
-    module._rates.clear()
+    module._load_per_session.clear()
     world.advance(int(1.7 * S))  # the earlier sessions close; periods with none add nothing
     assert len(module._sessions) == 0
-    module._rates.clear()
+    module._load_per_session.clear()
     world.advance(1 * S)
-    assert list(module._rates) == []
+    assert list(module._load_per_session) == []
     world.arrive(key=1)
     world.arrive(key=2)
     world.advance(200 * MS)
-    assert list(module._rates) == [pytest.approx((2 / 16) / 2)]  # two of 16 slots, two sessions
+    assert list(module._load_per_session) == [pytest.approx((2 / 16) / 2)]  # two of 16 slots, two sessions
 
 
 @pytest.mark.parametrize(
@@ -43,8 +43,8 @@
 def test_a_session_enters_while_rate_times_one_more_is_below_tau(rate, sessions, enters):
     # tau 1.25: 0.124 * 10 = 1.24 enters, 0.125 * 10 = 1.25 does not, 0.3 * 4 = 1.2 enters
     module = World(make_settings(), entries(2)).dispatcher
-    module._rates.extend([rate] * 5)
-    module._worths.job_arrived(SAFE, SAFE.aim)
+    module._load_per_session.extend([rate] * 5)
+    module._worth_stats.job_arrived(SAFE, SAFE.aim)
     for name in range(sessions):
         module._sessions.job_arrived(name, 0)
     assert module._admits(SAFE) is enters
@@ -61,7 +61,7 @@
     world.advance(1 * S)
     world.listed(ListKind.CHANGES, entries(40, zone="a", weight=8.0 / (1 + others / 8)))
     world.advance(200 * MS)  # a period's end notes it
-    assert world.dispatcher._usual[1] == pytest.approx(others, abs=0.3)
+    assert world.dispatcher._typical[1] == pytest.approx(others, abs=0.3)
     free = world.dispatcher._capacity()
     assert free == pytest.approx(40 * (8 - others), rel=0.1)  # not 199 times the own jobs less
 
@@ -79,12 +79,12 @@
     module = world.dispatcher
     means = {"map": 0.8 * S, "decode": 0.4 * S, "booking": 5.0 * S}
     for cls, jobs in zip(classes, (48, 29, 23), strict=True):
-        module._service[cls.name].mean = means[cls.name]
+        module._service_time[cls.name].mean = means[cls.name]
         for _ in range(jobs):
-            module._worths.job_arrived(cls, means[cls.name])
-            module._worths.job_entered(cls)
+            module._worth_stats.job_arrived(cls, means[cls.name])
+            module._worth_stats.job_admitted(cls)
     module._sessions.job_arrived("admitted", 0)
-    module._rates.extend([5.0] * logic.LOOKBACK)
+    module._load_per_session.extend([5.0] * logic.LOAD_PERIODS)
     assert {name: module._admits(next(c for c in classes if c.name == name)) for name in dear} == dear
 
 
@@ -103,7 +103,7 @@
 def overloaded(**changes: object) -> World:
     world = World(make_settings(**changes), entries(4))
     world.arrive(key=1)
-    world.dispatcher._rates.extend([5.0] * logic.LOOKBACK)
+    world.dispatcher._load_per_session.extend([5.0] * logic.LOAD_PERIODS)
     return world
 
 
@@ -112,7 +112,7 @@
     flood = [world.arrive(key=1) for _ in range(20)]
     refused = [job for job in flood if world.answers(job)]
     assert len(refused) == 20 - 7  # four seconds of two a second, one of them used before
-    world.dispatcher._rates.clear()
+    world.dispatcher._load_per_session.clear()
     assert world.answers(world.arrive(key=1)) == []  # with room they are served
 
 
@@ -127,7 +127,7 @@
     world = World(make_settings(classes=(plain, dear)), entries(4))
     for _ in range(9):
         world.arrive("plain", key=1)
-    world.dispatcher._rates.extend([5.0] * logic.LOOKBACK)
+    world.dispatcher._load_per_session.extend([5.0] * logic.LOAD_PERIODS)
     assert world.answers(world.arrive("plain", key=2))
     assert not world.answers(world.arrive("dear", key=3))
 
@@ -144,8 +144,8 @@
     def start(me: int, rare: bool) -> float:
         module = World(make_settings(me=me, dispatchers=10), entries(4)).dispatcher
         for other in range(1000):
-            module._keys.point(other if rare else 5)
-        return module._keys.point(5)
+            module._keys.start(other if rare else 5)
+        return module._keys.start(5)
 
     assert abs(start(9, rare=True) - start(0, rare=True)) < 0.01
     apart = (start(9, rare=False) - start(0, rare=False)) % 1.0
@@ -162,20 +162,20 @@
     module = world.dispatcher
     worker = module._workers["w000"]
     module._now = world.now
-    worker.size, worker.told_at = 6.0, world.now
-    worker.others = 2.0  # a report of now: six slots, four of them free
+    worker.size, worker.load_observed_at = 6.0, world.now
+    worker.peer_slots = 2.0  # a report of now: six slots, four of them free
     assert world.believed_free("w000") == pytest.approx(4)
-    module._usual = (6.0, 1.0)
-    world.now = module._now = world.now + logic.REPORT_BELIEVED // 2
+    module._typical = (6.0, 1.0)
+    world.now = module._now = world.now + logic.REPORT_TRUST_TIME // 2
     assert world.believed_free("w000") == pytest.approx(4.5)
-    module._now += logic.REPORT_BELIEVED
+    module._now += logic.REPORT_TRUST_TIME
     assert world.believed_free("w000") == pytest.approx(5)
 
 
 def test_an_admitted_session_goes_on_and_a_new_one_is_refused():
     world = World(make_settings(), entries(1))
     world.arrive(key=1)
-    world.dispatcher._rates.extend([5.0] * logic.LOOKBACK)
+    world.dispatcher._load_per_session.extend([5.0] * logic.LOAD_PERIODS)
     admitted, new = world.arrive(key=1), world.arrive(key=2)
     assert world.answers(admitted) == []
     assert [type(a) for a in world.answers(new)] == [api.Refuse]
@@ -184,7 +184,7 @@
 def test_sessions_are_tenant_and_key():
     world = World(make_settings(), entries(1))
     world.arrive(key=1)
-    world.dispatcher._rates.extend([5.0] * logic.LOOKBACK)
+    world.dispatcher._load_per_session.extend([5.0] * logic.LOAD_PERIODS)
     other = world.arrive(key=1, tenant="another")
     assert len(world.answers(other)) == 1
 
@@ -198,7 +198,7 @@
 
 def test_one_session_enters_when_none_is_admitted_and_a_slot_is_free():
     world = World(make_settings(), entries(1))
-    world.dispatcher._rates.extend([5.0] * logic.LOOKBACK)
+    world.dispatcher._load_per_session.extend([5.0] * logic.LOAD_PERIODS)
     job = world.arrive()
     assert len(world.attempts(job)) == 1
 
@@ -207,7 +207,7 @@
     for told, pause in ((True, logic.PERIOD), (False, 0)):
         world = World(make_settings(gives_retry_after=told), entries(1))
         world.arrive(key=1)
-        world.dispatcher._rates.extend([5.0] * logic.LOOKBACK)
+        world.dispatcher._load_per_session.extend([5.0] * logic.LOAD_PERIODS)
         job = world.arrive(key=2)
         assert world.answers(job) == [api.Refuse(job, pause)]
 
@@ -217,7 +217,7 @@
     quick = api.JobClass("quick", api.Effect.SAFE, 2 * S, 20 * S)
     slow_mean_is_its_aim = make_settings(classes=(slow, quick))
     world = World(slow_mean_is_its_aim, entries(1))
-    for usual in world.dispatcher._service.values():
+    for usual in world.dispatcher._service_time.values():
         usual.mean = 0.1 * S
     first = world.arrive("slow", key=1, left=20 * S)
     later, sooner = world.arrive("slow", key=1, left=20 * S), world.arrive("quick", key=1, left=20 * S)
@@ -236,7 +236,7 @@
 
 def test_a_key_starts_at_one_point_whatever_the_dispatcher():
     first = {
-        World(make_settings(me=me, dispatchers=50), entries(4), seed=me).dispatcher._keys.point(77)
+        World(make_settings(me=me, dispatchers=50), entries(4), seed=me).dispatcher._keys.start(77)
         for me in (0, 0)
     }
     assert len(first) == 1
@@ -300,13 +300,13 @@
     classes = tuple(replace(SAFE, name=n, worth=w) for n, w in zip(("cheap", "dear"), worths, strict=True))
     module = World(make_settings(classes=classes, worth_by_work=by_work), entries(4)).dispatcher
     module._sessions.job_arrived("admitted", 0)
-    module._rates.extend([load / 2] * logic.LOOKBACK)  # of one session and the one that asks
+    module._load_per_session.extend([load / 2] * logic.LOAD_PERIODS)  # of one session and the one that asks
     entered = {cls.name: 0 for cls in classes}
     for _ in range(400):
         for cls in classes:
-            module._worths.job_arrived(cls, SAFE.aim)
+            module._worth_stats.job_arrived(cls, SAFE.aim)
             if module._admits(cls):
-                module._worths.job_entered(cls)
+                module._worth_stats.job_admitted(cls)
                 entered[cls.name] += 1
     even = min(1.0, logic.TAU / load) * 400
     assert all(number >= 0.95 * even / 2 for number in entered.values())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -75,7 +75,7 @@
 
 
 def test_the_checker_catches_an_answer_that_never_comes():
-    world = broken(World(make_settings(), ()), "_settle", lambda self, job, why: self._close(job))
+    world = broken(World(make_settings(), ()), "_give_up", lambda self, job, why: self._close(job))
     with pytest.raises(AssertionError, match="rule 1"):
         world.arrive("safe")
         world.arrive("safe")
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -9,7 +9,7 @@
 
 from heathway import api, backoff, logic, probing
 from heathway.api import ListKind, Outcome, WorkerState
-from heathway.backoff import CallPace
+from heathway.backoff import ListCallBackoff
 from heathway.logic import Dispatcher
 from tests.world import MS, SAFE, UNSAFE, S, World, entries, make_settings
 
@@ -38,7 +38,7 @@
     when = world.now
     settle_in(world, 1.5, workers_hang=(busy,))
     assert sent_since(world, when, busy) <= 1  # a trial at the most
-    assert world.dispatcher._workers[busy].aside
+    assert world.dispatcher._workers[busy].ejected
 
 
 @pytest.mark.parametrize("left", [600 * MS, 900 * MS, 1500 * MS, 6 * S])
@@ -82,11 +82,11 @@
     world = World(make_settings(), entries(2))
     job = world.arrive("unsafe")
     worker = world.dispatcher._workers[world.attempts(job)[0].worker]
-    world.dispatcher._set_aside(worker)
+    world.dispatcher._eject(worker)
     assert world.dispatcher._running_slots == 0
     world.now += 100 * MS
     world.end(job, 0, free=2.0)
-    assert not worker.aside
+    assert not worker.ejected
     assert world.dispatcher._running_slots == 0
 
 
@@ -94,7 +94,7 @@
     world = World(make_settings(), entries(10))
     settle_in(world)
     settle_in(world, 5.0, workers_hang=tuple(world.entries))
-    assert world.dispatcher._aside <= 1 + logic.ASIDE_MOST * 10
+    assert world.dispatcher._ejected_count <= 1 + logic.MAX_EJECTED_SHARE * 10
     world.advance(7 * S)
     before = sum(isinstance(a, api.Send) for a in world.actions)
     settle_in(world, 2.0)
@@ -115,13 +115,13 @@
     moved, booking = world.arrive("safe"), world.arrive("unsafe")
     full = world.attempts(moved)[0].worker
     assert world.attempts(booking)[0].worker == full
-    world.advance(logic.START_WITHIN)
+    world.advance(logic.START_TIMEOUT)
     assert [a for a in world.actions if isinstance(a, api.CancelAttempt)] == [api.CancelAttempt(moved, 0)]
     world.end(moved, 0, Outcome.CANCELLED)
     assert [t.worker == full for t in world.attempts(moved)] == [True, False]
     assert world.attempts(world.arrive("safe"))[0].worker != full
     world.batch(api.AttemptNote(booking, 0, full, api.NoteKind.STARTED))
-    assert not world.dispatcher._workers[full].waiting
+    assert not world.dispatcher._workers[full].overdue_starts
     assert world.believed_free(full) == pytest.approx(0)
 
 
@@ -148,7 +148,7 @@
     world.batch(api.ProbeEnded(world.attempts(job)[0].worker, Outcome.OK, MS))  # it is not silent
     world.advance(in_time - in_time // 2)
     assert world.answers(job) == []
-    world.advance(2 * logic.START_WITHIN)
+    world.advance(2 * logic.START_TIMEOUT)
     called_off = [a for a in world.actions if isinstance(a, api.CancelAttempt)]
     assert [type(a) for a in world.answers(job)] == [api.Refuse] * given_up
     assert called_off == [api.CancelAttempt(job, 0)] * given_up
@@ -174,7 +174,7 @@
     # danger: by a mean job's time, under overload most of what starts that late is late, and fills slots
     found = replace(SAFE if cls == "safe" else UNSAFE, stretch=stretch, late_worth=late_worth)
     world = World(make_settings(tick=MS, classes=(found,)), entries(1, state=api.WorkerState.DRAINING))
-    world.dispatcher._service[cls].mean = 1 * MS
+    world.dispatcher._service_time[cls].mean = 1 * MS
     job, begun = world.arrive(cls, **told), world.now
     while not world.answers(job):
         world.advance(1 * MS)
@@ -185,7 +185,7 @@
     world = slots(4.0)
     job = world.arrive("safe")
     world.batch(api.AttemptNote(job, 0, world.attempts(job)[0].worker, api.NoteKind.STARTED))
-    world.advance(5 * logic.START_WITHIN)
+    world.advance(5 * logic.START_TIMEOUT)
     assert not any(isinstance(a, api.CancelAttempt) for a in world.actions)
 
 
@@ -197,14 +197,14 @@
     failing = world.attempts(job)[0].worker
     world.end(job, 0, outcome)
     worker = world.dispatcher._workers[failing]
-    assert worker.aside
+    assert worker.ejected
     assert world.attempts(job)[1].worker != failing
-    world.advance(logic.ASIDE_PAUSE)
+    world.advance(logic.EJECTION_TIME)
     for left in (1, 0):
         trial = world.arrive("safe", key=1)
         assert world.attempts(trial)[0].worker == failing
         world.end(trial, 0)
-        assert worker.aside == bool(left)
+        assert worker.ejected == bool(left)
 
 
 def test_errors_in_a_report_are_held_against_a_worker():
@@ -214,16 +214,16 @@
     world.batch(
         api.AttemptEnded(job, 0, attempt.worker, Outcome.OK, True, MS, api.LoadReport(4.0, errors=2.0))
     )
-    assert world.dispatcher._workers[attempt.worker].aside
+    assert world.dispatcher._workers[attempt.worker].ejected
 
 
 def test_a_worker_that_nothing_was_heard_of_is_probed():
     world = slots(4.0)
-    world.advance(probing.EVERY + 2 * logic.PERIOD)
+    world.advance(probing.PROBE_AFTER + 2 * logic.PERIOD)
     probed = [a.worker for a in world.actions if isinstance(a, api.Probe)]
     assert set(probed) == set(world.entries)
     world.batch(api.ProbeEnded("w000", Outcome.CONNECT_FAILED, MS))
-    assert world.dispatcher._workers["w000"].aside
+    assert world.dispatcher._workers["w000"].ejected
 
 
 def test_an_unreachable_worker_gets_one_trial_after_a_pause():
@@ -233,7 +233,7 @@
     sent = len(world.sends)
     world.arrive("safe", key=2)
     assert len(world.sends) == sent
-    world.advance(logic.ASIDE_PAUSE)
+    world.advance(logic.EJECTION_TIME)
     world.arrive("safe", key=3)
     world.arrive("safe", key=4)
     assert len(world.sends) == sent + 1
@@ -248,8 +248,8 @@
         world.arrive("safe", key=key)
         world.advance(10 * MS)
     beyond = [worker for _, _, worker in world.sends if world.entries[worker].zone == "b"]
-    assert len(beyond) <= logic.CUT_AFTER + 1
-    world.advance(logic.ASIDE_PAUSE + logic.PERIOD)
+    assert len(beyond) <= logic.ZONE_CONNECT_FAILURES + 1
+    world.advance(logic.EJECTION_TIME + logic.PERIOD)
     when = world.now
     for key in range(200):  # the cut has ended: one trial is answered and the zone is used again
         world.arrive("safe", key=key)
@@ -272,13 +272,13 @@
 
 def test_a_failed_call_is_made_again_after_a_jittered_pause_and_the_list_stays():
     world = World(make_settings(asks_for_list=True), entries(2))
-    world.advance(backoff.LEAST + logic.PERIOD)
+    world.advance(backoff.MIN_SPREAD + logic.PERIOD)
     asked = [a for a in world.actions if isinstance(a, api.Subscribe)]
     assert len(asked) == 1
     world.listed(ListKind.LOST, ())
     job = world.arrive()
     assert len(world.attempts(job)) == 1
-    world.advance(2 * backoff.LEAST)
+    world.advance(2 * backoff.MIN_SPREAD)
     assert sum(isinstance(a, api.Subscribe) for a in world.actions) == 2
 
 
@@ -366,7 +366,7 @@
     world.end(job, 0, free=8.0)
     world.listed(ListKind.CHANGES, entries(1, started_at=world.now))
     worker = world.dispatcher._workers["w000"]
-    assert worker.told_at == 0
+    assert worker.load_observed_at == 0
     assert worker.cold_until == world.now + 20 * S
 
 
@@ -404,12 +404,12 @@
         world.advance(600 * MS)
     probes = sum(isinstance(a, api.Probe) for a in world.actions)
     budget = probing.ProbeBudget(0.004)
-    assert jobs <= probes <= budget.per_job * jobs + probing.MOST_SAVED
+    assert jobs <= probes <= budget.per_job * jobs + probing.MAX_SAVED
 
 
 def test_a_dear_probe_is_sent_less_often():
-    assert probing.ProbeBudget(0.0).per_job == probing.PER_JOB
-    assert probing.ProbeBudget(0.02).per_job == pytest.approx(probing.WORTH_GIVEN / 0.02)
+    assert probing.ProbeBudget(0.0).per_job == probing.PROBES_PER_JOB
+    assert probing.ProbeBudget(0.02).per_job == pytest.approx(probing.WORTH_SHARE / 0.02)
     with pytest.raises(ValueError, match="negative"):
         probing.ProbeBudget(-1.0)
 
@@ -434,8 +434,8 @@
 
 @pytest.mark.parametrize("dispatchers", [3, 10, 40, 60])
 def test_a_fleet_that_starts_at_once_gets_its_list_from_a_service_of_fixed_capacity(dispatchers):
-    paces = [CallPace(dispatchers, 10 * S, random.Random(n)) for n in range(dispatchers)]
-    pauses = [(pace.first() / S, lambda pace=pace: pace.failed() / S) for pace in paces]
+    paces = [ListCallBackoff(dispatchers, 10 * S, random.Random(n)) for n in range(dispatchers)]
+    pauses = [(pace.first_delay() / S, lambda pace=pace: pace.retry_delay() / S) for pace in paces]
     calls, had = list_calls(pauses, service=0.125, patience=2.0, until=60.0)
     assert len(had) == dispatchers
     assert max(had) < 0.2 * dispatchers + 2.5
@@ -450,11 +450,14 @@
 
 
 def test_the_pace_is_wider_after_each_failure_and_has_an_end():
-    pace = CallPace(40, 10 * S, random.Random(1))
-    assert all(0 <= CallPace(40, 10 * S, random.Random(n)).first() <= 40 * backoff.APART for n in range(50))
-    assert all(pace.failed() <= 10 * S for _ in range(30))
-    pace.answered()
-    assert pace.failed() <= 40 * backoff.APART
+    pace = ListCallBackoff(40, 10 * S, random.Random(1))
+    assert all(
+        0 <= ListCallBackoff(40, 10 * S, random.Random(n)).first_delay() <= 40 * backoff.CALL_INTERVAL
+        for n in range(50)
+    )
+    assert all(pace.retry_delay() <= 10 * S for _ in range(30))
+    pace.reset()
+    assert pace.retry_delay() <= 40 * backoff.CALL_INTERVAL
 
 
 def test_a_long_job_on_a_worker_that_answers_its_probe_is_not_called_back():
@@ -465,9 +468,9 @@
         job = world.arrive()
         worker = world.attempts(job)[0].worker
         world.batch(api.AttemptNote(job, 0, worker, api.NoteKind.STARTED))
-        limit = world.dispatcher._service["safe"].longest(logic.SILENCE_DEVIATIONS)
+        limit = world.dispatcher._service_time["safe"].bound(logic.SILENCE_FACTOR)
         probes = 0
-        while world.now < 7 * S + limit + probing.WITHIN + 3 * logic.PERIOD:
+        while world.now < 7 * S + limit + probing.PROBE_TIMEOUT + 3 * logic.PERIOD:
             sent = [a.worker for a in world.actions if isinstance(a, api.Probe)]
             for name in sent[probes:]:
                 outcome = Outcome.OK if answers or name != worker else Outcome.TIMEOUT
@@ -487,7 +490,7 @@
         world.dispatcher._workers[name].size = 5.0
     world.listed(ListKind.CHANGES, (replace(busy, weight=0.5),))  # idle: 1.0; five jobs on five cores
     worker = world.dispatcher._workers["w001"]
-    assert worker.others == pytest.approx(5.0)
+    assert worker.peer_slots == pytest.approx(5.0)
     for _ in range(3):
         world.arrive()
     assert {name for _, _, name in world.sends} == {"w000"}
@@ -514,7 +517,7 @@
     job = world.arrive("safe", key=99)
     if cold:
         world.listed(api.ListKind.CHANGES, entries(16, started_at=world.now - 10 * S)[12:])
-    world.advance(2 * logic.START_WITHIN)
+    world.advance(2 * logic.START_TIMEOUT)
     assert any(isinstance(a, api.CancelAttempt) and a.job == job for a in world.actions)
 
 
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -25,7 +25,7 @@
     def _admits(self, cls: api.JobClass) -> bool:
         return True
 
-    def _note_usual(self) -> None:
+    def _update_typical(self) -> None:
         pass
 
 
@@ -56,9 +56,9 @@
 
     def start(self, me: int, now: int | None = None) -> Eager:
         dispatcher = Eager(replace(self.rules, me=me), me)
-        dispatcher._usual = (self.size, 0.0)
+        dispatcher._typical = (self.size, 0.0)
         for i, mean in enumerate(self.means):
-            dispatcher._service[f"c{i}"].mean = mean
+            dispatcher._service_time[f"c{i}"].mean = mean
         self.tell(dispatcher, now)
         return dispatcher
 
@@ -295,8 +295,8 @@
     assert fleet.offer(dispatcher, Offer((0,))) > 0
     worker = dispatcher._workers["w"]
     for _ in range(5):
-        worker.aside = worker.trial = True
-        dispatcher._update(worker)
+        worker.ejected = worker.on_trial = True
+        dispatcher._update_ring(worker)
         fleet.now += 1
         fleet.offer(dispatcher, Offer((0,)))
     fleet.check()
@@ -369,7 +369,7 @@
         world = World(make_settings(fall_window=3 * S, live_weights=live), (fast, slow))
         for worker in world.dispatcher._workers.values():
             worker.size = 8.0
-        world.dispatcher._workers["w000"].aside = True  # so that all goes to the other one
+        world.dispatcher._workers["w000"].ejected = True  # so that all goes to the other one
         world.listed(ListKind.CHANGES, (replace(slow, started_at=world.now),))
         for _ in range(60):
             world.arrive("safe")
@@ -399,11 +399,13 @@
     st.floats(1, 4),
 )
 def test_parts_add_up_to_the_budget_at_most_and_none_shrinks_as_it_grows(budget, sizes, dispatchers, growth):
-    steps = tuple(sorted({math.ceil(math.log2(size) * slow_start.STEPS) for size in sizes}))
+    steps = tuple(sorted({math.ceil(math.log2(size) * slow_start.STEPS_PER_OCTAVE) for size in sizes}))
     shares = []
     for one in (budget, budget * growth):
-        parts = slow_start._parts(math.floor(math.log2(one) * slow_start.STEPS), steps, dispatchers)
-        assert slow_start._sum(parts) <= one
+        parts = slow_start._shares(
+            math.floor(math.log2(one) * slow_start.STEPS_PER_OCTAVE), steps, dispatchers
+        )
+        assert slow_start._total_work(parts) <= one
         shares.append([next(p for until, p in parts if place < until) for place in range(dispatchers)])
     for before, after in zip(*shares, strict=True):
         assert after.work >= before.work * (1 - 1e-5)
@@ -439,8 +441,8 @@
     sent = set()
     for me in range(40):
         world = World(make_settings(me=me, dispatchers=40, tells_start=True, fall_window=3 * S), ())
-        world.dispatcher._usual = (5.0, 0.0)
-        world.dispatcher._note_usual = lambda: None
+        world.dispatcher._typical = (5.0, 0.0)
+        world.dispatcher._update_typical = lambda: None
         world.listed(api.ListKind.FULL, cold)
         for _ in range(6):
             world.arrive("safe")
--- a/tests/world.py
+++ b/tests/world.py
@@ -124,7 +124,7 @@
 
     def believed_free(self, name: str) -> float | None:
         module = self.dispatcher
-        return module._workers[name].free(module._now, logic.REPORT_BELIEVED, module._usual)
+        return module._workers[name].estimated_free(module._now, logic.REPORT_TRUST_TIME, module._typical)
 
     def withdraw(self, job: int) -> None:
         self.jobs[job].over = True
