--- a/heathway/__init__.py
+++ b/heathway/__init__.py
@@ -1,1 +1,1 @@
-"""heathway: decides for a dispatcher which pushes jobs to workers."""
+"""heathway: decides, for a dispatcher that pushes jobs, which worker gets each job and when."""
--- a/heathway/api.py
+++ b/heathway/api.py
@@ -1,7 +1,7 @@
 """The interface of heathway: the settings, events and actions of one dispatcher.
 
-Everything here is plain data. Times are whole nanoseconds on one clock that only goes forward.
-The decisions are in ``logic.py``.
+Everything here is plain data. Times are integers in ns; points in time are on one clock that never goes
+back. The decisions are in ``logic.py``.
 """
 
 from dataclasses import dataclass, field
@@ -9,10 +9,10 @@
 
 
 class Effect(Enum):
-    """What a repeat of a job may do."""
+    """What it means for a job to run more than once."""
 
     SAFE = "safe"  # may run any number of times
-    KEYED = "keyed"  # a group of workers drops repeats for a while
+    KEYED = "keyed"  # a group of workers detects and drops repeats for a while
     UNSAFE = "unsafe"  # must never run twice
 
 
@@ -29,22 +29,22 @@
 
     OK = 0
     ERROR = 5  # the worker gave an error; the job may have run
-    FULL = 11  # sent back unseen: it never ran
+    FULL = 11  # turned away by the worker: it never ran
     RESET = 104  # the connection broke; the job may have run
     TIMEOUT = 110  # no answer in time; the job may have run, or may still
     CONNECT_FAILED = 111  # no connection: it never ran
     MOOT = 114  # not sent at all: it never ran
-    CANCELLED = 125  # called off; the job may have run
+    CANCELLED = 125  # cancelled by the dispatcher; the job may have run
 
 
-NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT))  # proven by these alone
+NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT))  # no other outcome proves it
 
 ALIVE_OUTCOMES = frozenset((Outcome.OK, Outcome.FULL))
 FAULT_OUTCOMES = frozenset((Outcome.ERROR, Outcome.RESET))
 
 
 class WorkerState(Enum):
-    """What the worker list says of a worker."""
+    """The state of a worker in the worker list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -52,16 +52,16 @@
 
 
 class ListKind(Enum):
-    """What a worker list holds."""
+    """What a worker list contains."""
 
     CHANGES = "changes"
     FULL = "full"
     LAST_KNOWN = "last known"  # the whole list as this dispatcher had it last; it may be old
-    LOST = "lost"  # a call failed or the subscription broke; no entries, the old list stays
+    LOST = "lost"  # a call failed or the subscription broke; no entries, the old list stays valid
 
 
 class NoteKind(IntEnum):
-    """What a note tells of a running attempt."""
+    """What an AttemptNote reports."""
 
     STARTED = 1
     PROGRESS = 2
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """A class of jobs. An answer within ``aim + stretch * work`` is worth the full ``worth``."""
+    """A class of jobs. An answer within ``aim + stretch * work`` (ns) has the full ``worth``."""
 
     name: str
     effect: Effect
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and its share; ``allowance_per_s`` is for all dispatchers together."""
+    """A tenant and its share; ``allowance_per_s``: jobs a second, for all dispatchers together."""
 
     name: str
     share: float
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a dispatcher is told at its start."""
+    """The settings of a dispatcher. A value out of range raises a ValueError that names it."""
 
     me: int
     dispatchers: int
@@ -104,13 +104,13 @@
     zones: tuple[str, ...]
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    worth_by_work: bool = False  # worth counts for each unit of work, not for each job
+    worth_by_work: bool = False  # a worth is that of a unit of work, not of a job
     over_share_worth: float = 1.0
     tick: int = 1_000_000  # the shortest time between two calls of handle
-    live_weights: bool = False  # an entry's weight is its size over 1 + jobs held for each core, a while ago
-    asks_for_list: bool = False  # the list comes only after Subscribe or FetchList
+    live_weights: bool = False  # a weight is the worker's size over 1 + its jobs per core, a while ago
+    asks_for_list: bool = False  # the list comes only on Subscribe or FetchList
     counts_memory: bool = False
-    report_fields: tuple[str, ...] = ()  # the values in load reports, in no set order
+    report_fields: tuple[str, ...] = ()  # the values in load reports, in any order
     may_cancel: bool = True
     may_probe: bool = False
     may_tell_peers: bool = False
@@ -123,9 +123,9 @@
     ask_within: int = 10_000_000_000
     drain_grace: int = 0
     cold_time: int = 0  # a started worker is warm after this time
-    start_capacity: float = 1.0  # the part of its capacity a worker has at its start
-    fall_multiple: float = 2.0  # a cold worker falls over at this multiple of its present capacity
-    fall_window: int = 1_000_000_000  # held for so long
+    start_capacity: float = 1.0  # the part of its capacity that a worker has at its start
+    fall_multiple: float = 2.0  # a cold worker fails under this multiple of its present capacity
+    fall_window: int = 1_000_000_000  # if that lasts for so long
     cross_zone_price: float = 0.0
     waste_price: float = 0.0
     late_fail_price: float = 0.0
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """One line of a worker list."""
+    """One worker in a worker list."""
 
     worker: str
     zone: str = ""
@@ -180,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerList:
-    """News of the workers. After FULL or LAST_KNOWN, a worker that is not listed is gone."""
+    """A worker list or changes to it. After FULL or LAST_KNOWN, a worker that is not listed is gone."""
 
     kind: ListKind
     entries: tuple[WorkerEntry, ...] = ()
@@ -200,37 +200,37 @@
     memory: float = 0.0
     work_hint: int | None = None
     repeat: bool = False  # the client marked it as a further try
-    wanted: int = 0  # an answer is of full worth by then; 0: as its class has it
-    most_attempts: int = 0  # 0: as the settings have it, which it may not pass
-    resend: bool = True  # False: not even a safe job is sent again if it may have run
-    pause: int = 0  # between an attempt's end and the next one
-    tried: tuple[str, ...] = ()  # workers that an earlier process had sent it to; it must not go there again
+    wanted: int = 0  # an answer within this time has its full worth; 0: as in its class
+    most_attempts: int = 0  # at most max_attempts of the settings; 0: that many
+    resend: bool = True  # False: it is not sent again if it may have run, even if it is safe
+    pause: int = 0  # between the end of an attempt and the next attempt
+    tried: tuple[str, ...] = ()  # workers that an earlier process sent it to; it must not go there again
 
 
 @dataclass(frozen=True, slots=True)
 class JobWithdrawn:
-    """The client has gone; nothing more is owed."""
+    """The client has disconnected; it is owed no answer."""
 
     job: int
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A worker's own figures: late, noisy, any of them may be absent."""
+    """A worker's own load figures: delayed, noisy, and any of them may be absent."""
 
     free_slots: float | None = None
     free_memory: float | None = None
     held: float | None = None  # jobs it holds, waiting or running
     waiting: float | None = None
-    busy: float | None = None  # share of its cores that is busy
+    busy: float | None = None  # busy part of its cores
     service_time: int | None = None
     rate: float | None = None
-    errors: float | None = None  # a second
+    errors: float | None = None  # per second
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """Every Send gets exactly one. ``last``: the job is over and owed nothing more."""
+    """The end of an attempt: one for every Send. ``last``: the job is over and owed no answer."""
 
     job: int
     attempt: int
@@ -244,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptNote:
-    """News of an attempt that is still out."""
+    """A message about an attempt that has not ended."""
 
     job: int
     attempt: int
@@ -255,7 +255,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The answer of a streaming job has begun; its deadline and time-out no longer run."""
+    """The answer of a streaming job has begun; its deadline and time-out no longer apply."""
 
     job: int
     attempt: int
@@ -306,7 +306,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start the job's next attempt; attempts count 0, 1, 2 in this order. timeout 0: the client's."""
+    """Start the job's next attempt; its attempts are numbered from 0. ``timeout`` 0: the client's."""
 
     job: int
     worker: str
@@ -314,11 +314,11 @@
 
 
 class Reason(Enum):
-    """Why a job was given up. For traces: a host does the same whatever the reason."""
+    """Why a job was given up. For traces only: a host does the same whatever the reason."""
 
     UNKNOWN_CLASS = "unknown class"
-    NOT_ADMITTED = "not admitted"  # the session test
-    NO_WORKER = "held, no worker takes jobs"  # till its latest start, as are the next ones
+    NOT_ADMITTED = "not admitted"  # its session or tenant was not admitted
+    NO_WORKER = "held, no worker takes jobs"  # held until its latest start, like the next ones
     TRIED_ALL = "held, all that take jobs were tried or must not be"
     COLD_ONLY = "held, only cold workers take jobs"
     NO_ROOM = "held, no worker has room"
@@ -329,7 +329,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: no, and trying again is harmless. ``retry_after`` 0: no advice."""
+    """Final answer: refused, and a repeat is harmless. ``retry_after`` 0: no advice."""
 
     job: int
     retry_after: int = 0
@@ -338,7 +338,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; it promises nothing about the effect."""
+    """Final answer: failed. The job may have run or not."""
 
     job: int
     reason: Reason | None = field(default=None, compare=False)
@@ -346,7 +346,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt; its outcome still comes."""
+    """Cancel an attempt; its AttemptEnded still comes."""
 
     job: int
     attempt: int
@@ -354,7 +354,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check a worker."""
+    """Check whether a worker responds, and ask for its load."""
 
     worker: str
 
@@ -368,7 +368,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for changes of the worker list from now on, or stop them."""
+    """Subscribe to changes of the worker list, or end the subscription."""
 
     active: bool = True
 
@@ -396,7 +396,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """Write a log line for operators."""
 
     text: str
 
