--- a/tests/decisions.py
+++ b/tests/decisions.py
@@ -1,4 +1,4 @@
-"""The plainest decisions, so that a test says where each job goes and sees each outcome."""
+"""A stub of the decisions with a fixed order of workers, so that a test chooses where each job goes."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -8,14 +8,16 @@
 from tests.scenario import Stage
 
 
-class Plain:
-    """Sends each job at once to the first worker of ``order``, after an end that was no success to the next
-    one; at the last it refuses what is proven never to have run, and fails the rest."""
+class FixedOrder:
+    """Sends each job at once to the first worker of ``order``, and after each failed attempt to the next one.
+
+    When no worker is left, it refuses a job that is proven never to have run, and fails any other.
+    """
 
     def __init__(self, order: tuple[str, ...]) -> None:
         self.order = order
         self.timeout = 0
-        self.calls_off = False  # the attempts of clients that leave
+        self.cancels = False  # whether it cancels the attempts of clients that disconnect
         self.outcomes: list[Outcome] = []
         self._ended: dict[int, list[Outcome]] = {}
 
@@ -25,7 +27,7 @@
             if isinstance(event, api.JobArrived):
                 self._ended[event.job] = []
                 actions.append(api.Send(event.job, self.order[0], self.timeout))
-            elif isinstance(event, api.JobWithdrawn) and self.calls_off:
+            elif isinstance(event, api.JobWithdrawn) and self.cancels:
                 actions.append(api.CancelAttempt(event.job, len(self._ended[event.job])))
             elif isinstance(event, api.AttemptEnded):
                 self.outcomes.append(event.outcome)
@@ -42,7 +44,8 @@
         return actions
 
 
-def plain(*order: str, **config: Any) -> tuple[Stage, Plain]:
-    stage, decisions = Stage(**config), Plain(order)
+def fixed_order(*order: str, **config: Any) -> tuple[Stage, FixedOrder]:
+    """A stage whose dispatcher uses FixedOrder; ``config``: arguments of the stage."""
+    stage, decisions = Stage(**config), FixedOrder(order)
     stage.dispatcher.host._dispatcher = decisions  # type: ignore[assignment]
     return stage, decisions
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -23,7 +23,7 @@
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine
 from ironbarrow.wire.http import Message
-from tests.decisions import Plain, plain
+from tests.decisions import FixedOrder, fixed_order
 from tests.scenario import SETTINGS, Stage, answer, call_back, job
 from tests.virtual import VirtualLoop, wait
 
@@ -42,9 +42,9 @@
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
 
 
-def begun(path: str, ms: int = 9000, *, accepted: bool = True) -> tuple[Stage, Plain]:
+def begun(path: str, ms: int = 9000, *, accepted: bool = True) -> tuple[Stage, FixedOrder]:
     """A stage on which p1 has a job and has closed its connections."""
-    stage, decisions = plain("p1", "p2", settings=replace(read_settings(SETTINGS), classes=CLASSES))
+    stage, decisions = fixed_order("p1", "p2", settings=replace(read_settings(SETTINGS), classes=CLASSES))
     steps = [f"c1 send {job(path=f'{path}/x', ms=ms)}", "p1 expect in$"]
     if accepted:
         steps += [f"p1 send {ACCEPTED}", *STARTED.splitlines(), "wait 10", "p1 close"]
@@ -105,7 +105,7 @@
 
 def test_an_attempts_time_out_does_not_end_it_without_a_proof() -> None:
     # danger: an attempt whose own time is over long before its job's was given up after three DELETEs
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     decisions.timeout = 100 * MS
     for line in (f"c1 send {job(ms=2500)}", "p1 expect in$", f"p1 send {ACCEPTED}", "p1 close", "p1 refuse"):
         stage.step(line)
@@ -140,7 +140,7 @@
 @pytest.mark.parametrize(("since", "asked"), [("later", True), ("earlier", False), ("in the future", False)])
 def test_after_a_later_start_in_the_list_the_new_process_is_asked(since: str, asked: bool) -> None:
     # danger: taken for the attempt's end, the list alone made a second copy on a day of the bench
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     before = stage.dispatcher.loop.now() // MS
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 20"):
         stage.step(line)
@@ -167,7 +167,7 @@
 
 
 def test_an_attempt_of_another_process_is_confirmed_by_an_answer_alone() -> None:
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     told: list[bool] = []
     until = stage.dispatcher.loop.now() + 400 * MS
     stage.step("p1 refuse")
@@ -363,7 +363,7 @@
         return worker, 1
 
 
-class Lawful(Plain):
+class Lawful(FixedOrder):
     """Goes on with the next worker where the class allows that."""
 
     def __init__(self, effect: api.Effect) -> None:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -12,7 +12,7 @@
 
 from heathway import api
 from ironbarrow.transport import http
-from tests.decisions import plain
+from tests.decisions import fixed_order
 from tests.scenario import Stage, answer, call_back, job
 
 ACCEPTED = answer(202)
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "EIO"])
 def test_a_read_that_fails_is_no_proof_that_the_attempt_is_over(calls: FailingCalls, error: str) -> None:
     """Guards against a second attempt after a failed read with the 202 in the receive buffer (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
     calls.on(stage, "p1", "recv", getattr(errno, error))
@@ -79,7 +79,7 @@
 
 def test_a_reset_that_takes_the_202_with_it_is_followed_by_a_delete(calls: FailingCalls) -> None:
     """Guards against a second attempt after a reset that has dropped an unread 202 (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
     calls.on(stage, "p1", "recv", errno.ECONNRESET)
@@ -93,7 +93,7 @@
 
 def test_a_delete_that_can_not_be_sent_here_is_sent_again(calls: FailingCalls) -> None:
     """Guards against a second attempt where the DELETE's own connect failed for a moment (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
     calls.on(stage, "p1", "connect_ex", errno.EADDRNOTAVAIL, times=5)
@@ -109,7 +109,7 @@
 
 def test_a_call_back_does_not_end_an_attempt_that_is_not_written_yet(calls: FailingCalls) -> None:
     """Guards against a copy of an earlier call-back that is taken for the present attempt's (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     calls.on(stage, "p1", "send", errno.EAGAIN, times=1 << 30)
     for line in (f"c1 send {job(path='book/x')}", "wait 20", f"c9 send {call_back('returned')}"):
         stage.step(line)
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize("error", ["ENOMEM", "ENOBUFS"])
 def test_a_read_that_lacks_memory_for_a_moment_goes_on(calls: FailingCalls, error: str) -> None:
     """Guards against a connection that is given up though nothing is wrong with it (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
     calls.on(stage, "p1", "recv", getattr(errno, error), times=2)
@@ -137,7 +137,7 @@
     calls: FailingCalls, error: str
 ) -> None:
     """Guards against workers set aside for a lack of this machine's (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     calls.on(stage, "p1", "connect_ex", getattr(errno, error), times=4)
     stage.play(f"c1 send {job()}\np1 expect in$")
     assert calls.failed == 4
@@ -148,7 +148,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a worker told more time than its client has, after writes have failed (bcef66)."""
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     listener = stage.peers["p1"].listener
     assert listener is not None
     address, until, real = listener.getsockname(), time.monotonic() + 0.4, socket.socket.send
@@ -181,7 +181,7 @@
 @pytest.mark.parametrize("fails", [1, 2, 3, 6])
 def test_a_look_at_a_descriptor_that_fails_loses_no_job(monkeypatch: pytest.MonkeyPatch, fails: int) -> None:
     """Guards against a job or an attempt whose task ends with the error of a poll (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     monkeypatch.setattr(select, "poll", FailingPoll)
     monkeypatch.setattr(FailingPoll, "left", fails)
     done = call_back("done", result="out")
@@ -194,7 +194,7 @@
 
 def test_a_close_that_fails_gives_its_place_back(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against places that are lost with each close that reports an error (bcef66)."""
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     real = socket.socket.close
 
     def failing(sock: socket.socket) -> None:
--- a/tests/test_invoker.py
+++ b/tests/test_invoker.py
@@ -25,7 +25,7 @@
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine, Wait
 from ironbarrow.runtime.sockets import Address
 from ironbarrow.transport.http import Connection, connect
-from tests.decisions import plain
+from tests.decisions import fixed_order
 from tests.scenario import SETTINGS, answer, call_back, job
 
 NOT_PROCESSED = answer(503, "X-Not-Processed: 1\\r\\n")
@@ -52,7 +52,7 @@
 def test_a_second_answer_is_not_the_next_requests(name: str) -> None:
     # danger: a stale proof would say of a booking that runs that it never ran
     first, late = ANSWERED_TWICE[name]
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {first if late else first + first}"):
         stage.step(line)
     connection = stage.peers["p1"].sock
@@ -137,7 +137,7 @@
 ) -> None:
     sent, order, happens, outcomes, status = HELD[name]
     gate = Gate(monkeypatch, moment)
-    stage, decisions = plain(*order, settings=SHORT)
+    stage, decisions = fixed_order(*order, settings=SHORT)
     if happens == "time":
         decisions.timeout = 150 * MS
         happens = "c1 expect 503"
@@ -168,7 +168,7 @@
     # danger: with the job's time and the slack over in one turn, a booking that never ran got 500
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     stage.step(f"c1 send {booking(ms=200)}")
     stage.until("held", lambda: gate.held)
     time.sleep(0.3)  # the loop stands still
@@ -182,7 +182,7 @@
     # a safe job may go elsewhere anyway, and its worker need not be set aside
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, decisions = plain("p1")
+    stage, decisions = fixed_order("p1")
     stage.step(f"c1 send {job(path=effect)}")
     stage.until("held", lambda: gate.held)
     host = stage.dispatcher.host
@@ -229,8 +229,8 @@
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     sent, happens, outcomes, status = HALF[name]
-    stage, decisions = plain("p1")
-    decisions.calls_off = name == "the client leaves"
+    stage, decisions = fixed_order("p1")
+    decisions.cancels = name == "the client leaves"
     if happens == "time":
         decisions.timeout, happens = 60 * MS, "wait 90"
     real, free, halves = socket.socket.send, [False], []
@@ -304,7 +304,7 @@
 ) -> None:
     sent, closes, outcome, kept = ANSWERS[name]
     monkeypatch.setattr(invoker, "_REST_LIMIT", 50 * MS)
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {sent}"):
         stage.step(line)
     if closes:
@@ -330,7 +330,7 @@
 def test_a_202_counts_whatever_becomes_of_its_body(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     sent, closes = ACCEPTED_IN_PART[name]
     monkeypatch.setattr(invoker, "_REST_LIMIT", 50 * MS)
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {sent}"):
         stage.step(line)
     stage.step("p1 close" if closes else "p1 ended")
@@ -347,7 +347,7 @@
     sent: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(invoker, "_REST_LIMIT", 50 * MS)
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     for line in (f"c1 send {booking()}", "p1 expect in$", f"c9 send {call_back('done', result='out')}"):
         stage.step(line)
     if sent:
@@ -422,7 +422,7 @@
 @pytest.mark.parametrize("name", CALL_BACKS)
 def test_call_backs_in_any_order_make_one_answer(name: str) -> None:
     steps, outcomes, status = CALL_BACKS[name]
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     host = stage.dispatcher.host
     at_deadline = "deadline" in name
     if at_deadline:
@@ -450,7 +450,7 @@
 ) -> None:
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     back, done = stage.dispatcher.invoker, []
     until = stage.dispatcher.loop.now() + 150 * MS
     for n in range(200):
@@ -465,7 +465,7 @@
 
 
 def test_an_idle_connection_makes_room_where_no_descriptor_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", DONE, "c1 expect out$"):
         stage.step(line)
     real = sockets.stream_socket
@@ -483,7 +483,7 @@
 
 def test_no_further_attempt_leaves_before_the_worker_is_told_or_can_not_be() -> None:
     # it has taken the job and cuts each DELETE off: until it is told, p2 gets nothing
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     host = stage.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 10"):
         stage.step(line)
@@ -499,7 +499,7 @@
 
 def test_a_delete_on_an_old_connection_counts_as_told_by_its_answer_alone() -> None:
     # danger: cut off behind a connection that looks open, it never hears of it, and p2's is a second copy
-    stage, _ = plain("p1", "p2")
+    stage, _ = fixed_order("p1", "p2")
     host = stage.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 10"):
         stage.step(line)
@@ -517,7 +517,7 @@
 
 def test_a_delete_that_breaks_off_before_the_202_is_sent_again() -> None:
     # danger: the 202 may have been on its way as the connection was closed, and the worker runs the job
-    stage, _ = plain("p1", "p2")
+    stage, _ = fixed_order("p1", "p2")
     host = stage.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
@@ -543,7 +543,7 @@
         return connection
 
     monkeypatch.setattr(invoker, "connect", connect)
-    stage, _ = plain("p1", "p2")
+    stage, _ = fixed_order("p1", "p2")
     host = stage.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
@@ -560,7 +560,7 @@
     # danger: clients, call-backs and the discovery service would find none
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, decisions = plain("p1", sockets=256)  # 140 places for clients, 100 connections to workers
+    stage, decisions = fixed_order("p1", sockets=256)  # 140 places for clients, 100 connections to workers
     for n in range(110):
         stage.step(f"c{n} send {job(f'j{n}')}")
     stage.until("the others refused, as never sent", lambda: len(decisions.outcomes) == 110 - gate.waiting)
@@ -570,7 +570,7 @@
 
 
 def test_where_nothing_may_be_called_off_an_attempt_has_until_the_deadline() -> None:
-    stage, decisions = plain("p1", "p2", settings=SHORT)
+    stage, decisions = fixed_order("p1", "p2", settings=SHORT)
     decisions.timeout = 100 * MS
     stage.play(
         f"""c1 send {job(ms=600)}
@@ -715,7 +715,7 @@
 
 def test_a_send_while_another_is_out_is_not_sent() -> None:
     # danger: it would be a second copy, whatever the decisions say
-    stage, decisions = plain("p1")
+    stage, decisions = fixed_order("p1")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
     host = stage.dispatcher.host
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -10,7 +10,7 @@
 from ironbarrow.core.rules import Rule
 from ironbarrow.runtime.loop import Coroutine
 from tests import test_attempt
-from tests.decisions import plain
+from tests.decisions import fixed_order
 from tests.scenario import Stage, answer, call_back, job
 
 
@@ -21,7 +21,7 @@
 
 def test_a_booking_that_may_have_run_is_not_sent_again() -> None:
     """Guards against decisions that repeat an effect (bcef66)."""
-    stage, _ = plain("p1", "p2")
+    stage, _ = fixed_order("p1", "p2")
     for line in (f"c1 send {job(path='book/x')}", "p1 expect in$", f"p1 send {answer(500)}", "c1 expect 500"):
         stage.step(line)
     assert stage.peers["p2"].sock is None
@@ -31,7 +31,7 @@
 
 def test_a_booking_that_may_have_run_is_not_refused() -> None:
     """Guards against decisions that invite a repeat of an effect (bcef66)."""
-    stage, decisions = plain("p1")
+    stage, decisions = fixed_order("p1")
     real = decisions.handle
     decisions.handle = lambda now, events: [  # type: ignore[method-assign]
         api.Refuse(action.job) if isinstance(action, api.Fail) else action for action in real(now, events)
@@ -44,7 +44,7 @@
 
 def test_no_job_goes_to_one_worker_twice() -> None:
     """Guards against a copy of a call-back that ends the next attempt at the same worker (bcef66)."""
-    stage, _ = plain("p1", "p1", "p2")
+    stage, _ = fixed_order("p1", "p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {answer(202)}"):
         stage.step(line)
     for line in (f"c9 send {call_back('returned')}", "c9 expect 204", "p2 expect in$"):
