--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -1,4 +1,4 @@
-"""Bad input and troubles, each on the module alone."""
+"""Invalid input and failures, each on the decisions of one dispatcher alone."""
 
 import heapq
 import math
@@ -14,14 +14,14 @@
 from tests.world import MS, SAFE, UNSAFE, S, World, entries, make_settings
 
 
-def settle_in(world: World, seconds: float = 3.0, workers_hang: tuple[str, ...] = ()) -> None:
-    """Ordinary load for a while: jobs take 300 ms; those on hanging workers are not answered."""
+def run_load(world: World, seconds: float = 3.0, hung: tuple[str, ...] = ()) -> None:
+    """Runs ordinary load for a while: jobs take 300 ms; those on hung workers are not answered."""
     for n in range(int(seconds * 50)):
         world.arrive("unsafe" if n % 5 == 0 else "safe", key=n % 7)
         world.advance(20 * MS)
         for job, number in world.out():
             attempt = world.attempts(job)[number]
-            if attempt.worker not in workers_hang and world.now - attempt.at >= 300 * MS:
+            if attempt.worker not in hung and world.now - attempt.at >= 300 * MS:
                 world.end(job, number, free=4.0)
 
 
@@ -29,56 +29,56 @@
     return sum(at >= when and name == worker for at, _, name in world.sends)
 
 
-def test_a_hung_worker_is_set_aside_and_its_safe_jobs_go_elsewhere():
+def test_a_hung_worker_is_ejected_and_its_safe_jobs_go_elsewhere():
     world = World(make_settings(), entries(6))
-    settle_in(world)
+    run_load(world)
     busy = max(world.entries, key=lambda name: sent_since(world, 0, name))
-    settle_in(world, 4.0, workers_hang=(busy,))
+    run_load(world, 4.0, hung=(busy,))
     assert any(isinstance(a, api.CancelAttempt) for a in world.actions)
     when = world.now
-    settle_in(world, 1.5, workers_hang=(busy,))
-    assert sent_since(world, when, busy) <= 1  # a trial at the most
+    run_load(world, 1.5, hung=(busy,))
+    assert sent_since(world, when, busy) <= 1  # one trial job at most
     assert world.dispatcher._workers[busy].ejected
 
 
 @pytest.mark.parametrize("left", [600 * MS, 900 * MS, 1500 * MS, 6 * S])
-def test_a_hung_worker_is_set_aside_also_by_jobs_whose_time_ends_before_a_probes(left: int) -> None:
-    # danger: the job's end came first, and its worker went on getting jobs that nobody would answer
+def test_a_hung_worker_is_ejected_even_if_its_jobs_end_before_a_probe_times_out(left: int) -> None:
+    # guards against jobs that time out first: nothing ejected the worker, which got more and more jobs
     service = 120 * MS
     short = replace(SAFE, aim=service, deadline=left)
     world = World(make_settings(classes=(short,), may_probe=True, report_fields=("x0",)), entries(5))
-    hung = ""
+    silent = ""
     sent = []
     for n in range(500):
         world.arrive("safe", key=n % 7, left=left)
         for job, number in world.out():
             attempt = world.attempts(job)[number]
             if n == 100:
-                hung = hung or attempt.worker
-            if world.now - attempt.at >= (left if attempt.worker == hung else service):
-                world.end(job, number, Outcome.TIMEOUT if attempt.worker == hung else Outcome.OK, free=4.0)
+                silent = silent or attempt.worker
+            if world.now - attempt.at >= (left if attempt.worker == silent else service):
+                world.end(job, number, Outcome.TIMEOUT if attempt.worker == silent else Outcome.OK, free=4.0)
         if n == 400:
-            sent.append(sent_since(world, 0, hung))
+            sent.append(sent_since(world, 0, silent))
         world.advance(20 * MS)
-    assert hung and sent_since(world, 0, hung) - sent[0] <= 2  # trials at the most
+    assert silent and sent_since(world, 0, silent) - sent[0] <= 2  # trial jobs at most
 
 
 @pytest.mark.parametrize("early", [0, 1, 455, 2 * MS])
-def test_a_timer_that_fires_a_little_early_is_not_the_last_one(early: int) -> None:
-    # danger: with no other event, nobody would look at a held job again, and it would never be answered
+def test_a_timer_that_fires_early_is_set_again(early: int) -> None:
+    # guards against a held job that is never answered: without another event, nothing looked at it again
     dispatcher = Dispatcher(make_settings(), seed=1)
     now, pending = 7 * S, []
     actions = dispatcher.handle(now, [api.JobArrived(1, "unsafe", None, 1, 6 * S)])
     while not any(isinstance(action, api.Refuse | api.Fail) for action in actions):
         pending += [now + action.delay for action in actions if isinstance(action, api.SetTimer)]
-        assert pending, "no timer is left, and the job is held"
+        assert pending, "no timer is pending, and the job is held"
         pending.sort()
         now = max(now, pending.pop(0) - early)
         actions = dispatcher.handle(now, [api.TimerFired("wake")])
     assert now <= 13 * S
 
 
-def test_a_worker_set_aside_does_not_hold_capacity_and_returns_when_it_answers():
+def test_an_ejected_worker_adds_no_capacity_and_returns_when_it_answers():
     world = World(make_settings(), entries(2))
     job = world.arrive("unsafe")
     worker = world.dispatcher._workers[world.attempts(job)[0].worker]
@@ -90,28 +90,28 @@
     assert world.dispatcher._running_slots == 0
 
 
-def test_all_workers_silent_at_once_are_not_all_set_aside_and_work_resumes():
+def test_workers_that_are_all_silent_are_not_all_ejected_and_work_resumes():
     world = World(make_settings(), entries(10))
-    settle_in(world)
-    settle_in(world, 5.0, workers_hang=tuple(world.entries))
+    run_load(world)
+    run_load(world, 5.0, hung=tuple(world.entries))
     assert world.dispatcher._ejected_count <= 1 + logic.MAX_EJECTED_SHARE * 10
     world.advance(7 * S)
     before = sum(isinstance(a, api.Send) for a in world.actions)
-    settle_in(world, 2.0)
+    run_load(world, 2.0)
     assert sum(isinstance(a, api.Send) for a in world.actions) > before + 20
 
 
-def slots(free: float, **more: object) -> World:
-    """Two workers that told their free slots, under settings by which workers tell of starts."""
+def reported(free: float, **more: object) -> World:
+    """Two workers that have reported their free slots; they also report starts of jobs."""
     world = World(make_settings(tells_start=True, may_probe=True, report_fields=("x0",), **more), entries(2))
     report = api.LoadReport(free_slots=free)
     world.batch(*(api.ProbeEnded(name, Outcome.OK, MS, report) for name in world.entries))
     return world
 
 
-def test_a_job_that_does_not_start_is_moved_and_shows_that_its_worker_is_full():
-    # danger: behind others' long jobs it waits past its time, while reports still tell of free slots
-    world = slots(4.0)
+def test_a_job_that_does_not_start_is_moved_and_marks_its_worker_as_full():
+    # guards against jobs that wait too long behind others, while reports still show free slots
+    world = reported(4.0)
     moved, booking = world.arrive("safe"), world.arrive("unsafe")
     full = world.attempts(moved)[0].worker
     assert world.attempts(booking)[0].worker == full
@@ -134,55 +134,55 @@
         ("unsafe", False, 0.0, False),
     ],
 )
-def test_a_safe_job_that_waits_past_any_start_in_time_is_called_off_and_refused(
+def test_a_safe_job_that_waits_at_a_worker_past_its_latest_start_is_cancelled_and_refused(
     cls, starts, late_worth, given_up
 ):
-    # danger: in overload, jobs that nobody wants any more take the slots of those that could be in time
+    # guards against late jobs that, under overload, take the slots of jobs that could be in time
     classes = (replace(SAFE, late_worth=late_worth), UNSAFE)
     world = World(make_settings(tells_start=True, classes=classes), entries(1))
     job = world.arrive(cls)
     if starts:
         world.batch(api.AttemptNote(job, 0, world.attempts(job)[0].worker, api.NoteKind.STARTED))
-    in_time = SAFE.aim  # of the shortest job, when it starts by then
+    in_time = SAFE.aim  # the latest start of the shortest job
     world.advance(in_time // 2)
-    world.batch(api.ProbeEnded(world.attempts(job)[0].worker, Outcome.OK, MS))  # it is not silent
+    world.batch(api.ProbeEnded(world.attempts(job)[0].worker, Outcome.OK, MS))  # a sign of life
     world.advance(in_time - in_time // 2)
     assert world.answers(job) == []
     world.advance(2 * logic.START_TIMEOUT)
-    called_off = [a for a in world.actions if isinstance(a, api.CancelAttempt)]
+    cancelled = [a for a in world.actions if isinstance(a, api.CancelAttempt)]
     assert [type(a) for a in world.answers(job)] == [api.Refuse] * given_up
-    assert called_off == [api.CancelAttempt(job, 0)] * given_up
+    assert cancelled == [api.CancelAttempt(job, 0)] * given_up
     if given_up:
-        world.end(job, 0, Outcome.CANCELLED)  # what is heard of it afterwards changes nothing
+        world.end(job, 0, Outcome.CANCELLED)  # later events change nothing
         assert len(world.attempts(job)) == len(world.answers(job)) == 1
 
 
 @pytest.mark.parametrize(
-    ("cls", "stretch", "late_worth", "told", "over"),
+    ("cls", "stretch", "late_worth", "given", "waits_ms"),
     [
-        ("safe", 2.0, 0.0, {}, 400),  # 400 ms and twice its own time: a short job has to start by then
-        ("safe", 0.0, 0.0, {}, 399),  # its wanted time as a whole, for a job of 1 ms
-        ("safe", 2.0, 0.5, {}, 401),  # an answer is worth something after its wanted time, too
-        ("safe", 2.0, 0.0, {"wanted": 403 * MS}, 402),  # known, not guessed at by a mean
+        ("safe", 2.0, 0.0, {}, 400),  # target 400 ms plus twice the work: a short job starts by 400 ms
+        ("safe", 0.0, 0.0, {}, 399),  # the target alone, less the mean of 1 ms
+        ("safe", 2.0, 0.5, {}, 401),  # a late answer has some worth, too
+        ("safe", 2.0, 0.0, {"wanted": 403 * MS}, 402),  # its own target is known
         ("safe", 2.0, 0.0, {"work_hint": 1 * MS}, 401),
-        ("unsafe", 2.0, 0.0, {}, 401),  # a client may not simply try again
+        ("unsafe", 2.0, 0.0, {}, 401),  # its client may not simply try again
     ],
 )
-def test_a_held_job_is_given_up_when_a_short_one_of_its_class_could_not_start_in_time(
-    cls, stretch, late_worth, told, over
+def test_a_held_job_is_given_up_when_not_even_a_short_one_of_its_class_would_be_in_time(
+    cls, stretch, late_worth, given, waits_ms
 ):
-    # danger: by a mean job's time, under overload most of what starts that late is late, and fills slots
+    # guards against late jobs that fill slots: the mean allows starts that are too late for short jobs
     found = replace(SAFE if cls == "safe" else UNSAFE, stretch=stretch, late_worth=late_worth)
     world = World(make_settings(tick=MS, classes=(found,)), entries(1, state=api.WorkerState.DRAINING))
     world.dispatcher._service_time[cls].mean = 1 * MS
-    job, begun = world.arrive(cls, **told), world.now
+    job, begun = world.arrive(cls, **given), world.now
     while not world.answers(job):
         world.advance(1 * MS)
-    assert (world.now - begun) // MS == over
+    assert (world.now - begun) // MS == waits_ms
 
 
 def test_a_job_that_starts_stays_where_it_is():
-    world = slots(4.0)
+    world = reported(4.0)
     job = world.arrive("safe")
     world.batch(api.AttemptNote(job, 0, world.attempts(job)[0].worker, api.NoteKind.STARTED))
     world.advance(5 * logic.START_TIMEOUT)
@@ -190,8 +190,8 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET])
-def test_a_worker_that_fails_is_set_aside_until_good_answers_make_up_for_it(outcome):
-    # danger: one that fails quickly is always free; some of its answers are good all the same
+def test_a_failing_worker_is_ejected_until_good_answers_make_up_for_its_faults(outcome):
+    # guards against a worker that fails quickly: it always looks free, and some of its answers are good
     world = World(make_settings(), entries(4))
     job = world.arrive("safe")
     failing = world.attempts(job)[0].worker
@@ -207,7 +207,7 @@
         assert worker.ejected == bool(left)
 
 
-def test_errors_in_a_report_are_held_against_a_worker():
+def test_errors_in_a_load_report_count_as_a_fault():
     world = World(make_settings(), entries(4))
     job = world.arrive("safe")
     attempt = world.attempts(job)[0]
@@ -217,8 +217,8 @@
     assert world.dispatcher._workers[attempt.worker].ejected
 
 
-def test_a_worker_that_nothing_was_heard_of_is_probed():
-    world = slots(4.0)
+def test_a_worker_without_recent_reports_is_probed():
+    world = reported(4.0)
     world.advance(probing.PROBE_AFTER + 2 * logic.PERIOD)
     probed = [a.worker for a in world.actions if isinstance(a, api.Probe)]
     assert set(probed) == set(world.entries)
@@ -226,7 +226,7 @@
     assert world.dispatcher._workers["w000"].ejected
 
 
-def test_an_unreachable_worker_gets_one_trial_after_a_pause():
+def test_an_unreachable_worker_gets_one_trial_job_after_a_pause():
     world = World(make_settings(), entries(1))
     job = world.arrive("safe")
     world.end(job, 0, Outcome.CONNECT_FAILED)
@@ -239,19 +239,19 @@
     assert len(world.sends) == sent + 1
 
 
-def test_a_zone_that_cannot_be_reached_is_left_alone_until_it_answers():
+def test_an_unreachable_zone_gets_only_trial_jobs_until_it_answers():
     world = World(make_settings(zone="c"), entries(40))
     for key in range(200):
         for job, number in world.out():
-            cut = world.entries[world.attempts(job)[number].worker].zone == "b"
-            world.end(job, number, Outcome.CONNECT_FAILED if cut else Outcome.OK, free=4.0)
+            unreachable = world.entries[world.attempts(job)[number].worker].zone == "b"
+            world.end(job, number, Outcome.CONNECT_FAILED if unreachable else Outcome.OK, free=4.0)
         world.arrive("safe", key=key)
         world.advance(10 * MS)
     beyond = [worker for _, _, worker in world.sends if world.entries[worker].zone == "b"]
     assert len(beyond) <= logic.ZONE_CONNECT_FAILURES + 1
     world.advance(logic.EJECTION_TIME + logic.PERIOD)
     when = world.now
-    for key in range(200):  # the cut has ended: one trial is answered and the zone is used again
+    for key in range(200):  # reachable again: a trial job is answered and the zone is used
         world.arrive("safe", key=key)
         for job, number in world.out():
             world.end(job, number, Outcome.OK, free=4.0)
@@ -260,7 +260,7 @@
     assert len(again) > 20
 
 
-def test_a_worker_whose_listed_weight_fell_to_half_is_not_guessed_at():
+def test_a_worker_of_unknown_load_gets_no_job_while_its_weight_is_halved():
     world = World(make_settings(), entries(2, weight=6.0))
     world.listed(ListKind.CHANGES, entries(1, weight=3.0))
     first, second = world.arrive(), world.arrive()
@@ -270,11 +270,11 @@
     assert [t.worker for t in world.attempts(second)] == ["w000"]
 
 
-def test_a_failed_call_is_made_again_after_a_jittered_pause_and_the_list_stays():
+def test_a_failed_list_call_is_retried_after_a_random_delay_and_the_list_stays():
     world = World(make_settings(asks_for_list=True), entries(2))
     world.advance(backoff.MIN_SPREAD + logic.PERIOD)
-    asked = [a for a in world.actions if isinstance(a, api.Subscribe)]
-    assert len(asked) == 1
+    calls = [a for a in world.actions if isinstance(a, api.Subscribe)]
+    assert len(calls) == 1
     world.listed(ListKind.LOST, ())
     job = world.arrive()
     assert len(world.attempts(job)) == 1
@@ -282,14 +282,14 @@
     assert sum(isinstance(a, api.Subscribe) for a in world.actions) == 2
 
 
-def test_a_list_that_comes_by_itself_is_not_asked_for():
+def test_a_list_that_is_pushed_is_not_requested():
     world = World(make_settings(asks_for_list=False), entries(2))
     world.advance(3 * S)
     assert not any(isinstance(a, api.Subscribe) for a in world.actions)
 
 
 @pytest.mark.parametrize("free", [-3.0, math.nan, math.inf, 1e300, None])
-def test_nonsense_in_a_report_counts_as_no_report(free):
+def test_an_implausible_value_in_a_report_is_ignored(free):
     world = World(make_settings(), entries(1))
     job = world.arrive()
     world.end(job, 0, free=free)
@@ -299,7 +299,7 @@
     assert math.isfinite(world.dispatcher._capacity())
 
 
-def test_a_job_larger_than_any_worker_is_refused_in_time_and_blocks_nobody():
+def test_a_job_larger_than_any_worker_is_refused_in_time_and_blocks_no_other():
     world = World(make_settings(), entries(2))
     for key in range(4):
         job = world.arrive(key=key)
@@ -316,7 +316,7 @@
     world = World(make_settings(), entries(2))
     job = world.arrive()
     world.end(job, 0)
-    strange = [
+    events = [
         api.AttemptEnded(job, 0, "w000", Outcome.OK, True, 5),
         api.AttemptEnded(9, 3, "w000", Outcome.FULL, False, 5),
         api.AttemptEnded(job, 7, "nobody", Outcome.FULL, False, 5),
@@ -329,7 +329,7 @@
         api.PeerMessage(3, b"hello"),
         api.WorkerList(ListKind.CHANGES, entries(1, state=WorkerState.GONE)),
     ]
-    answers = world.batch(*strange)
+    answers = world.batch(*events)
     assert all(isinstance(a, api.SetTimer) for a in answers)
 
 
@@ -339,7 +339,7 @@
     assert api.Refuse(5) in actions
 
 
-def test_a_started_stream_is_left_alone():
+def test_a_started_stream_is_neither_answered_nor_cancelled():
     stream = api.JobClass("stream", api.Effect.SAFE, 400 * MS, 2 * S, streaming=True)
     world = World(make_settings(classes=(stream,)), entries(1))
     job = world.arrive("stream", left=2 * S)
@@ -351,16 +351,16 @@
     assert not any(isinstance(a, api.CancelAttempt) for a in world.actions)
 
 
-def test_a_withdrawn_job_is_called_off_where_that_is_allowed():
-    for may, calls in ((True, 1), (False, 0)):
-        world = World(make_settings(may_cancel=may), entries(1))
+def test_a_withdrawn_job_is_cancelled_where_that_is_allowed():
+    for allowed, cancels in ((True, 1), (False, 0)):
+        world = World(make_settings(may_cancel=allowed), entries(1))
         job = world.arrive()
         world.withdraw(job)
-        assert sum(isinstance(a, api.CancelAttempt) for a in world.actions) == calls
+        assert sum(isinstance(a, api.CancelAttempt) for a in world.actions) == cancels
         assert world.answers(job) == []
 
 
-def test_a_restarted_worker_is_a_new_one():
+def test_a_restarted_worker_is_cold_and_its_load_unknown():
     world = World(make_settings(), entries(1))
     job = world.arrive("safe")
     world.end(job, 0, free=8.0)
@@ -370,9 +370,9 @@
     assert worker.cold_until == world.now + 20 * S
 
 
-def test_a_jump_of_the_clock_is_survived():
+def test_decisions_go_on_after_a_jump_of_the_clock():
     world = World(make_settings(), entries(3))
-    settle_in(world, 1.0)
+    run_load(world, 1.0)
     world.advance(600 * S)
     job = world.arrive()
     assert len(world.attempts(job)) == 1
@@ -394,8 +394,8 @@
 
 
 @pytest.mark.parametrize(("dispatchers", "workers"), [(3, 10), (40, 60), (200, 1000)])
-def test_the_fleets_probes_a_job_are_the_same_at_any_size(dispatchers, workers):
-    # forty dispatchers that each check each of sixty quiet workers send 35 probes a job
+def test_the_probes_per_job_are_the_same_at_any_size_of_the_fleet(dispatchers, workers):
+    # guards against probes of each silent worker: forty dispatchers and sixty workers sent 35 a job
     more = {"tells_start": True, "may_probe": True, "report_fields": ("x0",), "probe_price": 0.004}
     world = World(make_settings(dispatchers=dispatchers, **more), entries(workers))
     jobs = 30
@@ -407,61 +407,66 @@
     assert jobs <= probes <= budget.per_job * jobs + probing.MAX_SAVED
 
 
-def test_a_dear_probe_is_sent_less_often():
+def test_expensive_probes_are_sent_less_often():
     assert probing.ProbeBudget(0.0).per_job == probing.PROBES_PER_JOB
     assert probing.ProbeBudget(0.02).per_job == pytest.approx(probing.WORTH_SHARE / 0.02)
     with pytest.raises(ValueError, match="negative"):
         probing.ProbeBudget(-1.0)
 
 
-def list_calls(pauses: list, service: float, patience: float, until: float) -> tuple[int, list[float]]:
-    """A list service that answers calls in turn, each in ``service`` seconds, also those that have failed
-    after ``patience`` of waiting. ``pauses``: for each dispatcher its first delay and what tells the next
-    one. The number of calls, and when each dispatcher that had its list had it."""
+def list_calls(pauses: list, service: float, time_limit: float, until: float) -> tuple[int, list[float]]:
+    """Models a list service that answers calls in turn, each in ``service`` seconds.
+
+    A call fails after ``time_limit`` seconds, but the service still works on it. ``pauses``: for each
+    dispatcher its first delay, and a function that returns the next one. Returns the number of calls and the
+    times at which dispatchers got their list.
+    """
     due = [(first, number) for number, (first, _) in enumerate(pauses)]
     heapq.heapify(due)
-    free_at, calls, had = 0.0, 0, []
+    free_at, calls, answered_at = 0.0, 0, []
     while due and due[0][0] < until:
         now, number = heapq.heappop(due)
         calls += 1
         free_at = max(free_at, now) + service
-        if free_at - now <= patience:
-            had.append(free_at)
+        if free_at - now <= time_limit:
+            answered_at.append(free_at)
         else:
-            heapq.heappush(due, (now + patience + pauses[number][1](), number))
-    return calls, had
+            heapq.heappush(due, (now + time_limit + pauses[number][1](), number))
+    return calls, answered_at
 
 
 @pytest.mark.parametrize("dispatchers", [3, 10, 40, 60])
 def test_a_fleet_that_starts_at_once_gets_its_list_from_a_service_of_fixed_capacity(dispatchers):
-    paces = [ListCallBackoff(dispatchers, 10 * S, random.Random(n)) for n in range(dispatchers)]
-    pauses = [(pace.first_delay() / S, lambda pace=pace: pace.retry_delay() / S) for pace in paces]
-    calls, had = list_calls(pauses, service=0.125, patience=2.0, until=60.0)
-    assert len(had) == dispatchers
-    assert max(had) < 0.2 * dispatchers + 2.5
+    all_delays = [ListCallBackoff(dispatchers, 10 * S, random.Random(n)) for n in range(dispatchers)]
+    pauses = [
+        (delays.first_delay() / S, lambda delays=delays: delays.retry_delay() / S) for delays in all_delays
+    ]
+    calls, answered_at = list_calls(pauses, service=0.125, time_limit=2.0, until=60.0)
+    assert len(answered_at) == dispatchers
+    assert max(answered_at) < 0.2 * dispatchers + 2.5
     assert calls <= 1.25 * dispatchers
 
 
-def test_what_a_fleet_does_to_that_service_that_calls_at_once_and_each_second():
-    # the same model fails without the pace: it is the pace that the test above shows
-    calls, had = list_calls([(0.0, lambda: 1.0)] * 40, service=0.125, patience=2.0, until=60.0)
-    assert len(had) < 20
+def test_without_backoff_most_of_a_fleet_gets_no_list_from_that_service():
+    # all call at once and again each second; shows that the test above depends on the backoff
+    calls, answered_at = list_calls([(0.0, lambda: 1.0)] * 40, service=0.125, time_limit=2.0, until=60.0)
+    assert len(answered_at) < 20
     assert calls > 400
 
 
-def test_the_pace_is_wider_after_each_failure_and_has_an_end():
-    pace = ListCallBackoff(40, 10 * S, random.Random(1))
+def test_delays_between_list_calls_are_limited_and_reset_by_an_answer():
+    delays = ListCallBackoff(40, 10 * S, random.Random(1))
     assert all(
         0 <= ListCallBackoff(40, 10 * S, random.Random(n)).first_delay() <= 40 * backoff.CALL_INTERVAL
         for n in range(50)
     )
-    assert all(pace.retry_delay() <= 10 * S for _ in range(30))
-    pace.reset()
-    assert pace.retry_delay() <= 40 * backoff.CALL_INTERVAL
+    assert all(delays.retry_delay() <= 10 * S for _ in range(30))
+    delays.reset()
+    assert delays.retry_delay() <= 40 * backoff.CALL_INTERVAL
 
 
-def test_a_long_job_on_a_worker_that_answers_its_probe_is_not_called_back():
-    # danger: one of forty dispatchers hears of a worker by its own job alone; called back, it starts over
+def test_a_long_job_on_a_worker_that_answers_its_probe_is_not_cancelled():
+    # guards against needless restarts: one of forty dispatchers may have no other sign of a worker
     more = {"tells_start": True, "may_probe": True, "report_fields": ("x0",), "dispatchers": 40}
     for answers in (True, False):
         world = World(make_settings(**more), entries(4))
@@ -479,11 +484,11 @@
                 )
             probes = len(sent)
             world.advance(20 * MS)
-        called_back = any(isinstance(a, api.CancelAttempt) for a in world.actions)
-        assert called_back is not answers
+        cancelled = any(isinstance(a, api.CancelAttempt) for a in world.actions)
+        assert cancelled is not answers
 
 
-def test_live_weights_tell_of_others_jobs():
+def test_live_weights_show_the_load_of_other_dispatchers():
     idle, busy = entries(2)
     world = World(make_settings(live_weights=True, tells_start=True), (idle, busy))
     for name in ("w000", "w001"):
@@ -497,7 +502,7 @@
 
 
 def full_fleet(**changes: object) -> World:
-    """Workers that seem to have room and send back all that comes, as ten sends have told."""
+    """Workers that seem to have room but have turned away ten jobs as full."""
     world = World(make_settings(max_attempts=3, **changes), entries(12))
     while len(world.sends) < 10:
         world.arrive("unsafe", key=len(world.sends))
@@ -510,10 +515,10 @@
 
 
 @pytest.mark.parametrize("cold", [False, True])
-def test_a_job_that_waits_moves_on_however_often_guesses_fail(cold):
-    # danger: kept in a queue until no start is in time, it is lost
+def test_a_job_that_waits_at_a_worker_is_moved_however_often_workers_were_full(cold):
+    # guards against a job that is kept in a queue until no start is in time
     world = full_fleet(tells_start=True)
-    world.advance(200 * MS)  # the pauses after the answers "full" are over
+    world.advance(200 * MS)  # the pauses after FULL are over
     job = world.arrive("safe", key=99)
     if cold:
         world.listed(api.ListKind.CHANGES, entries(16, started_at=world.now - 10 * S)[12:])
@@ -521,7 +526,7 @@
     assert any(isinstance(a, api.CancelAttempt) and a.job == job for a in world.actions)
 
 
-def test_a_job_sent_back_by_a_full_worker_goes_to_the_next_at_once_however_often_guesses_fail():
+def test_a_job_turned_away_as_full_goes_to_the_next_worker_at_once_however_often_workers_were_full():
     world = full_fleet()
     world.advance(200 * MS)
     job = world.arrive("safe", key=99)
