--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -1,4 +1,4 @@
-"""Cold workers under the sum of what a whole fleet sends, in virtual time."""
+"""Slow start: what a whole fleet sends to a cold worker, in virtual time."""
 
 import math
 from collections import deque
@@ -15,12 +15,12 @@
 from heathway.state import Worker
 from tests.world import MS, S, World, entries, make_settings
 
-SITE = (4500 * MS, 800 * MS, 400 * MS)  # mean work of a fleet's classes, long ones first
-GAPS = (0, 1, 10 * MS)  # ns, between moments that are else whole, half or almost whole windows apart
+CLASS_MEANS = (4500 * MS, 800 * MS, 400 * MS)  # mean work of a fleet's classes, long ones first
+GAPS = (0, 1, 10 * MS)  # ns, added to steps of half a window, a window, or 1 ns less or more than one
 
 
-class Eager(Dispatcher):
-    """Lets all jobs in: what goes to cold workers is bounded by their budget alone."""
+class AdmitsAll(Dispatcher):
+    """Admits all jobs, so that only the budget limits what goes to cold workers."""
 
     def _admits(self, cls: api.JobClass) -> bool:
         return True
@@ -31,15 +31,17 @@
 
 @dataclass
 class Offer:
-    """Jobs that a dispatcher is offered at a moment: class and slots of each, as long as they are sent."""
+    """Jobs that a dispatcher is offered at one time: of each class in turn, until one is not sent."""
 
     classes: tuple[int, ...]
     slots: int = 1
 
 
 class Fleet:
-    """Dispatchers that share nothing, and one worker that has started. All that is sent ends at once, so
-    that nothing but the worker's being cold holds jobs back."""
+    """Dispatchers that share nothing, and one worker that has just started.
+
+    Each job ends as soon as it is sent, so that only the slow start holds jobs back.
+    """
 
     def __init__(self, rules: api.Settings, means: tuple[int, ...], size: float, number: int = 0) -> None:
         classes = tuple(
@@ -51,50 +53,50 @@
         self.now = 100 * S
         self.job = 0
         self.sends: list[tuple[int, float]] = []  # when, work in ns
-        # older than the worker by far
+        # started long before the worker
         self.dispatchers = [self.start(me, 10 * S) for me in range(number or rules.dispatchers)]
 
-    def start(self, me: int, now: int | None = None) -> Eager:
-        dispatcher = Eager(replace(self.rules, me=me), me)
+    def start(self, me: int, now: int | None = None) -> AdmitsAll:
+        dispatcher = AdmitsAll(replace(self.rules, me=me), me)
         dispatcher._typical = (self.size, 0.0)
         for i, mean in enumerate(self.means):
             dispatcher._service_time[f"c{i}"].mean = mean
         self.tell(dispatcher, now)
         return dispatcher
 
-    def tell(self, dispatcher: Eager, now: int | None = None) -> None:
+    def tell(self, dispatcher: AdmitsAll, now: int | None = None) -> None:
         at = self.now if now is None else now
-        # danger: the first look at the list may be taken long before the news of the start
-        entries_now = (self.entry,) if at >= self.entry.started_at else ()
-        dispatcher.handle(at, [api.WorkerList(ListKind.FULL, entries_now)])
+        # a dispatcher that starts before the worker gets a list without it first
+        entries_then = (self.entry,) if at >= self.entry.started_at else ()
+        dispatcher.handle(at, [api.WorkerList(ListKind.FULL, entries_then)])
 
     def tell_all(self) -> None:
         for dispatcher in self.dispatchers:
             self.tell(dispatcher)
 
-    def offer(self, dispatcher: Eager, offer: Offer, most: int = 10_000) -> int:
-        """Offers one job after another of each class until one is not sent; how many were."""
+    def offer(self, dispatcher: AdmitsAll, offer: Offer, most: int = 10_000) -> int:
+        """Offers one job after another of each class until one is not sent; returns how many were sent."""
         sent = 0
         if self.now >= self.entry.started_at + self.rules.cold_time:
-            return 0  # it is warm
-        for which in offer.classes:
+            return 0  # the worker is warm
+        for number in offer.classes:
             while sent < most:
                 self.job += 1
-                event = api.JobArrived(self.job, f"c{which}", None, None, 60 * S, float(offer.slots))
+                event = api.JobArrived(self.job, f"c{number}", None, None, 60 * S, float(offer.slots))
                 actions = dispatcher.handle(self.now, [event])
                 if not any(isinstance(a, api.Send) for a in actions):
                     dispatcher.handle(self.now, [api.JobWithdrawn(self.job)])
                     break
                 sent += 1
-                self.sends.append((self.now, float(self.means[which] * offer.slots)))
+                self.sends.append((self.now, float(self.means[number] * offer.slots)))
                 end = api.AttemptEnded(
                     self.job, 0, "w", Outcome.CANCELLED, True, 0, api.LoadReport(free_slots=self.size)
                 )
                 dispatcher.handle(self.now, [end])
         return sent
 
-    def most(self) -> float:
-        """The largest part of the budget of its end that was sent within a window."""
+    def peak(self) -> float:
+        """The largest work sent within a window, as a part of the budget at the end of that window."""
         rules, worst, total = self.rules, 0.0, 0.0
         window: deque[tuple[int, float]] = deque()
         for at, work in sorted(self.sends):
@@ -107,18 +109,18 @@
         return worst
 
     def check(self) -> None:
-        """Danger: chance has its own allowance; what is sent on purpose must be within N itself."""
-        assert self.most() <= 1 + 1e-9
+        """The work sent, at mean sizes, must be within the budget; the margin for chance is separate."""
+        assert self.peak() <= 1 + 1e-9
 
 
-def rules_of(dispatchers: int, **changes: object) -> api.Settings:
+def fleet_settings(dispatchers: int, **changes: object) -> api.Settings:
     changes = {"fall_multiple": 2.5, "fall_window": 3 * S, "cold_time": 22 * S, **changes}
     return make_settings(dispatchers=dispatchers, **changes)
 
 
 @st.composite
 def fleets(draw: st.DrawFn, dispatchers: Iterable[int]) -> Fleet:
-    rules = rules_of(
+    rules = fleet_settings(
         draw(st.sampled_from(list(dispatchers))),
         fall_multiple=draw(st.floats(0.5, 6)),
         fall_window=draw(st.integers(200, 5000)) * MS,
@@ -131,12 +133,12 @@
 
 @st.composite
 def moments(draw: st.DrawFn, window: int, classes: int) -> list[tuple[int, str, list[Offer]]]:
-    """When, in which order, and what each is offered, the same offers going round."""
+    """Times, the order of the dispatchers, and the offers, which they get in turn."""
     found, at = [], 0
-    whole = (0, window // 2, window - 1, window, window + 1)
+    steps = (0, window // 2, window - 1, window, window + 1)
     order = st.permutations(range(classes)).map(tuple)
     for _ in range(draw(st.integers(1, 5))):
-        at += draw(st.sampled_from(whole)) + draw(st.sampled_from(GAPS))
+        at += draw(st.sampled_from(steps)) + draw(st.sampled_from(GAPS))
         offers = draw(
             st.lists(st.builds(Offer, order, st.sampled_from((1, 1, 1, 2, 3, 8))), min_size=1, max_size=3)
         )
@@ -146,8 +148,8 @@
 
 @settings(max_examples=60)
 @given(st.data())
-def test_a_fleet_in_any_mix_keeps_a_cold_worker_within_its_budget(data):
-    # danger: the few places of the long class and the many of a short one add up to 1.6 budgets
+def test_a_fleet_that_sends_any_mix_keeps_within_a_cold_workers_budget(data):
+    # guards against shares that overlap: those for a long class and those for a short one made 1.6 budgets
     fleet = data.draw(fleets((1, 2, 3, 20, 30)))
     for at, order, offers in data.draw(moments(fleet.rules.fall_window, len(fleet.means))):
         fleet.now = 100 * S + at
@@ -160,21 +162,21 @@
 
 @pytest.mark.parametrize("dispatchers", [1, 2, 3, 20, 30, 200, 1024])
 @pytest.mark.parametrize("age", [0, 8 * S, 22 * S - 1])
-def test_all_classes_at_once_keep_within_the_budget_and_use_most_of_it(dispatchers, age):
-    # danger: with each at the class that takes most, 30 dispatchers sent 1.09 budgets and 200 sent 1.34
-    fleet = Fleet(rules_of(dispatchers), SITE, 5.0)
+def test_all_classes_at_once_keep_within_the_budget_and_use_much_of_it(dispatchers, age):
+    # guards against shares that overlap: at their largest class, 30 dispatchers sent 1.09 budgets, 200 1.34
+    fleet = Fleet(fleet_settings(dispatchers), CLASS_MEANS, 5.0)
     fleet.now += age
     fleet.tell_all()
     for dispatcher in fleet.dispatchers:
         fleet.offer(dispatcher, Offer((0, 1, 2)))
     fleet.check()
-    assert fleet.most() >= (0.4 if age else 0.25)
+    assert fleet.peak() >= (0.4 if age else 0.25)
 
 
 @pytest.mark.parametrize("dispatchers", [3, 30, 200])
 def test_a_window_in_which_the_capacity_grows_keeps_within_the_budget(dispatchers):
-    rules = rules_of(dispatchers, fall_window=3 * S, cold_time=6 * S)
-    fleet = Fleet(rules, SITE, 6.0)
+    rules = fleet_settings(dispatchers, fall_window=3 * S, cold_time=6 * S)
+    fleet = Fleet(rules, CLASS_MEANS, 6.0)
     for step in range(8):
         fleet.now = 100 * S + step * 750 * MS
         fleet.tell_all()
@@ -190,9 +192,9 @@
 
 @pytest.mark.parametrize("dispatchers", [1, 2, 3, 20, 30, 200])
 @pytest.mark.parametrize("which", ["one", "a tenth each second", "seven in ten at once", "twice in a window"])
-def test_restarted_dispatchers_do_not_spend_their_part_again(dispatchers, which):
-    # danger: a restarted process has forgotten what it sent; spent twice, its part makes two of the fleet's
-    fleet = Fleet(rules_of(dispatchers, fall_multiple=4.0), SITE[1:], 6.0)
+def test_restarted_dispatchers_do_not_spend_their_share_again(dispatchers, which):
+    # guards against a restarted process, which does not know what it has sent, spending its share twice
+    fleet = Fleet(fleet_settings(dispatchers, fall_multiple=4.0), CLASS_MEANS[1:], 6.0)
     fleet.now += 10 * S
     number = len(fleet.dispatchers)
     seven = range(math.ceil(0.7 * number))
@@ -210,7 +212,7 @@
             fleet.offer(dispatcher, Offer((0, 1)))
         fleet.now += S
     fleet.check()
-    assert fleet.most() >= 0.4
+    assert fleet.peak() >= 0.4
 
 
 @settings(max_examples=60)
@@ -230,7 +232,7 @@
 
 
 def test_a_fleet_that_starts_with_cold_workers_serves_after_one_window():
-    fleet = Fleet(rules_of(3), SITE[1:], 5.0)
+    fleet = Fleet(fleet_settings(3), CLASS_MEANS[1:], 5.0)
     fleet.now += 5 * S
     restart(fleet, range(3))
     assert sum(fleet.offer(dispatcher, Offer((0, 1))) for dispatcher in fleet.dispatchers) == 0
@@ -239,14 +241,14 @@
 
 
 def test_a_worker_that_starts_after_the_dispatchers_is_used_at_once():
-    fleet = Fleet(rules_of(3), SITE[1:], 5.0)
-    restart(fleet, range(3))  # in the very moment of its start
+    fleet = Fleet(fleet_settings(3), CLASS_MEANS[1:], 5.0)
+    restart(fleet, range(3))  # at the same time as the worker
     assert all(fleet.offer(dispatcher, Offer((0, 1))) for dispatcher in fleet.dispatchers)
 
 
-def test_dispatchers_beyond_the_number_told_send_nothing_to_cold_workers():
-    # danger: their parts are those of the first ones
-    fleet = Fleet(rules_of(20), SITE, 5.0, number=30)
+def test_dispatchers_beyond_the_number_in_the_settings_send_nothing_to_cold_workers():
+    # guards against shares that are used twice: theirs would be those of the first dispatchers
+    fleet = Fleet(fleet_settings(20), CLASS_MEANS, 5.0, number=30)
     fleet.now += 10 * S
     fleet.tell_all()
     sent = [fleet.offer(dispatcher, Offer((0, 1, 2))) for dispatcher in fleet.dispatchers]
@@ -258,28 +260,29 @@
 @pytest.mark.parametrize("slots", [1, 2, 4, 8, 16])
 @pytest.mark.parametrize("dispatchers", [3, 30, 200])
 def test_jobs_of_several_slots_count_with_all_of_them(dispatchers, slots):
-    fleet = Fleet(rules_of(dispatchers), SITE[1:], 32.0)
+    fleet = Fleet(fleet_settings(dispatchers), CLASS_MEANS[1:], 32.0)
     fleet.now += 10 * S
     fleet.tell_all()
     for dispatcher in fleet.dispatchers:
         fleet.offer(dispatcher, Offer((0, 1), slots))
         fleet.offer(dispatcher, Offer((0, 1), 1))
     fleet.check()
-    assert any(work >= slots * SITE[2] for _, work in fleet.sends) or slots > 8
+    assert any(work >= slots * CLASS_MEANS[2] for _, work in fleet.sends) or slots > 8
 
 
 @pytest.mark.parametrize("dispatchers", [1, 3, 20, 200])
-def test_no_more_long_jobs_are_sent_than_their_chance_has_room_for(dispatchers):
-    # danger: the work of many short jobs, sent as six long ones, is passed by drawn lengths far more often
-    fleet = Fleet(rules_of(dispatchers), SITE, 5.0)
+def test_long_jobs_leave_room_for_chance(dispatchers):
+    # guards against a limit on work alone: with random lengths, six long jobs exceed it far more often than
+    # many short ones do
+    fleet = Fleet(fleet_settings(dispatchers), CLASS_MEANS, 5.0)
     fleet.now += 22 * S - 1
     fleet.tell_all()
     long_jobs = sum(fleet.offer(dispatcher, Offer((0,))) for dispatcher in fleet.dispatchers)
-    assert 0 < long_jobs + 2 * math.sqrt(long_jobs) <= 2.5 * 3 * S * 5.0 / SITE[0]
+    assert 0 < long_jobs + 2 * math.sqrt(long_jobs) <= 2.5 * 3 * S * 5.0 / CLASS_MEANS[0]
 
 
-def test_several_jobs_in_one_tick_share_one_part():
-    fleet = Fleet(rules_of(1), SITE[2:], 8.0)
+def test_several_jobs_in_one_tick_count_against_one_share():
+    fleet = Fleet(fleet_settings(1), CLASS_MEANS[2:], 8.0)
     fleet.now += S
     fleet.tell_all()
     arrivals = [api.JobArrived(i, "c0", None, None, 60 * S) for i in range(500)]
@@ -287,8 +290,8 @@
     assert 0 < sent <= 8
 
 
-def test_a_trial_job_counts_and_is_kept_within_the_part():
-    fleet = Fleet(rules_of(1), SITE[2:], 5.0)
+def test_a_trial_job_counts_and_keeps_within_the_share():
+    fleet = Fleet(fleet_settings(1), CLASS_MEANS[2:], 5.0)
     fleet.now += S
     fleet.tell_all()
     dispatcher = fleet.dispatchers[0]
@@ -302,13 +305,13 @@
     fleet.check()
 
 
-def test_work_sent_before_a_restart_was_told_counts_after_it():
-    # danger: the list comes a second late; what reached the cold worker meanwhile is most of its budget
-    fleet = Fleet(rules_of(1), SITE[2:], 5.0)
+def test_work_sent_before_a_restart_was_listed_counts_after_it():
+    # guards against overload when the list is a second late: by then, most of the budget may have been sent
+    fleet = Fleet(fleet_settings(1), CLASS_MEANS[2:], 5.0)
     dispatcher = fleet.dispatchers[0]
-    told, fleet.entry = fleet.entry, replace(fleet.entry, started_at=1)
+    restarted, fleet.entry = fleet.entry, replace(fleet.entry, started_at=1)
     fleet.tell(dispatcher)
-    fleet.entry = told
+    fleet.entry = restarted
     fleet.now += S
     before = fleet.offer(dispatcher, Offer((0,)), most=12)
     fleet.tell(dispatcher)
@@ -317,8 +320,8 @@
     fleet.check()
 
 
-def test_a_worker_that_starts_again_while_cold_gets_no_more_within_a_window():
-    fleet = Fleet(rules_of(3, fall_multiple=6.0), SITE[2:], 5.0)
+def test_a_worker_that_restarts_while_cold_gets_no_more_within_a_window():
+    fleet = Fleet(fleet_settings(3, fall_multiple=6.0), CLASS_MEANS[2:], 5.0)
     fleet.now += S
     fleet.tell_all()
     first = sum(fleet.offer(dispatcher, Offer((0,))) for dispatcher in fleet.dispatchers)
@@ -327,13 +330,13 @@
     fleet.tell_all()
     again = sum(fleet.offer(dispatcher, Offer((0,))) for dispatcher in fleet.dispatchers)
     assert first > 0
-    assert again <= 1  # the places turn with the start, so that one may have room that it had not
+    assert again <= 1  # ranks depend on the start time, so one dispatcher may get a larger share
     fleet.now += fleet.rules.fall_window
     assert sum(fleet.offer(dispatcher, Offer((0,))) for dispatcher in fleet.dispatchers) > 0
 
 
 def relisted(*lines: tuple[int, int, WorkerState]) -> Worker:
-    """The one worker of a world, its lines coming so: ns after the first moment, start, state."""
+    """The only worker of a world after these entries: ns after the first, start time, state."""
     world = World(make_settings(), entries(1))
     begun = world.now
     for after, start, state in lines:
@@ -342,13 +345,13 @@
     return world.dispatcher._workers["w000"]
 
 
-def test_a_line_of_a_former_start_does_not_make_a_cold_worker_warm():
+def test_an_entry_of_an_earlier_start_does_not_make_a_cold_worker_warm():
     worker = relisted((0, 7 * S, WorkerState.UP), (S, 0, WorkerState.UP), (2 * S, 3, WorkerState.UP))
     assert worker.entry.started_at == 7 * S
     assert worker.cold_until == 27 * S
 
 
-def test_a_worker_gone_and_up_again_is_as_cold_as_before():
+def test_a_worker_that_was_gone_for_a_while_stays_cold():
     worker = relisted((0, 7 * S, WorkerState.UP), (S, 0, WorkerState.GONE), (2 * S, 7 * S, WorkerState.UP))
     assert worker.cold_until == 27 * S
     assert worker.entry.started_at == 7 * S
@@ -360,8 +363,8 @@
 
 
 @pytest.mark.parametrize("live", [False, True])
-def test_a_slow_worker_gets_a_budget_by_its_weight_also_right_after_a_list(live):
-    # danger: slots are known, speed is not; a worker of a quarter of the others' speed was sent as much
+def test_the_budget_of_a_slow_worker_goes_by_its_weight_also_right_after_a_list(live):
+    # guards against a budget by slots alone: a worker of a quarter of the speed was sent as much as others
     sent = []
     for weight in (1.0, 0.25):
         fast, slow = entries(2)
@@ -369,7 +372,7 @@
         world = World(make_settings(fall_window=3 * S, live_weights=live), (fast, slow))
         for worker in world.dispatcher._workers.values():
             worker.size = 8.0
-        world.dispatcher._workers["w000"].ejected = True  # so that all goes to the other one
+        world.dispatcher._workers["w000"].ejected = True  # so that the other one gets all jobs
         world.listed(ListKind.CHANGES, (replace(slow, started_at=world.now),))
         for _ in range(60):
             world.arrive("safe")
@@ -381,7 +384,7 @@
 
 @pytest.mark.parametrize("live", [False, True])
 @pytest.mark.parametrize("weight", [math.nan, math.inf, -math.inf, -1.0, 0.0, 1e300])
-def test_a_nonsensical_weight_neither_ends_the_dispatcher_nor_keeps_other_cold_workers_idle(weight, live):
+def test_an_implausible_weight_neither_raises_nor_keeps_other_cold_workers_idle(weight, live):
     first, second = entries(2, started_at=7 * S)
     world = World(make_settings(live_weights=live, fall_window=3 * S), ())
     world.listed(ListKind.FULL, (replace(first, weight=weight, kind="odd"), second))
@@ -398,21 +401,21 @@
     st.sampled_from((1, 2, 3, 20, 30, 200, 1024)),
     st.floats(1, 4),
 )
-def test_parts_add_up_to_the_budget_at_most_and_none_shrinks_as_it_grows(budget, sizes, dispatchers, growth):
+def test_shares_add_up_to_the_budget_at_most_and_none_shrinks_as_it_grows(budget, sizes, dispatchers, growth):
     steps = tuple(sorted({math.ceil(math.log2(size) * slow_start.STEPS_PER_OCTAVE) for size in sizes}))
     shares = []
     for one in (budget, budget * growth):
-        parts = slow_start._shares(
+        split = slow_start._shares(
             math.floor(math.log2(one) * slow_start.STEPS_PER_OCTAVE), steps, dispatchers
         )
-        assert slow_start._total_work(parts) <= one
-        shares.append([next(p for until, p in parts if place < until) for place in range(dispatchers)])
+        assert slow_start._total_work(split) <= one
+        shares.append([next(p for until, p in split if rank < until) for rank in range(dispatchers)])
     for before, after in zip(*shares, strict=True):
         assert after.work >= before.work * (1 - 1e-5)
 
 
 @pytest.mark.parametrize("dispatchers", [1, 4, 30])
-def test_all_dispatchers_together_keep_a_cold_worker_within_its_budget(dispatchers):
+def test_all_dispatchers_together_keep_within_a_cold_workers_budget(dispatchers):
     settings = make_settings(dispatchers=dispatchers)
     total = []
     for me in range(dispatchers):
@@ -435,9 +438,9 @@
     assert 0 < work <= settings.fall_multiple * capacity * settings.fall_window * 8
 
 
-def test_jobs_go_to_cold_workers_of_unknown_size_before_they_wait_behind_others():
-    # danger: taken to have one slot, a cold worker's budget divided by forty allowed nobody anything
-    cold = entries(60, started_at=7 * S)  # after the dispatchers: before, each would wait for a window
+def test_jobs_go_to_cold_workers_of_unknown_size_rather_than_wait():
+    # guards against shares of nothing: counted as one slot, a cold worker's budget was too small for forty
+    cold = entries(60, started_at=7 * S)  # after the dispatchers, which would wait for a window otherwise
     sent = set()
     for me in range(40):
         world = World(make_settings(me=me, dispatchers=40, tells_start=True, fall_window=3 * S), ())
@@ -454,17 +457,17 @@
 
 
 @pytest.mark.parametrize("ahead", [0, HOUR, -HOUR, 60 * S])
-@pytest.mark.parametrize("told", ["in the first list", "in changes"])
-def test_a_wall_clock_that_was_stepped_makes_no_cold_worker_warm(ahead: int, told: str) -> None:
-    """Guards against a cold worker pushed over by a process that started after its clock was set (bcef66)."""
+@pytest.mark.parametrize("listed", ["in the first list", "in changes"])
+def test_a_stepped_wall_clock_makes_no_cold_worker_warm(ahead: int, listed: str) -> None:
+    """Guards against cold workers overloaded by a process that started after its clock was set (bcef66)."""
     rules = make_settings(cold_time=22 * S)
     decisions = Dispatcher(rules, 1)
     true = 10 * HOUR
     old = api.WorkerEntry("w1", started_at=true - 2 * HOUR)
     fresh = api.WorkerEntry("w2", started_at=true - 2 * S)
-    first = (old, fresh) if told == "in the first list" else (old,)
+    first = (old, fresh) if listed == "in the first list" else (old,)
     decisions.handle(true + ahead, [api.WorkerList(api.ListKind.FULL, first, 1)])
-    if told == "in changes":
+    if listed == "in changes":
         decisions.handle(true + ahead, [api.WorkerList(api.ListKind.CHANGES, (fresh,), 2)])
     now = true + ahead
     assert decisions._workers["w2"].cold_until >= now + 15 * S
@@ -473,7 +476,7 @@
 
 
 @pytest.mark.parametrize("kind", [api.ListKind.FULL, api.ListKind.CHANGES])
-def test_a_worker_gets_warm_whatever_lists_come_meanwhile(kind: api.ListKind) -> None:
+def test_a_worker_becomes_warm_whatever_lists_come_meanwhile(kind: api.ListKind) -> None:
     rules = make_settings(cold_time=22 * S)
     decisions = Dispatcher(rules, 1)
     now = 10 * HOUR
