--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -1,4 +1,4 @@
-"""Deployments far larger than this site's: lists of thousands, a thousand dispatchers, few descriptors."""
+"""Large deployments: lists of thousands of workers, and a thousand dispatchers."""
 
 import json
 import random
@@ -13,15 +13,15 @@
 
 def list_line(stage: Stage, count: int, index: int, whole: bool, status: str = "up") -> bytes:
     names = (f"s-{n:05d}-{'long' * 30}" for n in range(count))
-    found = [
+    listed = [
         {"name": name, "address": f"127.0.{n // 250}.{n % 250 + 1}:9000", "zone": "a", "status": status}
         for n, name in enumerate(names)
     ]
-    return json.dumps({"index": index, "snapshot": whole, "endpoints": found}).encode() + b"\n"
+    return json.dumps({"index": index, "snapshot": whole, "endpoints": listed}).encode() + b"\n"
 
 
 @pytest.mark.parametrize("count", [1_024, 2_000])
-def test_lists_of_thousands_are_taken_whole_and_as_changes_in_pieces_of_any_size(count: int) -> None:
+def test_lists_of_thousands_are_read_whole_and_as_changes_in_pieces_of_any_size(count: int) -> None:
     stage, draw = Stage(known=False), random.Random(count)
     discovery = stage.peers["d"]
     try:
@@ -38,11 +38,11 @@
                 discovery.sock.setblocking(False)
                 data = data[size:]
                 stage.pass_time(0.001)
-            known = stage.dispatcher.host._dispatcher._workers
+            workers = stage.dispatcher.host._dispatcher._workers
             stage.until(
                 f"{count} {expected}",
-                lambda expected=expected, known=known: (
-                    len(known) == count and all(w.entry.state is expected for w in known.values())
+                lambda expected=expected, workers=workers: (
+                    len(workers) == count and all(w.entry.state is expected for w in workers.values())
                 ),
             )
             if expected is api.WorkerState.UP:
@@ -55,19 +55,17 @@
 @pytest.mark.parametrize(
     "wrong", [{"address": "nowhere"}, {"name": None}, {"weight": "x"}, {"since_ms": [1]}]
 )
-def test_one_malformed_entry_among_a_thousand_is_left_out_alone(wrong: dict[str, object]) -> None:
+def test_of_a_thousand_entries_only_the_malformed_one_is_left_out(wrong: dict[str, object]) -> None:
     stage = Stage(known=False)
-    found = json.loads(list_line(stage, 1_000, 41, whole=True))
-    found["endpoints"][500] |= wrong
-    stage.dispatcher.discovery.start(found)
+    message = json.loads(list_line(stage, 1_000, 41, whole=True))
+    message["endpoints"][500] |= wrong
+    stage.dispatcher.discovery.start(message)
     assert len(stage.dispatcher.host._dispatcher._workers) == 999
     stage.close()
 
 
 @pytest.mark.parametrize(("dispatchers", "workers"), [(230, 400), (1_024, 2_000)])
-def test_a_thousand_dispatchers_and_thousands_of_workers_are_decided_on(
-    dispatchers: int, workers: int
-) -> None:
+def test_jobs_are_sent_and_drained_workers_avoided_among_thousands(dispatchers: int, workers: int) -> None:
     settings = make_settings(dispatchers=dispatchers, me=dispatchers - 1, live_weights=True)
     world = World(settings, entries(workers, weight=8.0))
     jobs = [world.arrive(key=n) for n in range(50)]
@@ -79,7 +77,7 @@
 
 
 def test_the_cost_of_a_job_grows_no_faster_than_the_list() -> None:
-    """Where nothing is known of any worker, the longest walk; in calls, the same on every machine."""
+    """With nothing known of any worker, the search is longest. Calls are the same on every machine."""
 
     def calls(workers: int) -> int:
         world, counted = World(make_settings(dispatchers=200), entries(workers)), 0
