--- a/ironbarrow/fleet/ledgers/machine.py
+++ b/ironbarrow/fleet/ledgers/machine.py
@@ -19,7 +19,6 @@
     LedgerAt,
 )
 from ironbarrow.fleet.file import LedgerRules
-from ironbarrow.fleet.ledgers.claimant import Claim, Claimant, ClaimKey
 from ironbarrow.fleet.ledgers.messages import (
     TO_REPLICA,
     TO_WRITER,
@@ -31,6 +30,7 @@
     Page,
     Promise,
 )
+from ironbarrow.fleet.ledgers.recovery import Claim, Claimant, ClaimKey
 from ironbarrow.fleet.ledgers.replica import Replica
 from ironbarrow.fleet.ledgers.writer import Writer
 from ironbarrow.fleet.records import CLAIM
--- a/tests/test_fleet_ledgers.py
+++ b/tests/test_fleet_ledgers.py
@@ -19,9 +19,9 @@
 from ironbarrow.fleet.file import LedgerRules
 from ironbarrow.fleet.invariants import INVARIANTS, InvariantError
 from ironbarrow.fleet.ledgers import proposal
-from ironbarrow.fleet.ledgers.claimant import Claimant
 from ironbarrow.fleet.ledgers.messages import Answer, Append, Close, Seal
 from ironbarrow.fleet.ledgers.proposal import Proposal, Step
+from ironbarrow.fleet.ledgers.recovery import Claimant
 from ironbarrow.fleet.ledgers.replica import SEGMENT_SIZE, Replica
 from ironbarrow.fleet.records import CLAIM
 from ironbarrow.lab.fleet.losses import LedgerFleet, formula, mass_kill, price
