--- a/ironbarrow/fleet/ledgers/messages.py
+++ b/ironbarrow/fleet/ledgers/messages.py
@@ -6,10 +6,10 @@
 from ironbarrow.fleet.api import Ballot, Change, Decision, Incarnation, Message
 
 
-class Answer(enum.IntEnum):
+class ReplyStatus(enum.IntEnum):
     """What a replica makes of a question."""
 
-    DONE = 0
+    OK = 0
     GAP = 1  # changes before these are missing: they are to be sent again from ``n`` + 1
     SEALED = 2  # a higher ballot is promised
     FULL = 3  # there is no room for it
@@ -23,19 +23,19 @@
     KIND: ClassVar[int] = 20
     ledger: str
     segment: int
-    base: int
-    first: int
+    snapshot_size: int
+    first_index: int
     changes: tuple[Change, ...] = ()
 
 
-class Appended(Message, frozen=True, array_like=True):
+class AppendReply(Message, frozen=True, array_like=True):
     """The replica has all changes up to and with ``n``, and no more."""
 
     KIND: ClassVar[int] = 21
     ledger: str
     segment: int
-    n: int
-    answer: Answer = Answer.DONE
+    last_index: int
+    status: ReplyStatus = ReplyStatus.OK
     promised: Ballot | None = None  # SEALED: to whom
     decision: Decision | None = None  # SEALED: the fate, where the replica knows it
 
@@ -60,11 +60,11 @@
     ledger: str
     segment: int
     ballot: Ballot  # that was asked
-    answer: Answer  # DONE, SEALED (``promised`` is higher), UNKNOWN
+    status: ReplyStatus  # DONE, SEALED (``promised`` is higher), UNKNOWN
     promised: Ballot | None = None
     writer: Incarnation | None = None
-    n: int = 0
-    base: int = -1
+    last_index: int = 0
+    snapshot_size: int = -1
     accepted: Ballot | None = None
     decision: Decision | None = None  # accepted under that ballot
     decided: bool = False  # ... and known to be so by a majority
@@ -72,7 +72,7 @@
     table: tuple[Change, ...] | None = None
 
 
-class Decide(Message, frozen=True, array_like=True):
+class Accept(Message, frozen=True, array_like=True):
     """Asks to accept a fate."""
 
     KIND: ClassVar[int] = 24
@@ -89,7 +89,7 @@
     ledger: str
     segment: int
     ballot: Ballot
-    answer: Answer  # DONE, SEALED, UNKNOWN
+    status: ReplyStatus  # DONE, SEALED, UNKNOWN
     promised: Ballot | None = None
 
 
@@ -124,7 +124,7 @@
     release: bool = False
 
 
-class Learned(Message, frozen=True, array_like=True):
+class LearnAck(Message, frozen=True, array_like=True):
     """``Learn`` or ``Close`` has come: ``release`` as there; True for ``Close``."""
 
     KIND: ClassVar[int] = 29
@@ -141,25 +141,25 @@
     segment: int
 
 
-TO_REPLICA = (Append, Seal, Decide, Read, Learn, Close)
-TO_WRITER = (Appended, Promise, Accepted, Page, Learned)
+REQUESTS = (Append, Seal, Accept, Read, Learn, Close)
+REPLIES = (AppendReply, Promise, Accepted, Page, LearnAck)
 
-PAGE = 256 << 10  # bytes of changes in one message, at most, unless a single one is larger
-CHANGE_MOST = 768 << 10  # bytes of one change
+MAX_BATCH_BYTES = 256 << 10  # bytes of changes in one message, at most, unless a single one is larger
+MAX_CHANGE_BYTES = 768 << 10  # bytes of one change
 
 
-def size_of(key: str, value: bytes) -> int:
+def entry_size(key: str, value: bytes) -> int:
     """What a key costs where it is kept, bytes: its text, its value and the table's own share."""
     return len(key) + len(value) + 120
 
 
-def within(changes: "list[Change]", start: int, most: int = PAGE) -> tuple[Change, ...]:
+def next_batch(changes: "list[Change]", start: int, max_bytes: int = MAX_BATCH_BYTES) -> tuple[Change, ...]:
     """As many changes from ``start`` on as go into one message; at least one if there is any."""
     size, end = 0, start
     while end < len(changes):
         change = changes[end]
-        size += size_of(change.key, change.value or b"")
-        if size > most and end > start:
+        size += entry_size(change.key, change.value or b"")
+        if size > max_bytes and end > start:
             break
         end += 1
     return tuple(changes[start:end])
--- a/ironbarrow/fleet/ledgers/proposal.py
+++ b/ironbarrow/fleet/ledgers/proposal.py
@@ -12,9 +12,9 @@
 from ironbarrow.fleet.api import NEVER, Action, Ballot, Change, Decision, Incarnation, LedgerAt, Send, rank
 from ironbarrow.fleet.file import LedgerRules
 from ironbarrow.fleet.invariants import check
-from ironbarrow.fleet.ledgers.messages import Accepted, Answer, Decide, Learn, Page, Promise, Read, Seal
+from ironbarrow.fleet.ledgers.messages import Accept, Accepted, Learn, Page, Promise, Read, ReplyStatus, Seal
 
-_OTHERS_ANSWER = 4  # times ``resend``: so long those that have not refused are waited for
+_OTHERS_WAIT = 4  # times ``resend``: so long those that have not refused are waited for
 
 
 class Step(enum.Enum):
@@ -41,100 +41,100 @@
         at: LedgerAt,
         rules: LedgerRules,
         writer: Incarnation | None = None,
-        reads: bool = True,
+        read_table: bool = True,
     ) -> None:
-        self.me, self.at, self.writer, self._reads, self._rules = me, at, writer, reads, rules
+        self.me, self.at, self.writer, self._read_table, self._rules = me, at, writer, read_table, rules
         self.step = Step.SEALING
         self.decision: Decision | None = None  # proposed, or decided
         self.ballot = Ballot(0, me)
-        self.opener = writer  # who writes the segment, as its replicas say
+        self.segment_writer = writer  # who writes the segment, as its replicas say
         self.table: dict[str, bytes] = {}
         self.complete = False  # ``table`` holds all that counted in this segment and before
         self.released = False  # others have all that counted
         self.promises: dict[Incarnation, Promise] = {}
-        self.unknown: set[Incarnation] = set()
-        self._answers: set[Incarnation] = set()  # to ``Decide``
-        self._refused: set[Incarnation] = set()
-        self._highest = 0
-        self._tries = 0
-        self._asked = 0  # times, since this round began or it was answered
-        self._best: Incarnation | None = None  # whose table is read
+        self.without_segment: set[Incarnation] = set()
+        self._accepted_by: set[Incarnation] = set()  # to ``Decide``
+        self._refused_by: set[Incarnation] = set()
+        self._highest_round = 0
+        self._attempts = 0
+        self._sends = 0  # times, since this round began or it was answered
+        self._read_from: Incarnation | None = None  # whose table is read
         self._after = ""
         self._resend_at = NEVER
         self._retry_at = NEVER
 
     def start(self, now: int) -> list[Action]:
         """Asks for promises under a ballot above all seen."""
-        self.ballot = Ballot(max(self._highest, self.ballot.round) + 1, self.me)
+        self.ballot = Ballot(max(self._highest_round, self.ballot.round) + 1, self.me)
         self.step, self.decision = Step.SEALING, None
         self.promises.clear()
-        self.unknown.clear()
-        self._answers.clear()
-        self._refused.clear()
-        self._retry_at, self._asked = NEVER, 0
-        return self._ask(now)
+        self.without_segment.clear()
+        self._accepted_by.clear()
+        self._refused_by.clear()
+        self._retry_at, self._sends = NEVER, 0
+        return self._send_requests(now)
 
-    def fate(self) -> Decision | None:
+    def accepted_decision(self) -> Decision | None:
         """What a promise brought and must be proposed again: the decided one, or that of the highest
         ballot."""
         found = [p for p in self.promises.values() if p.decision is not None and p.accepted is not None]
         for promise in found:
             if promise.decided:
                 return promise.decision
-        return max(found, key=_accepted).decision if found else None
+        return max(found, key=_accepted_ballot).decision if found else None
 
-    def learn(self, release: bool) -> Learn:
+    def learn_message(self, release: bool) -> Learn:
         """DECIDED: what the replicas are told of it."""
         assert self.decision is not None
         known = [p.accepted for p in self.promises.values() if p.decided and p.accepted is not None]
         ballot = known[0] if known else self.ballot
         return Learn(self.at.ledger, self.at.segment, ballot, self.decision, release)
 
-    def promised(self, now: int, sender: Incarnation, message: Promise) -> list[Action]:
+    def on_promise(self, now: int, sender: Incarnation, message: Promise) -> list[Action]:
         if sender not in self.at.replicas or message.ballot != self.ballot or self.step is not Step.SEALING:
             return []
-        if message.answer is Answer.UNKNOWN:
-            self.unknown.add(sender)
-        elif message.answer is Answer.SEALED:
-            self._refuse(now, sender, message.promised)
-        elif message.answer is Answer.DONE:
+        if message.status is ReplyStatus.UNKNOWN:
+            self.without_segment.add(sender)
+        elif message.status is ReplyStatus.SEALED:
+            self._schedule_retry(now, sender, message.promised)
+        elif message.status is ReplyStatus.OK:
             self.promises[sender] = message
-            self.opener = self.opener or message.writer
+            self.segment_writer = self.segment_writer or message.writer
             if len(self.promises) >= majority(self.at.replicas):
-                return self._sealed(now)
+                return self._on_majority_promised(now)
         return []
 
-    def paged(self, now: int, sender: Incarnation, message: Page) -> list[Action]:
-        if self.step is not Step.READING or sender != self._best or message.after != self._after:
+    def on_page(self, now: int, sender: Incarnation, message: Page) -> list[Action]:
+        if self.step is not Step.READING or sender != self._read_from or message.after != self._after:
             return []
-        _take(self.table, message.changes)
+        _add_entries(self.table, message.changes)
         if message.last:
             self.step, self._resend_at = Step.SEALED, NEVER
             return []
-        self._after, self._asked = message.changes[-1].key, 0
-        return self._ask(now)
+        self._after, self._sends = message.changes[-1].key, 0
+        return self._send_requests(now)
 
-    def decide(self, now: int, own: Decision) -> list[Action]:
+    def propose(self, now: int, value: Decision) -> list[Action]:
         """SEALED: proposes that fate, which must be ``fate()`` if there is one."""
-        self.decision = own
+        self.decision = value
         if any(p.decided for p in self.promises.values()):
             self.step, self._resend_at = Step.DECIDED, NEVER
             return []
-        self.step, self._asked = Step.DECIDING, 0
-        self._refused.clear()
-        return self._ask(now)
+        self.step, self._sends = Step.DECIDING, 0
+        self._refused_by.clear()
+        return self._send_requests(now)
 
-    def accepted(self, now: int, sender: Incarnation, message: Accepted) -> list[Action]:
+    def on_accepted(self, now: int, sender: Incarnation, message: Accepted) -> list[Action]:
         if sender not in self.at.replicas or message.ballot != self.ballot or self.step is not Step.DECIDING:
             return []
-        if message.answer is Answer.DONE:
-            self._answers.add(sender)
-            if len(self._answers) >= majority(self.at.replicas):
+        if message.status is ReplyStatus.OK:
+            self._accepted_by.add(sender)
+            if len(self._accepted_by) >= majority(self.at.replicas):
                 self.step, self._resend_at, self._retry_at = Step.DECIDED, NEVER, NEVER
-        elif message.answer is Answer.SEALED:
-            self._refuse(now, sender, message.promised)
+        elif message.status is ReplyStatus.SEALED:
+            self._schedule_retry(now, sender, message.promised)
         else:
-            self.unknown.add(sender)
+            self.without_segment.add(sender)
         return []
 
     def ticked(self, now: int) -> list[Action]:
@@ -142,99 +142,104 @@
             return self.start(now)
         if now >= self._resend_at:
             if self.step is Step.READING:
-                self._refuse(now, None, None)
-            return self._ask(now)
+                self._schedule_retry(now, None, None)
+            return self._send_requests(now)
         return []
 
     def next_at(self) -> int:
         return min(self._resend_at, self._retry_at)
 
-    def hopeless(self, gone: Iterable[Incarnation]) -> bool:
+    def majority_lost(self, dead: Iterable[Incarnation]) -> bool:
         """No majority can answer: too many are gone, or know nothing of the segment."""
-        lost = self.unknown.union(gone)
-        return sum(k not in lost for k in self.at.replicas) < majority(self.at.replicas)
+        unavailable = self.without_segment.union(dead)
+        return sum(replica not in unavailable for replica in self.at.replicas) < majority(self.at.replicas)
 
-    def partial(self) -> dict[str, bytes]:
+    def partial_table(self) -> dict[str, bytes]:
         """The largest table that has come, of which nothing is proven."""
-        best = max(self.promises.values(), key=_n, default=None)
+        best = max(self.promises.values(), key=_last_index_of, default=None)
         table = dict(self.table)
         if best is not None and best.table is not None:
-            _take(table, best.table)
+            _add_entries(table, best.table)
         return table
 
-    def _ask(self, now: int) -> list[Action]:
+    def _send_requests(self, now: int) -> list[Action]:
         """Sends what this step asks for to whoever has not answered."""
         at, sends = self.at, list[Action]()
         if self.step is Step.SEALING:
             message = Seal(at.ledger, at.segment, self.ballot, self.writer)
             sends = [
-                Send(k, message) for k in at.replicas if k not in self.promises and k not in self.unknown
+                Send(replica, message)
+                for replica in at.replicas
+                if replica not in self.promises and replica not in self.without_segment
             ]
         elif self.step is Step.DECIDING and self.decision is not None:
-            decide = Decide(at.ledger, at.segment, self.ballot, self.decision)
-            sends = [Send(k, decide) for k in at.replicas if k not in self._answers]
-        elif self.step is Step.READING and self._best is not None:
-            sends = [Send(self._best, Read(at.ledger, at.segment, self._after))]
+            accept = Accept(at.ledger, at.segment, self.ballot, self.decision)
+            sends = [Send(replica, accept) for replica in at.replicas if replica not in self._accepted_by]
+        elif self.step is Step.READING and self._read_from is not None:
+            sends = [Send(self._read_from, Read(at.ledger, at.segment, self._after))]
         # ever further apart: after a mass death most of those that are asked do not answer
-        self._resend_at = now + (self._rules.resend << min(self._asked, 4))
-        self._asked += 1
+        self._resend_at = now + (self._rules.resend << min(self._sends, 4))
+        self._sends += 1
         return sends
 
-    def _sealed(self, now: int) -> list[Action]:
+    def _on_majority_promised(self, now: int) -> list[Action]:
         """A majority has promised: what the segment holds is settled."""
-        best = max(sorted(self.promises), key=lambda k: _n(self.promises[k]))
+        best = max(sorted(self.promises), key=lambda replica: _last_index_of(self.promises[replica]))
         promise = self.promises[best]
         check(
             "what counted is in the content",
             len(self.promises) >= majority(self.at.replicas)
-            and all(k in self.at.replicas and p.n <= promise.n for k, p in self.promises.items()),
+            and all(
+                replica in self.at.replicas and p.last_index <= promise.last_index
+                for replica, p in self.promises.items()
+            ),
             ledger=self.at.ledger,
             segment=self.at.segment,
-            n=promise.n,
+            last_index=promise.last_index,
         )
         self.released = any(p.released for p in self.promises.values())
-        self.complete = 0 <= promise.base <= promise.n and not self.released
+        self.complete = 0 <= promise.snapshot_size <= promise.last_index and not self.released
         self.step, self._resend_at, self._retry_at = Step.SEALED, NEVER, NEVER
         self.table, self._after = {}, ""
-        if not self._reads or not self.complete:
+        if not self._read_table or not self.complete:
             return []
         if promise.table is not None:
-            _take(self.table, promise.table)
+            _add_entries(self.table, promise.table)
             return []
-        self.step, self._best = Step.READING, best
-        return self._ask(now)
+        self.step, self._read_from = Step.READING, best
+        return self._send_requests(now)
 
-    def _refuse(self, now: int, sender: Incarnation | None, promised: Ballot | None) -> None:
+    def _schedule_retry(self, now: int, sender: Incarnation | None, promised: Ballot | None) -> None:
         """Plans another round. Danger: the replicas that are left may be a majority by number and yet never
         answer, one being dead: where they would be enough they are only waited for longer."""
         if promised is not None:
-            self._highest = max(self._highest, promised.round)
+            self._highest_round = max(self._highest_round, promised.round)
         enough_left = False
         if sender is not None:
-            if sender in self._refused:
+            if sender in self._refused_by:
                 return  # it was asked again
-            self._refused.add(sender)
-            enough_left = len(self.at.replicas) - len(self._refused) >= majority(self.at.replicas)
+            self._refused_by.add(sender)
+            enough_left = len(self.at.replicas) - len(self._refused_by) >= majority(self.at.replicas)
         if self._retry_at == NEVER:
-            self._tries += 1
-        most = self._rules.resend << min(self._tries, 5)
-        seed = f"{self.at.ledger}/{self.at.segment}/{self._tries}"
-        wait = most // 4 + rank(seed, str(self.me)) % most
+            self._attempts += 1
+        max_delay = self._rules.resend << min(self._attempts, 5)
+        seed = f"{self.at.ledger}/{self.at.segment}/{self._attempts}"
+        delay = max_delay // 4 + rank(seed, str(self.me)) % max_delay
         if enough_left:
-            wait += _OTHERS_ANSWER * self._rules.resend
-        self._retry_at = min(self._retry_at, now + wait)
+            delay += _OTHERS_WAIT * self._rules.resend
+        self._retry_at = min(self._retry_at, now + delay)
 
 
-def _accepted(promise: Promise) -> Ballot:
+def _accepted_ballot(promise: Promise) -> Ballot:
     assert promise.accepted is not None
     return promise.accepted
 
 
-def _n(promise: Promise) -> int:
-    return promise.n
+def _last_index_of(promise: Promise) -> int:
+    return promise.last_index
 
 
-def _take(table: dict[str, bytes], changes: Iterable[Change]) -> None:
+def _add_entries(table: dict[str, bytes], changes: Iterable[Change]) -> None:
     for change in changes:
         if change.value is not None:
             table[change.key] = change.value
--- a/ironbarrow/fleet/ledgers/recovery.py
+++ b/ironbarrow/fleet/ledgers/recovery.py
@@ -31,35 +31,35 @@
 from ironbarrow.fleet.ledgers.proposal import Proposal, Step
 from ironbarrow.fleet.records import CLAIM
 
-LASTS = 20  # times ``wait``: so long a claim is tried
-GIVES_UP = 4  # times ``wait``: so soon it ends where a majority of the replicas is gone
-SETTLED_MOST = 4096  # ledgers of which is remembered that they are not to be claimed again
+CLAIM_TIMEOUT_WAITS = 20  # times ``wait``: so long a claim is tried
+MAJORITY_LOST_WAITS = 4  # times ``wait``: so soon it ends where a majority of the replicas is gone
+MAX_SETTLED = 4096  # ledgers of which is remembered that they are not to be claimed again
 
 
-class ClaimKey(msgspec.Struct, frozen=True, array_like=True):
+class ClaimRecord(msgspec.Struct, frozen=True, array_like=True):
     """The value of ``c/LEDGER``: the fields of a ``LedgerAt``, and the incarnations whose claims of it are
     the holder's to go on with."""
 
     ledger: str
     segment: int
     replicas: tuple[Incarnation, ...]
-    of: tuple[Incarnation, ...] = ()
+    claimants: tuple[Incarnation, ...] = ()
 
 
-class Home(Protocol):
+class RecoveryHost(Protocol):
     """What a claimant needs of the member that it is part of."""
 
-    def own(self, now: int, changes: Sequence[Change], into: str) -> tuple[str, int, list[Action]]:
+    def append_own(self, now: int, changes: Sequence[Change], into: str) -> tuple[str, int, list[Action]]:
         """Appends to that ledger of this member ("": its newest job ledger): its name, the number, 0 if
         there is none."""
 
-    def choose(self, ledger: str) -> tuple[Incarnation, ...]:
+    def choose_replicas(self, ledger: str) -> tuple[Incarnation, ...]:
         """Replicas for a ledger; empty if there are too few incarnations."""
 
-    def tell(self, now: int, incarnations: Sequence[Incarnation], learn: Learn) -> list[Action]:
+    def notify(self, now: int, incarnations: Sequence[Incarnation], message: Learn) -> list[Action]:
         """Tells incarnations of a fate until they have heard it."""
 
-    def lead_on(self, now: int, claim: "Claim", decision: Decision) -> list[Action]:
+    def start_leading(self, now: int, claim: "Claim", decision: Decision) -> list[Action]:
         """This member writes the claim's ledger from here on."""
 
 
@@ -68,52 +68,56 @@
     """One claim under way. ``lead``: to write it, not to have what it holds."""
 
     proposal: Proposal
-    began: int  # ns
+    started_at: int  # ns
     lead: bool
-    heir_of: frozenset[Incarnation]  # incarnations whose claims of it are this member's
+    inherited_from: frozenset[Incarnation]  # incarnations whose claims of it are this member's
     into: str  # the ledger of this member by which it is their heir
-    base: LedgerAt  # the last segment known to hold all that counted before it
+    content_at: LedgerAt  # the last segment known to hold all that counted before it
     content: dict[str, bytes] | None = None  # None: not known
-    passed: list[Proposal] = field(default_factory=list)  # decided, whose tables are not released
+    unreleased: list[Proposal] = field(default_factory=list)  # decided, whose tables are not released
 
 
 @dataclass(slots=True)
-class Key:
+class WrittenKey:
     """Where ``c/LEDGER`` was written."""
 
     ledger: str
     seq: int
-    kept: bool = False
+    committed: bool = False
 
 
-class Claimant:
+class LedgerRecovery:
     """All claims of this member that are under way."""
 
-    def __init__(self, me: Incarnation, members: Members, rules: LedgerRules, home: Home) -> None:
-        self.me, self._members, self._rules, self._home = me, members, rules, home
+    def __init__(self, me: Incarnation, members: Members, rules: LedgerRules, home: RecoveryHost) -> None:
+        self.me, self._members, self._rules, self._host = me, members, rules, home
         self.claims: dict[str, Claim] = {}
-        self.keys: dict[str, Key] = {}  # by ledger claimed; until its claim is lost, or its key dropped
+        self.keys: dict[
+            str, WrittenKey
+        ] = {}  # by ledger claimed; until its claim is lost, or its key dropped
         # claimed and since replaced, or lost with the ledger that had the key: who has them
         self.settled: OrderedDict[str, Incarnation | None] = OrderedDict()
-        self.held: dict[str, list[Proposal]] = {}  # claimed: what is to be released when its key is dropped
+        self.claimed: dict[
+            str, list[Proposal]
+        ] = {}  # claimed: what is to be released when its key is dropped
 
     def start(
         self,
         now: int,
         at: LedgerAt,
         lead: bool,
-        heir_of: frozenset[Incarnation] = frozenset(),
+        inherited_from: frozenset[Incarnation] = frozenset(),
         into: str = "",
     ) -> list[Action]:
         """Begins; nothing if that ledger is being claimed, or held, already."""
-        if at.ledger in self.claims or (at.ledger in self.held and not lead):
+        if at.ledger in self.claims or (at.ledger in self.claimed and not lead):
             return []
         # danger: whoever took the ledger with the key finds "claimed by this incarnation" and goes on with it
-        if at.ledger in self.settled and not lead and not heir_of:
+        if at.ledger in self.settled and not lead and not inherited_from:
             return [ClaimLost(at.ledger, self.settled[at.ledger], {})]
         if not at.replicas:
             return [ClaimLost(at.ledger, None, {})]
-        claim = Claim(Proposal(self.me, at, self._rules), now, lead, heir_of, into, at)
+        claim = Claim(Proposal(self.me, at, self._rules), now, lead, inherited_from, into, at)
         self.claims[at.ledger] = claim
         return claim.proposal.start(now)
 
@@ -122,61 +126,61 @@
         if claim is None or claim.proposal.at.segment != message.segment:
             return []
         # danger: what comes after a long stop must not be acted on, others may have forgotten what is past
-        if now >= claim.began + LASTS * self._rules.wait:
-            return self._lost(now, claim, None)
+        if now >= claim.started_at + CLAIM_TIMEOUT_WAITS * self._rules.wait:
+            return self._fail(now, claim, None)
         if isinstance(message, Promise):
-            actions = claim.proposal.promised(now, sender, message)
-            if claim.proposal.step is Step.SEALING and claim.proposal.hopeless(()):
-                return actions + self._lost(now, claim, None)
+            actions = claim.proposal.on_promise(now, sender, message)
+            if claim.proposal.step is Step.SEALING and claim.proposal.majority_lost(()):
+                return actions + self._fail(now, claim, None)
         elif isinstance(message, Accepted):
-            actions = claim.proposal.accepted(now, sender, message)
+            actions = claim.proposal.on_accepted(now, sender, message)
         else:
-            actions = claim.proposal.paged(now, sender, message)
+            actions = claim.proposal.on_page(now, sender, message)
         return actions + self._advance(now, claim)
 
-    def kept(self, now: int, ledger: str, seq: int) -> list[Action]:
+    def on_committed(self, now: int, ledger: str, seq: int) -> list[Action]:
         """This member's ledger is kept up to there."""
         actions: list[Action] = []
         for name, key in list(self.keys.items()):
-            if key.ledger == ledger and not key.kept and key.seq <= seq:
-                key.kept = True
+            if key.ledger == ledger and not key.committed and key.seq <= seq:
+                key.committed = True
                 claim = self.claims.get(name)
                 if claim is not None:
                     actions += self._advance(now, claim)
         return actions
 
-    def fenced(self, now: int, own: str, by: Incarnation | None) -> list[Action]:
+    def on_fenced(self, now: int, own_ledger: str, by: Incarnation | None) -> list[Action]:
         """One of this member's ledgers is another's: so is what is claimed by keys in it."""
         actions: list[Action] = []
-        for ledger in [name for name, key in self.keys.items() if key.ledger == own]:
+        for ledger in [name for name, key in self.keys.items() if key.ledger == own_ledger]:
             del self.keys[ledger]
-            self.held.pop(ledger, None)
-            self._settle(ledger, by)
+            self.claimed.pop(ledger, None)
+            self._record_settled(ledger, by)
             if ledger in self.claims:
-                actions += self._lost(now, self.claims[ledger], by)
-        for claim in [c for c in self.claims.values() if c.into == own]:
-            actions += self._lost(now, claim, by)
+                actions += self._fail(now, self.claims[ledger], by)
+        for claim in [c for c in self.claims.values() if c.into == own_ledger]:
+            actions += self._fail(now, claim, by)
         return actions
 
-    def dropped(self, ledger: str) -> list[Proposal]:
+    def on_key_dropped(self, ledger: str) -> list[Proposal]:
         """The key of a ledger claimed is dropped for good: the segments whose tables may go."""
         self.keys.pop(ledger, None)
-        self._settle(ledger, self.me)
-        return self.held.pop(ledger, [])
+        self._record_settled(ledger, self.me)
+        return self.claimed.pop(ledger, [])
 
-    def _settle(self, ledger: str, by: Incarnation | None) -> None:
+    def _record_settled(self, ledger: str, by: Incarnation | None) -> None:
         self.settled[ledger] = by
-        while len(self.settled) > SETTLED_MOST:
+        while len(self.settled) > MAX_SETTLED:
             self.settled.popitem(last=False)
 
     def ticked(self, now: int) -> list[Action]:
         actions: list[Action] = []
         for claim in list(self.claims.values()):
-            proposal, age = claim.proposal, now - claim.began
+            proposal, age = claim.proposal, now - claim.started_at
             dead = [k for k in proposal.at.replicas if self._members.health(k) in (Health.DEAD, Health.LEFT)]
-            gone = age >= GIVES_UP * self._rules.wait and proposal.hopeless(dead)
-            if gone or age >= LASTS * self._rules.wait:
-                actions += self._lost(now, claim, None)
+            majority_gone = age >= MAJORITY_LOST_WAITS * self._rules.wait and proposal.majority_lost(dead)
+            if majority_gone or age >= CLAIM_TIMEOUT_WAITS * self._rules.wait:
+                actions += self._fail(now, claim, None)
             elif proposal.next_at() <= now:
                 actions += proposal.ticked(now)
                 actions += self._advance(now, claim)
@@ -185,7 +189,9 @@
     def next_at(self) -> int:
         due = NEVER
         for claim in self.claims.values():
-            due = min(due, claim.proposal.next_at(), claim.began + LASTS * self._rules.wait)
+            due = min(
+                due, claim.proposal.next_at(), claim.started_at + CLAIM_TIMEOUT_WAITS * self._rules.wait
+            )
         return due
 
     def _advance(self, now: int, claim: Claim) -> list[Action]:
@@ -194,106 +200,108 @@
         while claim.proposal.at.ledger in self.claims:
             proposal = claim.proposal
             if proposal.step is Step.SEALED:
-                self._take(claim)
-                decision = proposal.fate()
+                self._update_content(claim)
+                decision = proposal.accepted_decision()
                 if decision is None:
-                    decision, more = self._own(now, claim)
+                    decision, more = self._own_decision(now, claim)
                     actions += more
                 if decision is None:
                     break
-                actions += proposal.decide(now, decision)
+                actions += proposal.propose(now, decision)
             elif proposal.step is Step.DECIDED:
-                ready, more = self._keyed(now, claim) if self._mine(claim) else (True, [])
+                ready, more = self._ensure_key(now, claim) if self._is_decided_for_us(claim) else (True, [])
                 actions += more
                 if not ready:
                     break
-                actions += self._decided(now, claim)
+                actions += self._on_decided(now, claim)
             else:
                 break
         return actions
 
-    def _take(self, claim: Claim) -> None:
+    def _update_content(self, claim: Claim) -> None:
         """The content as far as it is known by this segment."""
         proposal = claim.proposal
         if proposal.complete:
-            claim.content, claim.base = proposal.table, proposal.at
+            claim.content, claim.content_at = proposal.table, proposal.at
         elif proposal.released:
             claim.content = None
 
-    def _own(self, now: int, claim: Claim) -> tuple[Decision | None, list[Action]]:
+    def _own_decision(self, now: int, claim: Claim) -> tuple[Decision | None, list[Action]]:
         """This member's own fate for a sealed segment; None while something is missing."""
         ledger = claim.proposal.at.ledger
         if claim.content is None:
-            return None, self._lost(now, claim, None)
+            return None, self._fail(now, claim, None)
         if claim.lead:
-            replicas = self._home.choose(ledger)
+            replicas = self._host.choose_replicas(ledger)
             return (Decision(Fate.MOVED, self.me, replicas) if replicas else None), []
-        ready, actions = self._keyed(now, claim)
+        ready, actions = self._ensure_key(now, claim)
         return (Decision(Fate.CLAIMED, self.me) if ready else None), actions
 
-    def _mine(self, claim: Claim) -> bool:
+    def _is_decided_for_us(self, claim: Claim) -> bool:
         """Decided to be claimed by this member, or by one whose claims are its own."""
         decision = claim.proposal.decision
         return (
             decision is not None
             and decision.fate is Fate.CLAIMED
             and not claim.lead
-            and decision.by in {self.me, *claim.heir_of}
+            and decision.by in {self.me, *claim.inherited_from}
             and claim.content is not None
         )
 
-    def _keyed(self, now: int, claim: Claim) -> tuple[bool, list[Action]]:
+    def _ensure_key(self, now: int, claim: Claim) -> tuple[bool, list[Action]]:
         """Whether the key is kept; writes it, or ends the claim where it can't be written."""
         ledger = claim.proposal.at.ledger
         key = self.keys.get(ledger)
         if key is not None:
-            return key.kept, []
-        of = tuple(sorted({self.me, *claim.heir_of}))
-        value = ClaimKey(ledger, claim.base.segment, claim.base.replicas, of)
+            return key.committed, []
+        claimants = tuple(sorted({self.me, *claim.inherited_from}))
+        value = ClaimRecord(ledger, claim.content_at.segment, claim.content_at.replicas, claimants)
         change = Change(CLAIM + ledger, msgspec.msgpack.encode(value))
-        own, seq, actions = self._home.own(now, [change], claim.into)
+        own_ledger, seq, actions = self._host.append_own(now, [change], claim.into)
         if not seq:
-            return False, actions + self._lost(now, claim, None)
-        self.keys[ledger] = Key(own, seq)
+            return False, actions + self._fail(now, claim, None)
+        self.keys[ledger] = WrittenKey(own_ledger, seq)
         return False, actions
 
-    def _decided(self, now: int, claim: Claim) -> list[Action]:
+    def _on_decided(self, now: int, claim: Claim) -> list[Action]:
         """Acts on a decided fate."""
         proposal, decision = claim.proposal, claim.proposal.decision
         assert decision is not None
         at = proposal.at
-        told = {*at.replicas, *([proposal.opener] if proposal.opener else [])} - {self.me}
-        actions = self._home.tell(now, sorted(told), proposal.learn(False))
+        recipients = {*at.replicas, *([proposal.segment_writer] if proposal.segment_writer else [])} - {
+            self.me
+        }
+        actions = self._host.notify(now, sorted(recipients), proposal.learn_message(False))
         if self.me in at.replicas:
-            actions += self._home.tell(now, [self.me], proposal.learn(False))
+            actions += self._host.notify(now, [self.me], proposal.learn_message(False))
         if not proposal.released:
-            claim.passed.append(proposal)
+            claim.unreleased.append(proposal)
         if decision.fate is Fate.MOVED:
             if claim.lead and decision.by == self.me:
                 del self.claims[at.ledger]
-                return actions + self._home.lead_on(now, claim, decision)
+                return actions + self._host.start_leading(now, claim, decision)
             following = LedgerAt(at.ledger, at.segment + 1, decision.replicas)
             claim.proposal = Proposal(self.me, following, self._rules, decision.by)
             return actions + claim.proposal.start(now)
-        if not self._mine(claim):
-            return actions + self._lost(now, claim, decision.by)
+        if not self._is_decided_for_us(claim):
+            return actions + self._fail(now, claim, decision.by)
         check(
             "one holder",
-            at.ledger not in self.held and self.keys[at.ledger].kept and claim.content is not None,
+            at.ledger not in self.claimed and self.keys[at.ledger].committed and claim.content is not None,
             ledger=at.ledger,
             by=decision.by,
         )
         assert claim.content is not None
         del self.claims[at.ledger]
-        self.held[at.ledger] = claim.passed
+        self.claimed[at.ledger] = claim.unreleased
         return [*actions, Claimed(at.ledger, claim.content, self.keys[at.ledger].ledger)]
 
-    def _lost(self, now: int, claim: Claim, by: Incarnation | None) -> list[Action]:
+    def _fail(self, now: int, claim: Claim, by: Incarnation | None) -> list[Action]:
         """Ends a claim without its ledger, and takes its key back."""
         ledger = claim.proposal.at.ledger
         self.claims.pop(ledger, None)
         actions: list[Action] = []
         if by is not None and ledger in self.keys:
-            _, _, actions = self._home.own(now, [Change(CLAIM + ledger)], self.keys.pop(ledger).ledger)
-        partial = {} if by is not None else claim.content or claim.proposal.partial()
+            _, _, actions = self._host.append_own(now, [Change(CLAIM + ledger)], self.keys.pop(ledger).ledger)
+        partial = {} if by is not None else claim.content or claim.proposal.partial_table()
         return [*actions, ClaimLost(ledger, by, partial)]
--- a/ironbarrow/lab/capacity/ledgers.py
+++ b/ironbarrow/lab/capacity/ledgers.py
@@ -6,7 +6,7 @@
 from ironbarrow.fleet.api import job_ledger
 from ironbarrow.fleet.file import Fleet
 from ironbarrow.fleet.ledgers import LedgerMachine
-from ironbarrow.fleet.ledgers.messages import Append, Appended
+from ironbarrow.fleet.ledgers.messages import Append, AppendReply
 from ironbarrow.fleet.ledgers.proposal import majority
 from ironbarrow.fleet.members import MemberMachine
 from ironbarrow.fleet.records import JobRecord, Stage, drop, put
@@ -71,7 +71,7 @@
     writer = fleet.machines["m0"].writers[ledger]
     segment = fleet.machines[writer.at.replicas[0].name].replica.segments[ledger, writer.at.segment]
     return WriterCount(
-        jobs, traffic.of_kinds(Append), traffic.of_kinds(Appended), segment.size, len(segment.table)
+        jobs, traffic.of_kinds(Append), traffic.of_kinds(AppendReply), segment.size, len(segment.table)
     )
 
 
@@ -106,7 +106,7 @@
         dispatchers,
         jobs,
         traffic.of_kinds(*LedgerMachine.handles),
-        traffic.of_kinds(Appended).messages,
+        traffic.of_kinds(AppendReply).messages,
         appends.items,
         traffic.of_kinds(*Takeover.handles),
         traffic.of_kinds(*MemberMachine.handles),
@@ -163,7 +163,7 @@
     zones = {name: zone_of(number) for number, name in enumerate(fleet.names)}
     lost = 0
     for name in fleet.names:
-        chosen = fleet.machines[name].choose(job_ledger(fleet.machines[name].me))
+        chosen = fleet.machines[name].choose_replicas(job_ledger(fleet.machines[name].me))
         near = sum(region_of(zones[replica.name]) == region_of(zones[name]) for replica in chosen)
         lost += near < majority(chosen)
     return CutShare(dispatchers, dispatchers, lost)
--- a/ironbarrow/lab/fleet/random_ledgers.py
+++ b/ironbarrow/lab/fleet/random_ledgers.py
@@ -235,7 +235,12 @@
         """Without a majority for so long: new jobs go into another ledger, the old ones stay where they
         are."""
         writer = self.machine.writers.get(ledger)
-        if writer is not None and writer._down and self.writable() == ledger and len(self.ledgers) < 8:
+        if (
+            writer is not None
+            and writer._majority_late
+            and self.writable() == ledger
+            and len(self.ledgers) < 8
+        ):
             self.world.observer.counts["started over"] += 1
             self.start()
 
@@ -429,7 +434,7 @@
         for owner in self.owners.values():
             for name in owner.ledgers:
                 writer = owner.machine.writers.get(name)
-                if writer is not None and writer._down:
+                if writer is not None and writer._majority_late:
                     stuck.update(writer.table)  # it can do nothing with them
                     continue
                 for key in writer.table if writer is not None else ():
--- a/ironbarrow/lab/fleet/search.py
+++ b/ironbarrow/lab/fleet/search.py
@@ -1,6 +1,6 @@
 """A model search over the machines that keep ledgers: every interleaving, within bounds.
 
-Its states are those of the very objects that run (``LedgerMachine``: replica, writer, claimant), the messages
+Its states are those of the very objects that run (``LedgerMachine``: replica, writer, recovery), the messages
 under way and what has been observed; its steps deliver any message that is under way (never delivering one
 is its loss, delivering it late a pause of its target), double one, let a replica restart without what it
 kept, let the time of one member pass, or give an order. States are told apart by their whole content. After
@@ -42,7 +42,7 @@
 from ironbarrow.fleet.file import LedgerRules
 from ironbarrow.fleet.invariants import INVARIANTS, InvariantError
 from ironbarrow.fleet.ledgers import LedgerMachine
-from ironbarrow.fleet.ledgers.messages import Accepted, Learn, Learned, Promise
+from ironbarrow.fleet.ledgers.messages import Accepted, Learn, LearnAck, Promise
 from ironbarrow.fleet.ledgers.proposal import Step
 from ironbarrow.fleet.node import Node
 
@@ -76,7 +76,7 @@
 class _Searched(LedgerMachine):
     """The machine, with the claimant's own ledger taken as given: that its key is kept is a step."""
 
-    def own(self, now: int, changes: Sequence[Change], into: str) -> tuple[str, int, list[Action]]:
+    def append_own(self, now: int, changes: Sequence[Change], into: str) -> tuple[str, int, list[Action]]:
         return "own", 1, []
 
 
@@ -304,7 +304,9 @@
             case "lead":
                 node.carry_out(machine.lead(actor.clock, self._at))
             case "key kept":
-                node.carry_out(machine._settle(actor.clock, machine.claimant.kept(actor.clock, "own", 1)))
+                node.carry_out(
+                    machine._deliver_local(actor.clock, machine.recovery.on_committed(actor.clock, "own", 1))
+                )
             case "next":
                 actor.clock = max(actor.clock, machine.next_at())
                 node.ticked(actor.clock)
@@ -315,12 +317,12 @@
                 actor.view.dead = (event[1],)
                 actor.clock += LONG
                 node.ticked(actor.clock)
-        machine._tells.clear()  # that they are told again is a doubled message
+        machine._notices.clear()  # that they are told again is a doubled message
         letters = []
         for send in sends:
             if isinstance(send.message, Learn):
                 news.append(send.message)
-            if not isinstance(send.message, Learned) and send.to.name in self._names:
+            if not isinstance(send.message, LearnAck) and send.to.name in self._names:
                 letters.append(self._letter((actor.incarnation, send.to, send.message)))
         told = tuple(n for n in news if isinstance(n, Kept | Claimed | Learn | Moved))
         facts = tuple(_fact(actor.incarnation.name, n) for n in told)
@@ -333,7 +335,7 @@
         if name[0] == "k":
             return (("restart",),) if actor.incarnation.start == 1 and machine.replica.segments else ()
         writer = machine.writers.get(LEDGER)
-        claim = machine.claimant.claims.get(LEDGER)
+        claim = machine.recovery.claims.get(LEDGER)
         if writer is not None:
             if name == "w" or scenario.leads:
                 orders.append(("append",))
@@ -344,7 +346,7 @@
                 orders.append(("claim",))
             if name in scenario.leads:
                 orders.append(("lead",))
-        if any(not key.kept for key in machine.claimant.keys.values()):
+        if any(not key.committed for key in machine.recovery.keys.values()):
             orders.append(("key kept",))
         if writer is not None or claim is not None:
             orders += [("next",), ("sleep",)]
@@ -360,7 +362,7 @@
         if known is None:
             actor: _Actor = pickle.loads(self._actors[key[0]])
             writer = actor.machine.writers.get(LEDGER)
-            claim = actor.machine.claimant.claims.get(LEDGER)
+            claim = actor.machine.recovery.claims.get(LEDGER)
             proposal = (
                 writer._proposal if writer is not None else claim.proposal if claim is not None else None
             )
@@ -449,7 +451,18 @@
 
 
 _PASSED = frozenset(
-    ("_members", "_rules", "_home", "counts", "touched", "_is_alive", "me", "_tells", "_told", "_sweep_at")
+    (
+        "_members",
+        "_rules",
+        "_host",
+        "counts",
+        "last_used",
+        "_is_alive",
+        "me",
+        "_notices",
+        "_published",
+        "_sweep_at",
+    )
 )
 _SLOTS: dict[type, tuple[str, ...] | None] = {}
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -182,9 +182,9 @@
 def test_a_writer_that_sends_its_history_again_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     broken = mutant(
         writer,
-        ("            if done > 0:\n", "            if done < 0:\n"),
-        ("                first = progress.sent + 1\n", "                first = self._tail_from\n"),
-        ("progress.sent += len(message.changes)", "progress.sent = self.n"),
+        ("            if acknowledged > 0:\n", "            if acknowledged < 0:\n"),
+        ("                first = progress.sent + 1\n", "                first = self._tail_first_index\n"),
+        ("progress.sent += len(message.changes)", "progress.sent = self.last_index"),
     )
     monkeypatch.setattr(ledger_machine, "Writer", broken.Writer)
     found = writer_fits()
--- a/tests/test_fleet_frames.py
+++ b/tests/test_fleet_frames.py
@@ -28,17 +28,17 @@
     members.Cards((SUSPECTED, ALIVE), True),
     members.Want(("dispatcher-2", "dispatcher-3")),
     ledgers.Append("l", 1, 2, 3, CHANGES),
-    ledgers.Appended("l", 1, 9, ledgers.Answer.SEALED, BALLOT, MOVED),
+    ledgers.AppendReply("l", 1, 9, ledgers.ReplyStatus.SEALED, BALLOT, MOVED),
     ledgers.Seal("l", 1, BALLOT, OTHER),
     ledgers.Promise(
-        "l", 1, BALLOT, ledgers.Answer.DONE, BALLOT, OTHER, 9, 2, BALLOT, CLAIMED, True, False, CHANGES
+        "l", 1, BALLOT, ledgers.ReplyStatus.OK, BALLOT, OTHER, 9, 2, BALLOT, CLAIMED, True, False, CHANGES
     ),
-    ledgers.Decide("l", 1, BALLOT, MOVED),
-    ledgers.Accepted("l", 1, BALLOT, ledgers.Answer.UNKNOWN, BALLOT),
+    ledgers.Accept("l", 1, BALLOT, MOVED),
+    ledgers.Accepted("l", 1, BALLOT, ledgers.ReplyStatus.UNKNOWN, BALLOT),
     ledgers.Read("l", 1, "j/1"),
     ledgers.Page("l", 1, "j/1", CHANGES, True),
     ledgers.Learn("l", 1, BALLOT, CLAIMED, True),
-    ledgers.Learned("l", 1, True),
+    ledgers.LearnAck("l", 1, True),
     ledgers.Close("l", 1),
     takeover.Ask("id", b"\x03", 2),
     takeover.Said("id", 2, takeover.Word.ENDED, "served", b"r", 5, (OTHER,), (THIRD,)),
--- a/tests/test_fleet_ledgers.py
+++ b/tests/test_fleet_ledgers.py
@@ -19,10 +19,10 @@
 from ironbarrow.fleet.file import LedgerRules
 from ironbarrow.fleet.invariants import INVARIANTS, InvariantError
 from ironbarrow.fleet.ledgers import proposal
-from ironbarrow.fleet.ledgers.messages import Answer, Append, Close, Seal
+from ironbarrow.fleet.ledgers.messages import Append, Close, ReplyStatus, Seal
 from ironbarrow.fleet.ledgers.proposal import Proposal, Step
-from ironbarrow.fleet.ledgers.recovery import Claimant
-from ironbarrow.fleet.ledgers.replica import SEGMENT_SIZE, Replica
+from ironbarrow.fleet.ledgers.recovery import LedgerRecovery
+from ironbarrow.fleet.ledgers.replica import SEGMENT_OVERHEAD, Replica
 from ironbarrow.fleet.records import CLAIM
 from ironbarrow.lab.fleet.losses import LedgerFleet, formula, mass_kill, price
 from ironbarrow.lab.fleet.random_ledgers import World
@@ -190,13 +190,13 @@
         fleet.net.cut(first, refuses.name)
     fleet.do(first, "claim", at)
     for _ in range(200):
-        step = fleet.machines[first].claimant.claims[ledger].proposal.step
+        step = fleet.machines[first].recovery.claims[ledger].proposal.step
         if step is Step.SEALED or not sealed_first:
             break
         fleet.run(0.05)
     fleet.net.cut(first, refuses.name)
     fleet.run(10)
-    assert fleet.machines[first].claimant.claims[ledger].proposal.step is (
+    assert fleet.machines[first].recovery.claims[ledger].proposal.step is (
         Step.DECIDING if sealed_first else Step.SEALING
     )
     fleet.do(rival, "claim", at)
@@ -249,7 +249,7 @@
 def test_what_went_with_a_ledger_is_not_claimed_anew(mutant: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """m1 has claimed m0's ledger; m2 has claimed m1's, and with its key m0's. m1 is alive, and asks again."""
     if mutant:
-        monkeypatch.setattr(Claimant, "_settle", lambda self, ledger, by: None)
+        monkeypatch.setattr(LedgerRecovery, "_record_settled", lambda self, ledger, by: None)
     fleet = opened(9)
     fleet.do("m0", "append", job_ledger(fleet, "m0"), put(3))
     fleet.run(5)
@@ -314,10 +314,10 @@
     writer = fleet.machines["m0"].writers[ledger]
     assert most < 400 * 650
     assert {m.replica.size - before for m, before in others.items()} == {0}
-    assert (writer.table, writer._tail, writer._tail_size) == ({}, [], 0)
+    assert (writer.table, writer._tail, writer._tail_bytes) == ({}, [], 0)
     fleet.do("m0", "close", ledger)
     fleet.run(5)
-    assert all(m.replica.size in (b, b - SEGMENT_SIZE) for m, b in others.items())
+    assert all(m.replica.size in (b, b - SEGMENT_OVERHEAD) for m, b in others.items())
     assert not any(ledger == name for m in fleet.machines.values() for name, _ in m.replica.segments)
 
 
@@ -328,10 +328,13 @@
     answers = []
     for seq in range(1, 12):
         message = Append("l", 0, 0, seq, (Change(str(seq), b"x" * 100_000),))
-        answers.append(replica.append(0, writer, message).answer)
-    assert answers == [Answer.DONE] * 10 + [Answer.FULL] and replica.segments["l", 0].n == 10
-    assert replica.append(0, other, Append("m", 0, 0, 1)).answer is Answer.FULL and len(replica.segments) == 1
-    assert replica.append(0, writer, Append("l", 0, 0, 11, (Change("1"),))).answer is Answer.DONE
+        answers.append(replica.append(0, writer, message).status)
+    assert answers == [ReplyStatus.OK] * 10 + [ReplyStatus.FULL] and replica.segments["l", 0].last_index == 10
+    assert (
+        replica.append(0, other, Append("m", 0, 0, 1)).status is ReplyStatus.FULL
+        and len(replica.segments) == 1
+    )
+    assert replica.append(0, writer, Append("l", 0, 0, 11, (Change("1"),))).status is ReplyStatus.OK
     assert replica.size < 1 << 20
 
 
@@ -340,11 +343,13 @@
     writer, claimant = Incarnation("a", 1), Incarnation("c", 1)
     replica.append(0, writer, Append("l", 0, 0, 1, (Change("x", b""),)))
     replica.close(0, writer, Close("l", 0))
-    assert replica.append(0, writer, Append("l", 0, 0, 1)).answer is Answer.UNKNOWN
-    assert replica.seal(0, claimant, Seal("l", 0, Ballot(1, claimant), writer)).answer is Answer.UNKNOWN
-    assert replica.seal(0, claimant, Seal("l", 1, Ballot(1, claimant))).answer is Answer.UNKNOWN
-    assert replica.seal(0, claimant, Seal("l", 1, Ballot(1, claimant), writer)).base == -1  # sealed and empty
-    assert replica.append(0, writer, Append("l", 1, 0, 1)).answer is Answer.SEALED
+    assert replica.append(0, writer, Append("l", 0, 0, 1)).status is ReplyStatus.UNKNOWN
+    assert replica.seal(0, claimant, Seal("l", 0, Ballot(1, claimant), writer)).status is ReplyStatus.UNKNOWN
+    assert replica.seal(0, claimant, Seal("l", 1, Ballot(1, claimant))).status is ReplyStatus.UNKNOWN
+    assert (
+        replica.seal(0, claimant, Seal("l", 1, Ballot(1, claimant), writer)).snapshot_size == -1
+    )  # sealed and empty
+    assert replica.append(0, writer, Append("l", 1, 0, 1)).status is ReplyStatus.SEALED
 
 
 def test_large_tables_move_and_are_read_in_pages() -> None:
@@ -414,29 +419,29 @@
 
 
 def appends_under_a_seal(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Replica, "_sealed", lambda self, segment: False)
+    patch.setattr(Replica, "_is_sealed", lambda self, segment: False)
     _claim_beside_the_old_writer()
 
 
 def fate_ignored(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Proposal, "fate", lambda self: None)
+    patch.setattr(Proposal, "accepted_decision", lambda self: None)
     for _ in range(20):
         _claim_beside_the_old_writer()
 
 
 def reads_the_lowest(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(proposal, "_n", lambda promise: -promise.n)
+    patch.setattr(proposal, "_last_index_of", lambda promise: -promise.last_index)
     _claim_beside_the_old_writer()
 
 
 def decides_before_its_key_is_kept(patch: pytest.MonkeyPatch) -> None:
-    keyed = Claimant._keyed
+    keyed = LedgerRecovery._ensure_key
 
     def careless(self, now, claim):
         _, actions = keyed(self, now, claim)
         return True, actions
 
-    patch.setattr(Claimant, "_keyed", careless)
+    patch.setattr(LedgerRecovery, "_ensure_key", careless)
     _claim_beside_the_old_writer()
 
 
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -32,45 +32,45 @@
 
 
 def append_under_a_seal(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Replica, "_sealed", lambda self, segment: False)
+    patch.setattr(Replica, "_is_sealed", lambda self, segment: False)
 
 
 def accepted_fate_ignored(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Proposal, "fate", lambda self: None)
+    patch.setattr(Proposal, "accepted_decision", lambda self: None)
 
 
 def acts_on_a_seal(patch: pytest.MonkeyPatch) -> None:
-    def decide(self, now, own):
+    def propose(self, now, own):
         self.decision, self.step = own, Step.DECIDED
         return []
 
-    patch.setattr(Proposal, "decide", decide)
+    patch.setattr(Proposal, "propose", propose)
 
 
 def reads_the_lowest(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(proposal, "_n", lambda promise: -promise.n)
+    patch.setattr(proposal, "_last_index_of", lambda promise: -promise.last_index)
 
 
 def replicas_changed_without_a_seal(patch: pytest.MonkeyPatch) -> None:
     def replace(self, now):
-        if self.at.segment or not self._lost(now)[0]:
+        if self.at.segment or not self._lost_replicas(now)[0]:
             return []
-        self.at = LedgerAt(self.at.ledger, 1, self._home.choose(self.at.ledger, self._avoided(now)))
+        self.at = LedgerAt(self.at.ledger, 1, self._host.choose_replicas(self.at.ledger, self._avoided(now)))
         return self.open(now)
 
-    patch.setattr(Writer, "_replace", replace)
+    patch.setattr(Writer, "_replace_replicas", replace)
 
 
 def lower_ballot_accepted(patch: pytest.MonkeyPatch) -> None:
-    decide = Replica.decide
+    accept = Replica.accept
 
     def careless(self, now, sender, message):
         segment = self.segments.get((message.ledger, message.segment))
         if segment is not None:
             segment.promised = min(segment.promised, message.ballot)
-        return decide(self, now, sender, message)
+        return accept(self, now, sender, message)
 
-    patch.setattr(Replica, "decide", careless)
+    patch.setattr(Replica, "accept", careless)
 
 
 def forgetful(patch: pytest.MonkeyPatch) -> None:
