--- a/ironbarrow/fleet/links/queue.py
+++ b/ironbarrow/fleet/links/queue.py
@@ -4,7 +4,7 @@
 from enum import IntEnum
 
 
-class Sort(IntEnum):
+class Category(IntEnum):
     """Sorts of messages, in the order in which a full queue sheds them."""
 
     STARVATION = 0
@@ -13,77 +13,85 @@
     LEDGER = 3  # ledgers and take-over: what is owed hangs on them
 
 
-_SENT_FIRST = (Sort.MEMBERS, Sort.LEDGER, Sort.ROLLOUT, Sort.STARVATION)
+_SEND_ORDER = (Category.MEMBERS, Category.LEDGER, Category.ROLLOUT, Category.STARVATION)
 
 
-def sort_of(kind: int) -> Sort:
+def category_of(kind: int) -> Category:
     """By a message's number on the wire."""
     if 1 <= kind < 20:
-        return Sort.MEMBERS
+        return Category.MEMBERS
     if 60 <= kind < 80:
-        return Sort.ROLLOUT
-    return Sort.STARVATION if 80 <= kind < 100 else Sort.LEDGER
+        return Category.ROLLOUT
+    return Category.STARVATION if 80 <= kind < 100 else Category.LEDGER
 
 
 class Budget:
     """Bytes that all queues may hold together."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.used = most, 0
+    def __init__(self, limit: int) -> None:
+        self.limit, self.used = limit, 0
 
 
-class Queue:
+class SendQueue:
     """Frames for one peer. A full one drops the oldest of the sort that is shed first, the new frame
     included if its sort comes before all that wait."""
 
-    def __init__(self, most: int, most_bytes: int, budget: Budget, shed: Counter[str]) -> None:
-        self._most, self._most_bytes, self._budget, self._shed = most, most_bytes, budget, shed
-        self._waiting: dict[Sort, deque[bytes]] = {sort: deque() for sort in Sort}
+    def __init__(self, max_frames: int, max_bytes: int, budget: Budget, dropped: Counter[str]) -> None:
+        self._max_frames, self._max_bytes, self._budget, self._dropped = (
+            max_frames,
+            max_bytes,
+            budget,
+            dropped,
+        )
+        self._frames: dict[Category, deque[bytes]] = {category: deque() for category in Category}
         self.count = 0
         self.bytes = 0
 
-    def put(self, sort: Sort, frame: bytes) -> bool:
+    def put(self, category: Category, frame: bytes) -> bool:
         """Whether the frame waits now; what was dropped for it is counted by its sort."""
         size = len(frame)
         while (
-            self.count >= self._most
-            or self.bytes + size > self._most_bytes
-            or self._budget.used + size > self._budget.most
+            self.count >= self._max_frames
+            or self.bytes + size > self._max_bytes
+            or self._budget.used + size > self._budget.limit
         ):
-            worst = next((s for s in Sort if s <= sort and self._waiting[s]), None)
-            if worst is None:
-                self._shed[sort.name.lower()] += 1
+            victim = next(
+                (candidate for candidate in Category if candidate <= category and self._frames[candidate]),
+                None,
+            )
+            if victim is None:
+                self._dropped[category.name.lower()] += 1
                 return False
-            self._taken(self._waiting[worst].popleft())
-            self._shed[worst.name.lower()] += 1
-        self._waiting[sort].append(frame)
+            self._account_removal(self._frames[victim].popleft())
+            self._dropped[victim.name.lower()] += 1
+        self._frames[category].append(frame)
         self.count += 1
         self.bytes += size
         self._budget.used += size
         return True
 
-    def take(self, most_bytes: int) -> bytes:
+    def take(self, max_bytes: int) -> bytes:
         """The next frames together, one at least if any waits: members first, then ledgers, rollouts and
         tables."""
-        found: list[bytes] = []
+        frames: list[bytes] = []
         size = 0
-        for sort in _SENT_FIRST:
-            waiting = self._waiting[sort]
-            while waiting and (not found or size + len(waiting[0]) <= most_bytes):
-                size += len(waiting[0])
-                found.append(waiting.popleft())
-                self._taken(found[-1])
-        return b"".join(found)
+        for category in _SEND_ORDER:
+            pending = self._frames[category]
+            while pending and (not frames or size + len(pending[0]) <= max_bytes):
+                size += len(pending[0])
+                frames.append(pending.popleft())
+                self._account_removal(frames[-1])
+        return b"".join(frames)
 
     def clear(self, cause: str) -> None:
         """Drops all, counted under a cause."""
         if self.count:
-            self._shed[cause] += self.count
-        for waiting in self._waiting.values():
-            while waiting:
-                self._taken(waiting.popleft())
+            self._dropped[cause] += self.count
+        for pending in self._frames.values():
+            while pending:
+                self._account_removal(pending.popleft())
 
-    def _taken(self, frame: bytes) -> None:
+    def _account_removal(self, frame: bytes) -> None:
         self.count -= 1
         self.bytes -= len(frame)
         self._budget.used -= len(frame)
--- a/ironbarrow/fleet/service.py
+++ b/ironbarrow/fleet/service.py
@@ -114,7 +114,7 @@
     @property
     def sent(self) -> bool:
         """Whether nothing waits to be sent."""
-        return not self.links.waiting
+        return not self.links.unsent
 
     def close(self) -> None:
         """Ends at once, as a crash does for the others."""
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -11,7 +11,7 @@
 from ironbarrow.fleet.codec import FRAME_MOST, Codec
 from ironbarrow.fleet.file import Fleet, FleetError, parse
 from ironbarrow.fleet.invariants import INVARIANTS
-from ironbarrow.fleet.links.queue import Budget, Queue, Sort, sort_of
+from ironbarrow.fleet.links.queue import Budget, Category, SendQueue, category_of
 from ironbarrow.fleet.service import FleetService
 from ironbarrow.lab.live.ports import LoopbackNetwork
 from ironbarrow.runtime.loop import MS, SECOND, Loop
@@ -155,7 +155,7 @@
             for told in bench.told.values()
             for news in told
         )
-        assert b.links.figures["messages in"] > 0 and not a.links.shed["unreachable"]
+        assert b.links.metrics["messages in"] > 0 and not a.links.dropped["unreachable"]
 
 
 def test_a_renewed_member_is_another_incarnation_and_the_old_one_is_dead(bench: Bench) -> None:
@@ -229,7 +229,7 @@
                 return True
 
         bench.until(closed)
-    assert a.links.figures["foreign"] == 1
+    assert a.links.metrics["foreign"] == 1
     bench.run(0.5)
     assert bench.met()
 
@@ -245,7 +245,7 @@
     with socket.create_connection((bench.host, a.links.port)) as sock:
         sock.sendall(frame * 3)
         bench.until(lambda: a.codec.dropped["kind"] == 3)
-        assert a.links.figures["foreign"] == 0
+        assert a.links.metrics["foreign"] == 0
 
 
 def test_a_peer_that_reads_nothing_costs_a_bounded_queue_and_no_other_peer_anything(bench: Bench) -> None:
@@ -257,8 +257,8 @@
             a.order([Send(Incarnation("deaf"), Bulk(data)), Send(Incarnation("deaf"), Table(data))])
             bench.run(0.002)
             assert a.links._budget.used <= 1100 << 10
-        assert a.links.shed["starvation"] > 100
-        assert a.links.shed["ledger"] > 50
+        assert a.links.dropped["starvation"] > 100
+        assert a.links.dropped["ledger"] > 50
         a.order([Send(b.incarnation, Bulk(b"on"))])
         bench.until(lambda: bench.sinks["b"].heard == [(a.incarnation, b"on")])
         bench.until(lambda: not a.links._budget.used)  # it is given up in time
@@ -270,12 +270,12 @@
     with contextlib.ExitStack() as stack:
         socks = [stack.enter_context(socket.create_connection((bench.host, a.links.port))) for _ in range(40)]
         bench.run(0.3)
-        assert a.links.figures["evicted"] >= 24
+        assert a.links.metrics["evicted"] >= 24
         for i in range(40):
             a.fleet.routes[f"n{i}"] = b.address
             a.order([Send(Incarnation(f"n{i}"), Bulk(b"x"))])
             bench.run(0.01)
-        assert a.links.open <= 32
+        assert a.links.open_connections <= 32
         assert len(socks) == 40
     bench.until(bench.met)
 
@@ -292,7 +292,7 @@
                 taken += 1
                 sock.close()
     assert 2 <= taken <= 7
-    assert a.links.shed["unreachable"] > 20
+    assert a.links.dropped["unreachable"] > 20
 
 
 def test_half_frames_are_bounded_together(bench: Bench) -> None:
@@ -307,34 +307,41 @@
                     left = left[sock.send(left) :]
                 bench.run(0.001)
         bench.run(0.1)
-        assert a.links._half_bytes <= 2 << 20
-        assert a.links.figures["evicted"] >= 6
+        assert a.links._partial_bytes <= 2 << 20
+        assert a.links.metrics["evicted"] >= 6
     assert bench.met()
 
 
 def test_a_full_queue_sheds_in_the_stated_order() -> None:
     shed: Counter[str] = Counter()
     budget = Budget(10_000)
-    queue = Queue(6, 1000, budget, shed)
-    for sort in (Sort.LEDGER, Sort.STARVATION, Sort.MEMBERS, Sort.ROLLOUT, Sort.MEMBERS, Sort.STARVATION):
+    queue = SendQueue(6, 1000, budget, shed)
+    for sort in (
+        Category.LEDGER,
+        Category.STARVATION,
+        Category.MEMBERS,
+        Category.ROLLOUT,
+        Category.MEMBERS,
+        Category.STARVATION,
+    ):
         assert queue.put(sort, bytes(10))
     gone = []
     for _ in range(6):
         before = shed.copy()
-        queue.put(Sort.LEDGER, bytes(10))
+        queue.put(Category.LEDGER, bytes(10))
         gone += (shed - before).elements()
     assert gone == ["starvation", "starvation", "members", "members", "rollout", "ledger"]
-    assert not queue.put(Sort.STARVATION, b"x") and shed["starvation"] == 3  # itself
+    assert not queue.put(Category.STARVATION, b"x") and shed["starvation"] == 3  # itself
     assert (queue.count, queue.bytes, budget.used) == (6, 60, 60)
-    assert queue.put(Sort.LEDGER, bytes(1000)) and queue.count == 1
+    assert queue.put(Category.LEDGER, bytes(1000)) and queue.count == 1
     assert queue.take(10) == bytes(1000) and budget.used == queue.bytes == queue.count == 0
-    queue.put(Sort.LEDGER, b"l")
-    queue.put(Sort.STARVATION, b"s")
-    queue.put(Sort.MEMBERS, b"m")
+    queue.put(Category.LEDGER, b"l")
+    queue.put(Category.STARVATION, b"s")
+    queue.put(Category.MEMBERS, b"m")
     assert queue.take(100) == b"mls"
-    assert [sort_of(kind) for kind in (1, 19, 20, 59, 60, 79, 80, 99, 100)] == [
-        Sort.MEMBERS, Sort.MEMBERS, Sort.LEDGER, Sort.LEDGER, Sort.ROLLOUT, Sort.ROLLOUT,
-        Sort.STARVATION, Sort.STARVATION, Sort.LEDGER,
+    assert [category_of(kind) for kind in (1, 19, 20, 59, 60, 79, 80, 99, 100)] == [
+        Category.MEMBERS, Category.MEMBERS, Category.LEDGER, Category.LEDGER, Category.ROLLOUT,
+        Category.ROLLOUT, Category.STARVATION, Category.STARVATION, Category.LEDGER,
     ]  # fmt: skip
 
 
