--- a/ironbarrow/fleet/ledgers/__init__.py
+++ b/ironbarrow/fleet/ledgers/__init__.py
@@ -1,4 +1,5 @@
-"""Ledgers: tables of keys that one member writes, others keep, and one that follows can have for itself."""
+"""Replicated ledgers: key-value tables with one writer, replicated to other members and recovered by another
+member when the writer fails."""
 
 from ironbarrow.fleet.ledgers.machine import LedgerMachine
 
