--- a/ironbarrow/fleet/ledgers/proposal.py
+++ b/ironbarrow/fleet/ledgers/proposal.py
@@ -1,9 +1,11 @@
-"""One member's try to settle the fate of one segment: seal, read, decide. No input or output.
-
-States: SEALING (promises are asked for), READING (its replicas' largest table comes by pages), SEALED (a
-majority has promised and the content is known: what is to become of it?), DECIDING (a fate is proposed),
-DECIDED. A try that a higher ballot stops begins anew after a wait that grows, derived from who tries what,
-so that two never stop each other forever.
+"""One member's attempt to decide the fate of one segment by a ballot, as in single-decree Paxos. No input or
+output.
+
+Steps: SEALING (requests promises from the replicas), READING (reads the most complete table in pages), SEALED
+(a majority has promised and the content is known; the caller now proposes a fate), DECIDING (requests
+acceptance of the proposed fate), DECIDED. An attempt that is refused because of a higher ballot starts again
+after a growing delay. The delay differs between members, so that competing proposals do not preempt each
+other forever.
 """
 
 import enum
@@ -14,11 +16,12 @@
 from ironbarrow.fleet.invariants import check
 from ironbarrow.fleet.ledgers.messages import Accept, Accepted, Learn, Page, Promise, Read, ReplyStatus, Seal
 
-_OTHERS_WAIT = 4  # times ``resend``: so long those that have not refused are waited for
+# multiples of ``resend``: added to the delay if the replicas that have not refused could be a majority
+_OTHERS_WAIT = 4
 
 
 class Step(enum.Enum):
-    """How far a proposal has come."""
+    """The progress of a proposal."""
 
     SEALING = 1
     READING = 2
@@ -28,12 +31,13 @@
 
 
 def majority(replicas: tuple[Incarnation, ...]) -> int:
-    """How many of them are more than half."""
+    """The smallest number of these replicas that is more than half of them."""
     return len(replicas) // 2 + 1
 
 
 class Proposal:
-    """``writer``: see ``Seal``. ``reads``: whether the content is wanted too."""
+    """Seals a segment and gets a fate decided for it. ``writer``: see ``Seal``. ``read_table``: whether to
+    read the segment's table as well."""
 
     def __init__(
         self,
@@ -45,26 +49,26 @@
     ) -> None:
         self.me, self.at, self.writer, self._read_table, self._rules = me, at, writer, read_table, rules
         self.step = Step.SEALING
-        self.decision: Decision | None = None  # proposed, or decided
+        self.decision: Decision | None = None  # proposed (DECIDING) or decided (DECIDED)
         self.ballot = Ballot(0, me)
-        self.segment_writer = writer  # who writes the segment, as its replicas say
+        self.segment_writer = writer  # as reported by the replicas
         self.table: dict[str, bytes] = {}
-        self.complete = False  # ``table`` holds all that counted in this segment and before
-        self.released = False  # others have all that counted
+        self.complete = False  # ``table`` holds everything committed up to the end of this segment
+        self.released = False  # a replica has deleted its table, because other members hold the content
         self.promises: dict[Incarnation, Promise] = {}
-        self.without_segment: set[Incarnation] = set()
-        self._accepted_by: set[Incarnation] = set()  # to ``Decide``
+        self.without_segment: set[Incarnation] = set()  # replicas that replied UNKNOWN
+        self._accepted_by: set[Incarnation] = set()  # replicas that replied OK to ``Accept``
         self._refused_by: set[Incarnation] = set()
-        self._highest_round = 0
+        self._highest_round = 0  # of the ballots in refusals
         self._attempts = 0
-        self._sends = 0  # times, since this round began or it was answered
-        self._read_from: Incarnation | None = None  # whose table is read
-        self._after = ""
+        self._sends = 0  # requests sent since this step or page began
+        self._read_from: Incarnation | None = None  # the replica whose table is read
+        self._after = ""  # the last key that was read
         self._resend_at = NEVER
         self._retry_at = NEVER
 
     def start(self, now: int) -> list[Action]:
-        """Asks for promises under a ballot above all seen."""
+        """Requests promises under a ballot above all that have been seen."""
         self.ballot = Ballot(max(self._highest_round, self.ballot.round) + 1, self.me)
         self.step, self.decision = Step.SEALING, None
         self.promises.clear()
@@ -75,8 +79,8 @@
         return self._send_requests(now)
 
     def accepted_decision(self) -> Decision | None:
-        """What a promise brought and must be proposed again: the decided one, or that of the highest
-        ballot."""
+        """The decision that must be proposed again, because a replica reported it in its promise: the decided
+        one if there is one, else the one accepted under the highest ballot. None: any may be proposed."""
         found = [p for p in self.promises.values() if p.decision is not None and p.accepted is not None]
         for promise in found:
             if promise.decided:
@@ -84,13 +88,14 @@
         return max(found, key=_accepted_ballot).decision if found else None
 
     def learn_message(self, release: bool) -> Learn:
-        """DECIDED: what the replicas are told of it."""
+        """The message that announces the decision; only in step DECIDED."""
         assert self.decision is not None
         known = [p.accepted for p in self.promises.values() if p.decided and p.accepted is not None]
         ballot = known[0] if known else self.ballot
         return Learn(self.at.ledger, self.at.segment, ballot, self.decision, release)
 
     def on_promise(self, now: int, sender: Incarnation, message: Promise) -> list[Action]:
+        """Handles a reply to ``Seal``; continues when a majority has promised."""
         if sender not in self.at.replicas or message.ballot != self.ballot or self.step is not Step.SEALING:
             return []
         if message.status is ReplyStatus.UNKNOWN:
@@ -105,6 +110,7 @@
         return []
 
     def on_page(self, now: int, sender: Incarnation, message: Page) -> list[Action]:
+        """Adds a page to the table and requests the next one."""
         if self.step is not Step.READING or sender != self._read_from or message.after != self._after:
             return []
         _add_entries(self.table, message.changes)
@@ -115,7 +121,8 @@
         return self._send_requests(now)
 
     def propose(self, now: int, value: Decision) -> list[Action]:
-        """SEALED: proposes that fate, which must be ``fate()`` if there is one."""
+        """Requests acceptance of a decision; only in step SEALED. It must be ``accepted_decision()``, unless
+        that is None."""
         self.decision = value
         if any(p.decided for p in self.promises.values()):
             self.step, self._resend_at = Step.DECIDED, NEVER
@@ -125,6 +132,7 @@
         return self._send_requests(now)
 
     def on_accepted(self, now: int, sender: Incarnation, message: Accepted) -> list[Action]:
+        """Handles a reply to ``Accept``; the fate is decided when a majority has accepted it."""
         if sender not in self.at.replicas or message.ballot != self.ballot or self.step is not Step.DECIDING:
             return []
         if message.status is ReplyStatus.OK:
@@ -138,6 +146,7 @@
         return []
 
     def ticked(self, now: int) -> list[Action]:
+        """Starts a new round or resends requests, if that is due."""
         if now >= self._retry_at:
             return self.start(now)
         if now >= self._resend_at:
@@ -147,15 +156,16 @@
         return []
 
     def next_at(self) -> int:
+        """When ``ticked`` is due next, ns."""
         return min(self._resend_at, self._retry_at)
 
     def majority_lost(self, dead: Iterable[Incarnation]) -> bool:
-        """No majority can answer: too many are gone, or know nothing of the segment."""
+        """Whether no majority can promise: too many replicas are dead or do not have the segment."""
         unavailable = self.without_segment.union(dead)
         return sum(replica not in unavailable for replica in self.at.replicas) < majority(self.at.replicas)
 
     def partial_table(self) -> dict[str, bytes]:
-        """The largest table that has come, of which nothing is proven."""
+        """The most complete table received so far; it may lack committed changes."""
         best = max(self.promises.values(), key=_last_index_of, default=None)
         table = dict(self.table)
         if best is not None and best.table is not None:
@@ -163,7 +173,7 @@
         return table
 
     def _send_requests(self, now: int) -> list[Action]:
-        """Sends what this step asks for to whoever has not answered."""
+        """Sends the requests of this step to the replicas that have not replied."""
         at, sends = self.at, list[Action]()
         if self.step is Step.SEALING:
             message = Seal(at.ledger, at.segment, self.ballot, self.writer)
@@ -177,13 +187,13 @@
             sends = [Send(replica, accept) for replica in at.replicas if replica not in self._accepted_by]
         elif self.step is Step.READING and self._read_from is not None:
             sends = [Send(self._read_from, Read(at.ledger, at.segment, self._after))]
-        # ever further apart: after a mass death most of those that are asked do not answer
+        # exponential backoff: when many members have failed at once, most of these requests get no reply
         self._resend_at = now + (self._rules.resend << min(self._sends, 4))
         self._sends += 1
         return sends
 
     def _on_majority_promised(self, now: int) -> list[Action]:
-        """A majority has promised: what the segment holds is settled."""
+        """A majority has promised, so the content of the segment is final."""
         best = max(sorted(self.promises), key=lambda replica: _last_index_of(self.promises[replica]))
         promise = self.promises[best]
         check(
@@ -210,14 +220,15 @@
         return self._send_requests(now)
 
     def _schedule_retry(self, now: int, sender: Incarnation | None, promised: Ballot | None) -> None:
-        """Plans another round. Danger: the replicas that are left may be a majority by number and yet never
-        answer, one being dead: where they would be enough they are only waited for longer."""
+        """Schedules another round. The replicas that have not refused may be a majority by number and
+        still not reply, because one of them is dead. Waiting for them without a limit would block the
+        proposal, so they only get more time before the next round."""
         if promised is not None:
             self._highest_round = max(self._highest_round, promised.round)
         enough_left = False
         if sender is not None:
             if sender in self._refused_by:
-                return  # it was asked again
+                return  # a second refusal, of a request that was resent
             self._refused_by.add(sender)
             enough_left = len(self.at.replicas) - len(self._refused_by) >= majority(self.at.replicas)
         if self._retry_at == NEVER:
