--- a/ironbarrow/fleet/ledgers/replica.py
+++ b/ironbarrow/fleet/ledgers/replica.py
@@ -1,13 +1,15 @@
-"""A replica of others' segments: what it has, what it has promised, what it has accepted. No input or output.
+"""The replica side of ledgers: stores segments for other members and votes on their fates. No input or
+output.
 
-A segment here is *open* (appends of its writer are applied, strictly in order), *sealed* (a ballot is
-promised: no append ever again), *decided* (its fate is known), *released* (its table is gone, the fate is
-remembered for a while) or *forgotten*. What is forgotten is never made anew: the highest number forgotten of
-each ledger is remembered, so that a message that comes very late opens nothing.
+A segment is *open* (appends of its writer are applied strictly in order), *sealed* (a ballot has been
+promised; nothing can be appended any more), *decided* (its fate is known), *released* (its table has been
+deleted; the fate is kept for a while) or *deleted*. A deleted segment is never created again: the highest
+deleted segment number of each ledger is kept, so that a message that arrives very late does not create the
+segment anew.
 
-Memory is bounded by ``memory_mb``: over three quarters of it no new segment is opened, over all of it no
-change that grows a table is taken; both are answered with FULL, and the writer goes elsewhere. What is kept
-is never dropped for it.
+Memory is bounded by ``memory_mb``: above three quarters of it no new segment is created, and above all of it
+no change that makes a table larger is applied. Both are refused with FULL, and the writer chooses another
+replica. Stored segments are never deleted to free memory.
 """
 
 from collections import Counter, OrderedDict
@@ -36,26 +38,24 @@
 )
 
 _SECOND = 1_000_000_000
-TOMBSTONE_RETENTION = 120 * _SECOND  # so long a released segment's fate is remembered
-ABANDONED_AFTER = (
-    600 * _SECOND
-)  # so long a segment is kept that nobody has touched, and whose owner does not live
-SWEEP_INTERVAL = 10 * _SECOND
-SEGMENT_OVERHEAD = 1_000  # bytes of a segment without its table
-MAX_DELETED_LEDGERS = 4096  # ledgers of which the highest forgotten segment is remembered
+TOMBSTONE_RETENTION = 120 * _SECOND  # how long the fate of a released segment is kept, ns
+ABANDONED_AFTER = 600 * _SECOND  # how long an unused segment is kept if its owner is not alive, ns
+SWEEP_INTERVAL = 10 * _SECOND  # between two searches for segments to delete, ns
+SEGMENT_OVERHEAD = 1_000  # bytes that a segment takes besides its table
+MAX_DELETED_LEDGERS = 4096  # ledgers whose highest deleted segment number is kept
 
 
 @dataclass(slots=True)
 class Segment:
-    """One segment as this replica has it."""
+    """The state of one segment at this replica."""
 
     writer: Incarnation
-    snapshot_size: int  # changes of its opening table; -1: the opening was never seen
+    snapshot_size: int  # changes in its snapshot; -1: the snapshot was never received
     promised: Ballot
     last_used: int  # ns
-    last_index: int = 0
+    last_index: int = 0  # of the changes applied
     table: dict[str, bytes] = field(default_factory=dict)
-    size: int = 0  # bytes, of the table
+    size: int = 0  # of the table, bytes
     accepted: Ballot | None = None
     decision: Decision | None = None
     decided: bool = False
@@ -63,20 +63,20 @@
 
 
 class Replica:
-    """All segments that this member keeps. ``is_alive``: whether an incarnation is held for alive."""
+    """All segments that this member stores. ``is_alive``: whether an incarnation is considered alive."""
 
     def __init__(self, me: Incarnation, is_alive: Callable[[Incarnation], bool], rules: LedgerRules) -> None:
         self.me = me
         self._is_alive = is_alive
         self._memory_limit = rules.memory_mb << 20
         self.segments: dict[tuple[str, int], Segment] = {}
-        self.deleted_up_to: OrderedDict[str, int] = OrderedDict()  # the highest forgotten segment of a ledger
-        self.size = 0  # bytes
+        self.deleted_up_to: OrderedDict[str, int] = OrderedDict()  # highest deleted segment number, by ledger
+        self.size = 0  # of all segments, bytes
         self.counts: Counter[str] = Counter()
         self._sweep_at = NEVER
 
     def received(self, now: int, sender: Incarnation, message: Message) -> Message | None:
-        """The answer to a message, for its sender."""
+        """Handles a message; returns the reply to its sender, if there is one."""
         match message:
             case Append():
                 return self.append(now, sender, message)
@@ -93,19 +93,20 @@
         return None
 
     def append(self, now: int, sender: Incarnation, message: Append) -> AppendReply | None:
-        """Applies what is next in order, all of it or nothing."""
+        """Applies the changes that follow the last one applied: all of them, or none. Duplicates are
+        skipped."""
         ledger, number = message.ledger, message.segment
         segment = self.segments.get((ledger, number))
         if segment is None:
             if self._is_deleted(ledger, number):
                 return AppendReply(ledger, number, 0, ReplyStatus.UNKNOWN)
             if self.size >= self._memory_limit // 4 * 3:
-                self.counts["opening refused"] += 1
+                self.counts["segment refused: memory"] += 1
                 return AppendReply(ledger, number, 0, ReplyStatus.FULL)
             segment = self._create(now, ledger, number, sender, message.snapshot_size)
         if sender != segment.writer:
-            # danger: a second writer's changes would be mixed with the first one's
-            self.counts["another writer"] += 1
+            # otherwise the changes of two writers would be mixed in one segment
+            self.counts["append of another writer"] += 1
             return AppendReply(ledger, number, 0, ReplyStatus.SEALED, segment.promised)
         segment.last_used = now
         if self._is_sealed(segment):
@@ -119,21 +120,21 @@
         if new_changes:
             added = sum(entry_size(c.key, c.value) for c in new_changes if c.value is not None)
             if added and self.size + added > self._memory_limit:
-                self.counts["append refused"] += 1
+                self.counts["append refused: memory"] += 1
                 return AppendReply(ledger, number, segment.last_index, ReplyStatus.FULL)
             self._apply(segment, sender, new_changes)
         return AppendReply(ledger, number, segment.last_index)
 
     def seal(self, now: int, sender: Incarnation, message: Seal) -> Promise | None:
-        """Promises, unless a higher ballot has the promise already."""
+        """Promises the ballot and seals the segment, unless a higher ballot has been promised."""
         ledger, number, ballot = message.ledger, message.segment, message.ballot
         if ballot.by != sender or ballot.round < 1:
-            self.counts["foreign ballot"] += 1
+            self.counts["ballot of another member"] += 1
             return None
         segment = self.segments.get((ledger, number))
         if segment is None:
-            # danger: made sealed and empty only where a decided fate says that it exists and it never was
-            # here; one that was forgotten held what this could not know
+            # created, sealed and empty, only if a decided fate proves that it exists and it was never here: a
+            # deleted segment may have held committed changes, which an empty promise would deny
             if message.writer is None or self._is_deleted(ledger, number) or self.size >= self._memory_limit:
                 return Promise(ledger, number, ballot, ReplyStatus.UNKNOWN)
             segment = self._create(now, ledger, number, message.writer, -1)
@@ -161,11 +162,11 @@
         )
 
     def accept(self, now: int, sender: Incarnation, message: Accept) -> Accepted | None:
-        """Accepts a fate, unless a higher ballot has the promise."""
+        """Accepts a fate, unless a higher ballot has been promised."""
         ledger, number, ballot = message.ledger, message.segment, message.ballot
         segment = self.segments.get((ledger, number))
         if ballot.by != sender or ballot.round < 1:
-            self.counts["foreign ballot"] += 1
+            self.counts["ballot of another member"] += 1
             return None
         if segment is None:
             return Accepted(ledger, number, ballot, ReplyStatus.UNKNOWN)
@@ -187,7 +188,7 @@
         return Accepted(ledger, number, ballot, ReplyStatus.OK, ballot)
 
     def read(self, now: int, message: Read) -> Page | None:
-        """A page of a sealed table."""
+        """A page of a sealed segment's table; None if the segment is open, released or not here."""
         segment = self.segments.get((message.ledger, message.segment))
         if segment is None or segment.released or not self._is_sealed(segment):
             return None
@@ -197,7 +198,7 @@
         return Page(message.ledger, message.segment, message.after, page, len(page) == len(remaining))
 
     def learn(self, now: int, message: Learn) -> LearnAck:
-        """Notes a decided fate; drops the table where it is had elsewhere."""
+        """Stores a decided fate; deletes the table if the message releases it."""
         segment = self.segments.get((message.ledger, message.segment))
         if segment is not None:
             check(
@@ -220,14 +221,14 @@
         return LearnAck(message.ledger, message.segment, message.release)
 
     def close(self, now: int, sender: Incarnation, message: Close) -> LearnAck:
-        """Forgets a segment whose writer is owed nothing by it; not one that was sealed by another."""
+        """Deletes a segment that its writer has closed, unless another member has sealed it."""
         segment = self.segments.get((message.ledger, message.segment))
         if segment is not None and segment.writer == sender and not self._is_sealed(segment):
             self._delete(message.ledger, message.segment)
         return LearnAck(message.ledger, message.segment, True)
 
     def ticked(self, now: int) -> None:
-        """Forgets what has lain long enough."""
+        """Deletes released segments, and unused ones of dead owners, after their retention time."""
         if now < self._sweep_at:
             return
         for (ledger, number), segment in list(self.segments.items()):
@@ -241,6 +242,7 @@
         self._sweep_at = now + SWEEP_INTERVAL if self.segments else NEVER
 
     def next_at(self) -> int:
+        """When ``ticked`` is due next, ns."""
         return self._sweep_at
 
     def _is_sealed(self, segment: Segment) -> bool:
