--- a/ironbarrow/fleet/ledgers/writer.py
+++ b/ironbarrow/fleet/ledgers/writer.py
@@ -1,8 +1,10 @@
-"""The writer of one ledger: appends, counts what a majority has, changes replicas. No input or output.
+"""The writer of one ledger: replicates appends, advances the commit index and replaces replicas. No input or
+output.
 
-States: *unplaced* (too few incarnations), *opening* (its table goes to new replicas), *open*, *moving* (its
-own seal and ``MOVED`` are under way; appends wait), *fenced* and *closed* (it ends). Other incarnations than
-its replicas are never counted: a replica that starts again is another incarnation.
+States: *unplaced* (too few members for replicas), *opening* (the snapshot is sent to new replicas), *open*,
+*moving* (the writer seals its own segment to continue in the next one; appends wait), *fenced* and *closed*
+(both final). Only replies of the incarnations that were chosen as replicas count: a replica that has
+restarted is another incarnation and has lost its data.
 """
 
 from collections import Counter, deque
@@ -43,41 +45,44 @@
 )
 from ironbarrow.fleet.ledgers.proposal import Proposal, Step, majority
 
-MAX_TAIL_BYTES = 4 << 20  # bytes of changes kept for replicas that lag: beyond, the slowest gets no more
-AVOID_MULTIPLE = 8  # times ``replace_after``: so long a replica that was silent is not chosen again
-UPGRADE_MULTIPLE = 10  # times ``replace_after``: so soon better replicas are moved to, though none is lost
-# danger: of two replicas none may be lost, and who starts with the first one it hears of would stay with two
-REFILL_MULTIPLE = 2  # times ``resend``: so soon where there are fewer than are wanted
+# of the changes kept for slow replicas, besides the snapshot; beyond it the slowest replica is excluded
+MAX_TAIL_BYTES = 4 << 20
+AVOID_MULTIPLE = 8  # multiples of ``replace_after``: how long a lost replica is not chosen again
+UPGRADE_MULTIPLE = 10  # multiples of ``replace_after``: when to move to better replicas although none is lost
+# multiples of ``resend``: the same with fewer replicas than configured. Two replicas tolerate no failure, and
+# a writer that started when it knew few members would otherwise stay with that few
+REFILL_MULTIPLE = 2
 
 
 class WriterHost(Protocol):
-    """What a writer needs of the member that it is part of."""
+    """The services of its member that a writer uses."""
 
     def choose_replicas(
         self, ledger: str, avoid: frozenset[Incarnation] = frozenset()
     ) -> tuple[Incarnation, ...]:
-        """Replicas for a ledger; empty if there are too few incarnations."""
+        """Chooses replicas for a ledger; empty if there are too few members."""
 
     def notify(self, now: int, incarnations: Sequence[Incarnation], message: Learn | Close) -> list[Action]:
-        """Tells incarnations of a fate until they have heard it."""
+        """Sends a message to incarnations, and again until each has acknowledged it."""
 
 
 class ReplicaProgress:
-    """How far a replica has come, as the writer sees it."""
+    """The replication state of one replica."""
 
     __slots__ = ("acked", "excluded", "gap_at", "sent", "sent_at", "unacked_since")
 
     def __init__(self) -> None:
-        self.acked = -1  # -1: it has not answered at all
-        self.sent = 0
-        self.sent_at = 0  # ns
-        self.unacked_since = NEVER  # ns: it owes an answer since then
-        self.gap_at = -1
-        self.excluded = False  # it refused, or lags too far: it gets nothing more of this segment
+        self.acked = -1  # index of the last change acknowledged; -1: no reply yet
+        self.sent = 0  # index of the last change sent
+        self.sent_at = 0  # when, ns
+        self.unacked_since = NEVER  # ns: since when it owes a reply
+        self.gap_at = -1  # ``acked`` when changes were last resent because of a gap
+        self.excluded = False  # it refused or is too slow: nothing more of this segment is sent to it
 
 
 class Writer:
-    """``table``, ``offset``: what the ledger holds already, as its change with that number left it."""
+    """Writes one ledger. ``table``: the content of an existing ledger that this member begins to lead; None
+    for a new ledger."""
 
     def __init__(
         self,
@@ -85,52 +90,50 @@
         at: LedgerAt,
         members: Members,
         rules: LedgerRules,
-        home: WriterHost,
+        host: WriterHost,
         table: dict[str, bytes] | None = None,
     ) -> None:
-        self.me, self.at, self._members, self._rules, self._host = me, at, members, rules, home
+        self.me, self.at, self._members, self._rules, self._host = me, at, members, rules, host
         self.table: dict[str, bytes] = dict(table or {})
         self.seq = 0  # of the last change appended
-        self.committed_seq = 0
-        self.opened = False  # a majority has the opening of this segment
-        self.last_opened: LedgerAt | None = (
-            None  # the last segment that was opened: where others begin to look
-        )
-        self.ended = False
+        self.committed_seq = 0  # of the last change that a majority of the replicas has
+        self.opened = False  # a majority has the snapshot of this segment
+        self.last_opened: LedgerAt | None = None  # the last opened segment: where a recovery starts
+        self.ended = False  # fenced or closed
         self.counts: Counter[str] = Counter()
-        self._led_content = dict(table) if table is not None else None  # told when it is opened
-        self._moved_due = table is not None  # ``Moved`` is due when it is opened
-        self._previous: list[Proposal] = []  # segments before, whose tables go when this one is opened
-        self._proposal: Proposal | None = None  # moving
-        self._avoid_until: dict[Incarnation, int] = {}  # until when, ns
-        self._majority_late = False  # ``NoMajority`` has been told
-        self._rival_seal_at = NEVER  # another has sealed it
+        self._led_content = dict(table) if table is not None else None  # reported by ``Moved``
+        self._moved_due = table is not None  # report ``Moved`` when the segment is opened
+        self._previous: list[Proposal] = []  # earlier segments, to release when this one is opened
+        self._proposal: Proposal | None = None  # set while moving
+        self._avoid_until: dict[Incarnation, int] = {}  # by lost replica, ns
+        self._without_majority = False  # ``NoMajority`` has been reported
+        self._rival_seal_at = NEVER  # when another member's seal was noticed
         self._upgrade_at = NEVER
         self._due = NEVER
 
     @property
     def ready(self) -> bool:
-        """It may be appended to: not before a ledger that is led has been told of."""
+        """Whether it accepts appends; a led ledger does so once its content has been reported by
+        ``Moved``."""
         return self._led_content is None
 
-    # Orders
+    # Commands
 
     def open(self, now: int) -> list[Action]:
-        """Opens the segment at its replicas with the table as it is."""
+        """Opens the segment at its replicas, with the present table as its snapshot."""
         self.opened = False
         self._proposal, self._rival_seal_at = None, NEVER
         self.replica_progress = {replica: ReplicaProgress() for replica in self.at.replicas}
         self._tail = [Change(key, value) for key, value in self.table.items()]
         self._tail_bytes = sum(entry_size(c.key, c.value or b"") for c in self._tail)
         self._max_tail_bytes = MAX_TAIL_BYTES + self._tail_bytes
-        self._tail_first_index = 1  # number of the tail's first change
+        self._tail_first_index = 1  # index of the first change in the tail
         self.snapshot_size = self.last_index = len(self._tail)
         self._seq_offset = (
             self.seq - self.snapshot_size
-        )  # from numbers of this segment to those of the ledger
-        self._uncommitted: deque[tuple[int, int]] = deque(
-            [(self.snapshot_size, now)]
-        )  # number, since when: not yet kept
+        )  # index in this segment + offset = number in the ledger
+        # last index of an append that is not committed, and since when it waits
+        self._uncommitted: deque[tuple[int, int]] = deque([(self.snapshot_size, now)])
         self._upgrade_at = now + UPGRADE_MULTIPLE * self._rules.replace_after
         self._replace_check_at = now + self._rules.replace_after
         if len(self.at.replicas) < self._rules.replicas:
@@ -140,11 +143,12 @@
         return actions
 
     def append(self, now: int, changes: Sequence[Change]) -> tuple[int, list[Action]]:
-        """Takes changes in; they go out at once if nothing is under way, or with the next ``ticked``. A
-        ValueError for one that is over ``CHANGE_MOST``."""
+        """Appends changes and returns the number of the last one. They are sent at once if no append is
+        pending, else with the next ``ticked``. A ValueError for a change of more than
+        ``MAX_CHANGE_BYTES``."""
         for change in changes:
             if len(change.key) + len(change.value or b"") > MAX_CHANGE_BYTES:
-                raise ValueError(f"{change.key[:80]!r}: over {MAX_CHANGE_BYTES} bytes")
+                raise ValueError(f"{change.key[:80]!r}: larger than {MAX_CHANGE_BYTES} bytes")
         idle = not self._uncommitted
         for change in changes:
             if change.value is None:
@@ -159,7 +163,7 @@
         if changes:
             self._uncommitted.append((self.last_index, now))
         if self._proposal is not None or not self.at.replicas:
-            return self.seq, []  # the whole table goes to the next replicas
+            return self.seq, []  # the next segment's snapshot will hold them
         if self._tail_bytes > self._max_tail_bytes:
             self._trim_tail(now)
         if idle:
@@ -170,7 +174,7 @@
         return self.seq, []
 
     def close(self, now: int) -> list[Action]:
-        """Ends it: its replicas may forget."""
+        """Closes the ledger; its replicas may delete it."""
         self.ended = True
         actions = self._host.notify(now, self.at.replicas, Close(self.at.ledger, self.at.segment))
         return actions + self._release_previous(now)
@@ -178,6 +182,7 @@
     # Messages
 
     def on_append_reply(self, now: int, sender: Incarnation, message: AppendReply) -> list[Action]:
+        """Handles a replica's reply to ``Append``."""
         progress = self.replica_progress.get(sender)
         if progress is None or message.segment != self.at.segment:
             return []
@@ -197,20 +202,21 @@
             progress.excluded = True
             self._due = now
             return []
-        before = progress.acked
+        acked_before = progress.acked
         self._record_ack(now, progress, max(progress.acked, message.last_index))
         actions: list[Action] = []
-        # danger: a late one of a replica that has all by now would have it owe an answer for ever
+        # to a delayed GAP of a replica that has since caught up nothing would be resent, so that no reply
+        # would ever reset ``unacked_since``
         behind = progress.acked < self.last_index
         if (
             message.status is ReplyStatus.GAP
             and behind
             and message.last_index == progress.acked != progress.gap_at
         ):
-            # danger: without this memory every change that overtook another would bring the rest again
+            # without ``gap_at`` each reordered message would cause everything after the gap to be resent
             progress.gap_at, progress.sent = message.last_index, max(progress.acked, 0)
             progress.unacked_since = now
-        if progress.acked > before:
+        if progress.acked > acked_before:
             actions += self._advance_commit(now)
             self._trim_tail(now)
         if not self.ended:
@@ -221,7 +227,7 @@
     def on_seal_reply(
         self, now: int, sender: Incarnation, message: Promise | Accepted | Page
     ) -> list[Action]:
-        """An answer to its own seal."""
+        """Handles a reply to the writer's own proposal."""
         proposal = self._proposal
         if proposal is None or message.segment != self.at.segment:
             return []
@@ -234,12 +240,13 @@
         return actions + self._advance_proposal(now)
 
     def on_learn(self, now: int, message: Learn) -> list[Action]:
-        """Another tells a fate."""
+        """Handles a fate that another member announces."""
         return self._on_decided(now, message.decision) if message.segment == self.at.segment else []
 
     # Time
 
     def ticked(self, now: int) -> list[Action]:
+        """Does what is due: resends, replaces replicas, and reports a missing majority."""
         actions: list[Action] = []
         if now >= self._due:
             if not self.at.replicas:
@@ -262,9 +269,10 @@
         return actions
 
     def next_at(self) -> int:
+        """When ``ticked`` is due next, ns."""
         return self._due
 
-    # Inside
+    # Internals
 
     def _record_ack(self, now: int, progress: ReplicaProgress, index: int) -> None:
         progress.acked = index
@@ -272,14 +280,15 @@
         progress.unacked_since = now if progress.sent > index else NEVER
 
     def _flush(self, now: int, *, resend: bool = False, force: bool = False) -> list[Action]:
-        """Sends each replica what it has not been sent, or (``resend``) not acknowledged in time."""
+        """Sends each replica the changes that it has not been sent, or with ``resend`` those that it has not
+        acknowledged in time. ``force``: sends the snapshot even if it is empty."""
         actions: list[Action] = []
         if self._proposal is not None:
-            return actions  # danger: the tail is gone by then, the whole table goes to the next replicas
+            return actions  # while moving the tail is empty; the next replicas get the whole table
         messages: dict[int, Append] = {}
         rules = self._rules
         if self._proposal is not None:
-            return actions  # danger: what is appended from here on is in the next segment's opening alone
+            return actions  # changes appended while moving belong to the next segment's snapshot only
         for replica, progress in self.replica_progress.items():
             if progress.excluded:
                 continue
@@ -296,7 +305,8 @@
                     message = Append(self.at.ledger, self.at.segment, self.snapshot_size, first, changes)
                     messages[first] = message
                 if not message.changes and progress.sent < self.last_index:
-                    # danger: what it lacks is no longer here; asked for again and again this never ends
+                    # the changes that it lacks have been trimmed from the tail; it would report the gap
+                    # forever
                     progress.excluded, self._due = True, now
                     break
                 actions.append(Send(replica, message))
@@ -305,11 +315,11 @@
                 if progress.unacked_since == NEVER:
                     progress.unacked_since = now
                 if overdue:
-                    break  # one message at a time to one that does not answer
+                    break  # a replica that does not reply gets one message at a time
         return actions
 
     def _advance_commit(self, now: int) -> list[Action]:
-        """Tells what a majority has now."""
+        """Reports the changes that a majority of the replicas has acknowledged."""
         acked = sorted((progress.acked for progress in self.replica_progress.values()), reverse=True)
         committed = acked[majority(self.at.replicas) - 1]
         actions: list[Action] = []
@@ -329,15 +339,16 @@
         return actions + self._check_majority(now)
 
     def _check_majority(self, now: int) -> list[Action]:
-        """Tells when no majority answers in time, and when one does again."""
+        """Reports when no majority replies in time, and when one does again."""
         overdue = bool(self._uncommitted) and now - self._uncommitted[0][1] >= self._rules.wait
-        if overdue == self._majority_late:
+        if overdue == self._without_majority:
             return []
-        self._majority_late = overdue
+        self._without_majority = overdue
         return [NoMajority(self.at.ledger, back=not overdue)]
 
     def _trim_tail(self, now: int) -> None:
-        """Forgets the tail that every replica has; a replica that lags too far is given up."""
+        """Removes the changes that all replicas have from the tail; excludes the slowest replica while the
+        tail is too large."""
         while True:
             active = [progress for progress in self.replica_progress.values() if not progress.excluded]
             lowest = min((max(progress.acked, 0) for progress in active), default=self.last_index)
@@ -350,11 +361,11 @@
             if self._tail_bytes <= self._max_tail_bytes or not active:
                 return
             min(active, key=lambda progress: progress.acked).excluded = True
-            self.counts["lagged"] += 1
+            self.counts["slow replica excluded"] += 1
             self._due = now
 
     def _lost_replicas(self, now: int) -> tuple[set[Incarnation], set[Incarnation]]:
-        """Replicas that are to be replaced, and those that can't be asked for a promise."""
+        """The replicas to be replaced, and those of them that can't reply to a seal."""
         silence_limit = self._rules.replace_after
         lost, unreachable = set(), set()
         for replica, progress in self.replica_progress.items():
@@ -368,14 +379,16 @@
         return lost, unreachable
 
     def _avoided(self, now: int) -> frozenset[Incarnation]:
+        """The incarnations that are not to be chosen at present."""
         self._avoid_until = {
             incarnation: until for incarnation, until in self._avoid_until.items() if until > now
         }
         return frozenset(self._avoid_until)
 
     def _next_replicas(self, now: int) -> tuple[Incarnation, ...]:
-        """Danger: of fewer replicas fewer may be lost. Where too few others can be had, present ones that are
-        slow, and not held for dead, stay; this member again only where that makes the number odd."""
+        """The replicas of the next segment. Fewer replicas tolerate fewer failures: if there are too
+        few other members, present replicas that are slow but not considered dead stay; this member itself is
+        added only to make the number odd."""
         chosen = [
             candidate
             for candidate in self._host.choose_replicas(self.at.ledger, self._avoided(now))
@@ -391,8 +404,9 @@
         return tuple(chosen) or self.at.replicas
 
     def _replace_replicas(self, now: int) -> list[Action]:
-        """Seals its own segment where replicas are lost and others can be had, or another's seal has come to
-        nothing."""
+        """Seals the writer's own segment, to continue in the next one, if replicas are lost and can be
+        replaced, if better ones are available, or if another member's seal has not led to a decision in
+        time."""
         too_few = len(self.at.replicas) < self._rules.replicas
         self._replace_check_at = now + (
             REFILL_MULTIPLE * self._rules.resend if too_few else self._rules.replace_after
@@ -401,11 +415,13 @@
             self._rival_seal_at != NEVER and now >= self._rival_seal_at + self._rival_seal_timeout()
         )
         lost, unreachable = self._lost_replicas(now)
-        if lost:  # another may come at any time, and until then the next loss is one too many
+        if lost:
+            # a new member may be available at any time, and until then the next loss could cost the majority
             self._replace_check_at = now + REFILL_MULTIPLE * self._rules.resend
         if not rival_timed_out:
             if len(self.replica_progress) - len(unreachable) < majority(self.at.replicas):
-                # danger: a seal that can't be decided would stop those that still answer
+                # without a majority a seal can't be decided; it would only make the remaining replicas refuse
+                # appends
                 return self._skip_segment(now)
             chosen = set(self._next_replicas(now))
             current = set(self.at.replicas)
@@ -423,15 +439,16 @@
         return self._proposal.start(now)
 
     def _skip_segment(self, now: int) -> list[Action]:
-        """Goes on in the next segment without a seal, where it is proven that nobody can ever seal this one:
-        fewer replicas than a majority can still be the incarnations that they were. Without this a writer
-        whose replicas start again all at once would write nothing more.
+        """Continues in the next segment without a seal, if it is proven that nobody can ever seal this one:
+        so many replicas have terminated that the others are no majority. Without this, a writer whose
+        replicas all restart at once could never write again.
 
-        Danger: that a replica is held for dead proves nothing; that another incarnation has its name, or that
-        it has left, does."""
+        A replica that is considered dead may still be alive. Only a newer incarnation of its name, or
+        its announced departure, proves that it has terminated."""
         if self.table or not self.at.ledger.startswith(job_ledger(self.me)):
-            # danger: the fate may have been decided before the replicas went, and the writer not have heard
-            # of it: what the segment held may be another's by now, and a led ledger another's to write
+            # the fate may have been decided before the replicas terminated, without the writer
+            # learning of it: another member may own the content by now, or write the ledger if it is a led
+            # one
             return []
         terminated = {
             replica for replica in self.at.replicas if replica != self.me and self._has_terminated(replica)
@@ -443,24 +460,26 @@
             return []
         self.at = LedgerAt(self.at.ledger, self.at.segment + 1, chosen)
         self._moved_due = True
-        self.counts["left behind"] += 1
+        self.counts["segment skipped"] += 1
         waiting_since = self._uncommitted[0][1] if self._uncommitted else now
         actions = self.open(now)
         self._uncommitted[0] = (self.snapshot_size, waiting_since)
         return actions
 
     def _has_terminated(self, incarnation: Incarnation) -> bool:
+        """Whether an incarnation has left, or a newer one of its name is known."""
         card = self._members.card(incarnation.name)
         left = self._members.health(incarnation) is Health.LEFT
         return left or (card is not None and card.incarnation.start > incarnation.start)
 
     def _rival_seal_timeout(self) -> int:
-        """Another that seals has so long to decide before the writer seals itself."""
+        """How long another member that has sealed the segment may take to get a fate decided, ns; after that
+        the writer seals the segment itself. Differs between ledgers."""
         timeout = self._rules.replace_after
         return timeout + rank(f"{self.at.ledger}/{self.at.segment}", str(self.me)) % (timeout // 2)
 
     def _advance_proposal(self, now: int) -> list[Action]:
-        """Goes on with its own seal."""
+        """Continues the writer's own proposal as far as its step allows."""
         proposal = self._proposal
         actions: list[Action] = []
         if proposal is None:
@@ -476,13 +495,13 @@
         return actions
 
     def _on_decided(self, now: int, decision: Decision) -> list[Action]:
-        """The segment's fate is decided."""
+        """Acts on the decided fate of the segment: ends, or opens the next segment."""
         proposal = self._proposal
         if decision.fate is Fate.CLAIMED or decision.by != self.me:
             self.ended = True
             return [Fenced(self.at.ledger, decision.by)]
         if proposal is None or proposal.step is not Step.DECIDED:
-            return []  # an earlier try of its own: its proposal will find it
+            return []  # decided by an earlier round of its own: the proposal will learn of it
         self._previous.append(proposal)
         self.at = LedgerAt(self.at.ledger, self.at.segment + 1, decision.replicas)
         self._moved_due = True
@@ -493,21 +512,22 @@
         return actions
 
     def open_as_leader(self, now: int, previous: list[Proposal]) -> list[Action]:
-        """Opens a ledger that this member leads from here on."""
+        """Opens the segment of a ledger that this member begins to lead; ``previous``: earlier segments to
+        release."""
         self._previous = previous
         return self.open(now)
 
     def _release_previous(self, now: int) -> list[Action]:
-        """The segments before have nothing that this one has not: their tables may go."""
+        """Releases the tables of the earlier segments, whose content this segment holds."""
         previous, self._previous = self._previous, []
         return [
-            a
+            action
             for proposal in previous
-            for a in self._host.notify(now, proposal.at.replicas, proposal.learn_message(True))
+            for action in self._host.notify(now, proposal.at.replicas, proposal.learn_message(True))
         ]
 
     def _next_due(self, now: int) -> int:
-        """When something is due."""
+        """When ``ticked`` has something to do, ns."""
         if not self.at.replicas:
             return now + self._rules.resend
         due = NEVER
@@ -522,7 +542,7 @@
                 elif progress.sent < self.last_index:
                     due = now
             due = min(due, max(self._replace_check_at, now + 1))
-        if self._uncommitted and not self._majority_late:
+        if self._uncommitted and not self._without_majority:
             due = min(due, max(self._uncommitted[0][1] + self._rules.wait, now + 1))
         if self._rival_seal_at != NEVER and self._proposal is None:
             due = min(due, max(self._rival_seal_at + self._rival_seal_timeout(), now + 1))
--- a/ironbarrow/lab/fleet/random_ledgers.py
+++ b/ironbarrow/lab/fleet/random_ledgers.py
@@ -237,7 +237,7 @@
         writer = self.machine.writers.get(ledger)
         if (
             writer is not None
-            and writer._majority_late
+            and writer._without_majority
             and self.writable() == ledger
             and len(self.ledgers) < 8
         ):
@@ -434,7 +434,7 @@
         for owner in self.owners.values():
             for name in owner.ledgers:
                 writer = owner.machine.writers.get(name)
-                if writer is not None and writer._majority_late:
+                if writer is not None and writer._without_majority:
                     stuck.update(writer.table)  # it can do nothing with them
                     continue
                 for key in writer.table if writer is not None else ():
