--- a/ironbarrow/fleet/ledgers/recovery.py
+++ b/ironbarrow/fleet/ledgers/recovery.py
@@ -1,8 +1,11 @@
-"""Claims and leads of ledgers: seals wherever a ledger has gone, and takes it. No input or output.
-
-A claim follows the chain of segments: it seals one, proposes what it must or its own fate, and goes on where
-that says that the ledger moved. Before it proposes to claim, the key ``c/LEDGER`` is in this member's own
-job ledger. It ends with ``Claimed`` or ``ClaimLost``, within ``LASTS`` times the rules' ``wait``.
+"""Recovery of ledgers by ballots: takes over the content of another member's ledger (claim) or its writing
+(lead). No input or output.
+
+A claim follows the chain of segments. It seals a segment and proposes the decision that a replica has already
+accepted, or else its own; if the segment was decided to have moved, it continues with the next one. Before it
+proposes CLAIMED, the key ``c/LEDGER`` is committed in a job ledger of this member, so that whoever recovers
+that ledger inherits the claim. A claim ends with ``Claimed`` or ``ClaimLost``, a lead with ``Moved`` or
+``ClaimLost``, within ``CLAIM_TIMEOUT_WAITS`` times the configured ``wait``.
 """
 
 from collections import OrderedDict
@@ -31,14 +34,14 @@
 from ironbarrow.fleet.ledgers.proposal import Proposal, Step
 from ironbarrow.fleet.records import CLAIM
 
-CLAIM_TIMEOUT_WAITS = 20  # times ``wait``: so long a claim is tried
-MAJORITY_LOST_WAITS = 4  # times ``wait``: so soon it ends where a majority of the replicas is gone
-MAX_SETTLED = 4096  # ledgers of which is remembered that they are not to be claimed again
+CLAIM_TIMEOUT_WAITS = 20  # multiples of ``wait``: a claim fails after that
+MAJORITY_LOST_WAITS = 4  # multiples of ``wait``: it fails after that if a majority of the replicas is dead
+MAX_SETTLED = 4096  # ledgers remembered as not to be claimed again
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The value of ``c/LEDGER``: the fields of a ``LedgerAt``, and the incarnations whose claims of it are
-    the holder's to go on with."""
+    """The value of the key ``c/LEDGER``: the fields of a ``LedgerAt``, and the incarnations that have claimed
+    the ledger one after another, whose claims the holder of the key continues."""
 
     ledger: str
     segment: int
@@ -47,39 +50,40 @@
 
 
 class RecoveryHost(Protocol):
-    """What a claimant needs of the member that it is part of."""
+    """The services of its member that a recovery uses."""
 
     def append_own(self, now: int, changes: Sequence[Change], into: str) -> tuple[str, int, list[Action]]:
-        """Appends to that ledger of this member ("": its newest job ledger): its name, the number, 0 if
-        there is none."""
+        """Appends to a ledger of this member ("": its newest job ledger); returns the ledger's name and the
+        number of the last change, 0 if there is no such ledger."""
 
     def choose_replicas(self, ledger: str) -> tuple[Incarnation, ...]:
-        """Replicas for a ledger; empty if there are too few incarnations."""
+        """Chooses replicas for a ledger; empty if there are too few members."""
 
     def notify(self, now: int, incarnations: Sequence[Incarnation], message: Learn) -> list[Action]:
-        """Tells incarnations of a fate until they have heard it."""
+        """Sends a message to incarnations, and again until each has acknowledged it."""
 
     def start_leading(self, now: int, claim: "Claim", decision: Decision) -> list[Action]:
-        """This member writes the claim's ledger from here on."""
+        """Makes this member the writer of a ledger whose next segment has been decided to be its own."""
 
 
 @dataclass(slots=True, eq=False)
 class Claim:
-    """One claim under way. ``lead``: to write it, not to have what it holds."""
+    """One recovery in progress. ``lead``: to continue writing the ledger, instead of taking over its
+    content."""
 
     proposal: Proposal
     started_at: int  # ns
     lead: bool
-    inherited_from: frozenset[Incarnation]  # incarnations whose claims of it are this member's
-    into: str  # the ledger of this member by which it is their heir
-    content_at: LedgerAt  # the last segment known to hold all that counted before it
-    content: dict[str, bytes] | None = None  # None: not known
-    unreleased: list[Proposal] = field(default_factory=list)  # decided, whose tables are not released
+    inherited_from: frozenset[Incarnation]  # incarnations whose claims of the ledger this member continues
+    into: str  # the ledger of this member that contains their claim; "": none
+    content_at: LedgerAt  # the last segment whose content is known to be complete
+    content: dict[str, bytes] | None = None  # None: unknown
+    unreleased: list[Proposal] = field(default_factory=list)  # decided segments whose tables are still stored
 
 
 @dataclass(slots=True)
 class WrittenKey:
-    """Where ``c/LEDGER`` was written."""
+    """Where the key ``c/LEDGER`` of a claim was written."""
 
     ledger: str
     seq: int
@@ -87,19 +91,18 @@
 
 
 class LedgerRecovery:
-    """All claims of this member that are under way."""
+    """All recoveries of this member."""
 
-    def __init__(self, me: Incarnation, members: Members, rules: LedgerRules, home: RecoveryHost) -> None:
-        self.me, self._members, self._rules, self._host = me, members, rules, home
+    def __init__(self, me: Incarnation, members: Members, rules: LedgerRules, host: RecoveryHost) -> None:
+        self.me, self._members, self._rules, self._host = me, members, rules, host
         self.claims: dict[str, Claim] = {}
-        self.keys: dict[
-            str, WrittenKey
-        ] = {}  # by ledger claimed; until its claim is lost, or its key dropped
-        # claimed and since replaced, or lost with the ledger that had the key: who has them
+        # by claimed ledger, until the claim fails or its key is dropped
+        self.keys: dict[str, WrittenKey] = {}
+        # claimed ledgers whose key has been dropped, or has passed to another member with the ledger that
+        # contained it: the incarnation that owns them
         self.settled: OrderedDict[str, Incarnation | None] = OrderedDict()
-        self.claimed: dict[
-            str, list[Proposal]
-        ] = {}  # claimed: what is to be released when its key is dropped
+        # by claimed ledger: the segments to release when its key is dropped
+        self.claimed: dict[str, list[Proposal]] = {}
 
     def start(
         self,
@@ -109,10 +112,11 @@
         inherited_from: frozenset[Incarnation] = frozenset(),
         into: str = "",
     ) -> list[Action]:
-        """Begins; nothing if that ledger is being claimed, or held, already."""
+        """Starts a recovery; does nothing if the ledger is being recovered, or has been claimed, already."""
         if at.ledger in self.claims or (at.ledger in self.claimed and not lead):
             return []
-        # danger: whoever took the ledger with the key finds "claimed by this incarnation" and goes on with it
+        # a new claim would find the ledger decided to be this incarnation's, although whoever took over the
+        # ledger with the key now continues that claim: two members would own the content
         if at.ledger in self.settled and not lead and not inherited_from:
             return [ClaimLost(at.ledger, self.settled[at.ledger], {})]
         if not at.replicas:
@@ -122,10 +126,12 @@
         return claim.proposal.start(now)
 
     def received(self, now: int, sender: Incarnation, message: Promise | Accepted | Page) -> list[Action]:
+        """Handles a replica's reply."""
         claim = self.claims.get(message.ledger)
         if claim is None or claim.proposal.at.segment != message.segment:
             return []
-        # danger: what comes after a long stop must not be acted on, others may have forgotten what is past
+        # replies that are processed after a long pause of this process must not be acted on: replicas may
+        # have deleted the segments by now
         if now >= claim.started_at + CLAIM_TIMEOUT_WAITS * self._rules.wait:
             return self._fail(now, claim, None)
         if isinstance(message, Promise):
@@ -139,7 +145,7 @@
         return actions + self._advance(now, claim)
 
     def on_committed(self, now: int, ledger: str, seq: int) -> list[Action]:
-        """This member's ledger is kept up to there."""
+        """Continues the claims whose keys are committed: this member's ledger is, up to ``seq``."""
         actions: list[Action] = []
         for name, key in list(self.keys.items()):
             if key.ledger == ledger and not key.committed and key.seq <= seq:
@@ -150,7 +156,8 @@
         return actions
 
     def on_fenced(self, now: int, own_ledger: str, by: Incarnation | None) -> list[Action]:
-        """One of this member's ledgers is another's: so is what is claimed by keys in it."""
+        """One of this member's ledgers belongs to another member now, and with it the claims whose keys it
+        contains."""
         actions: list[Action] = []
         for ledger in [name for name, key in self.keys.items() if key.ledger == own_ledger]:
             del self.keys[ledger]
@@ -163,21 +170,27 @@
         return actions
 
     def on_key_dropped(self, ledger: str) -> list[Proposal]:
-        """The key of a ledger claimed is dropped for good: the segments whose tables may go."""
+        """Ends a claim whose dropped key is committed; returns the segments whose tables can be released."""
         self.keys.pop(ledger, None)
         self._record_settled(ledger, self.me)
         return self.claimed.pop(ledger, [])
 
     def _record_settled(self, ledger: str, by: Incarnation | None) -> None:
+        """Remembers that a ledger is not to be claimed again, and who owns it."""
         self.settled[ledger] = by
         while len(self.settled) > MAX_SETTLED:
             self.settled.popitem(last=False)
 
     def ticked(self, now: int) -> list[Action]:
+        """Resends requests that are due, and ends the claims that have timed out or can't succeed."""
         actions: list[Action] = []
         for claim in list(self.claims.values()):
             proposal, age = claim.proposal, now - claim.started_at
-            dead = [k for k in proposal.at.replicas if self._members.health(k) in (Health.DEAD, Health.LEFT)]
+            dead = [
+                replica
+                for replica in proposal.at.replicas
+                if self._members.health(replica) in (Health.DEAD, Health.LEFT)
+            ]
             majority_gone = age >= MAJORITY_LOST_WAITS * self._rules.wait and proposal.majority_lost(dead)
             if majority_gone or age >= CLAIM_TIMEOUT_WAITS * self._rules.wait:
                 actions += self._fail(now, claim, None)
@@ -187,6 +200,7 @@
         return actions
 
     def next_at(self) -> int:
+        """When ``ticked`` is due next, ns."""
         due = NEVER
         for claim in self.claims.values():
             due = min(
@@ -195,7 +209,7 @@
         return due
 
     def _advance(self, now: int, claim: Claim) -> list[Action]:
-        """Does what can be done without waiting."""
+        """Continues a claim as far as possible without waiting for replies or commits."""
         actions: list[Action] = []
         while claim.proposal.at.ledger in self.claims:
             proposal = claim.proposal
@@ -219,7 +233,7 @@
         return actions
 
     def _update_content(self, claim: Claim) -> None:
-        """The content as far as it is known by this segment."""
+        """Updates the known content from the sealed segment."""
         proposal = claim.proposal
         if proposal.complete:
             claim.content, claim.content_at = proposal.table, proposal.at
@@ -227,7 +241,8 @@
             claim.content = None
 
     def _own_decision(self, now: int, claim: Claim) -> tuple[Decision | None, list[Action]]:
-        """This member's own fate for a sealed segment; None while something is missing."""
+        """The decision that this member would propose for a sealed segment; None if it can't propose one yet,
+        or if the claim has failed."""
         ledger = claim.proposal.at.ledger
         if claim.content is None:
             return None, self._fail(now, claim, None)
@@ -238,7 +253,8 @@
         return (Decision(Fate.CLAIMED, self.me) if ready else None), actions
 
     def _is_decided_for_us(self, claim: Claim) -> bool:
-        """Decided to be claimed by this member, or by one whose claims are its own."""
+        """Whether the segment is decided to be claimed by this member, or by one whose claims it
+        continues."""
         decision = claim.proposal.decision
         return (
             decision is not None
@@ -249,7 +265,8 @@
         )
 
     def _ensure_key(self, now: int, claim: Claim) -> tuple[bool, list[Action]]:
-        """Whether the key is kept; writes it, or ends the claim where it can't be written."""
+        """Whether the claim's key is committed. Writes it if it has not been written; the claim fails if it
+        can't be."""
         ledger = claim.proposal.at.ledger
         key = self.keys.get(ledger)
         if key is not None:
@@ -264,7 +281,7 @@
         return False, actions
 
     def _on_decided(self, now: int, claim: Claim) -> list[Action]:
-        """Acts on a decided fate."""
+        """Acts on a decided fate: announces it, and ends the claim or continues with the next segment."""
         proposal, decision = claim.proposal, claim.proposal.decision
         assert decision is not None
         at = proposal.at
@@ -280,8 +297,8 @@
             if claim.lead and decision.by == self.me:
                 del self.claims[at.ledger]
                 return actions + self._host.start_leading(now, claim, decision)
-            following = LedgerAt(at.ledger, at.segment + 1, decision.replicas)
-            claim.proposal = Proposal(self.me, following, self._rules, decision.by)
+            next_location = LedgerAt(at.ledger, at.segment + 1, decision.replicas)
+            claim.proposal = Proposal(self.me, next_location, self._rules, decision.by)
             return actions + claim.proposal.start(now)
         if not self._is_decided_for_us(claim):
             return actions + self._fail(now, claim, decision.by)
@@ -297,7 +314,7 @@
         return [*actions, Claimed(at.ledger, claim.content, self.keys[at.ledger].ledger)]
 
     def _fail(self, now: int, claim: Claim, by: Incarnation | None) -> list[Action]:
-        """Ends a claim without its ledger, and takes its key back."""
+        """Ends a claim that has failed. Drops its key if another member (``by``) owns the ledger."""
         ledger = claim.proposal.at.ledger
         self.claims.pop(ledger, None)
         actions: list[Action] = []
