--- a/ironbarrow/fleet/ledgers/machine.py
+++ b/ironbarrow/fleet/ledgers/machine.py
@@ -1,4 +1,6 @@
-"""The ledgers of one member: what it writes, what it keeps for others, what it claims. No input or output."""
+"""The ledgers of one member: those it writes, those it replicates for others and those it recovers. No input
+or output.
+"""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -35,16 +37,14 @@
 from ironbarrow.fleet.ledgers.writer import Writer
 from ironbarrow.fleet.records import CLAIM
 
-MAX_NOTICE_SENDS = (
-    100  # times, ``resend`` apart and then ever longer: so often a fate is told to one that does not answer
-)
-MAX_NOTICES = 4096  # notices under way: beyond, the oldest is given up
+MAX_NOTICE_SENDS = 100  # sends of a notice without acknowledgement, with exponential backoff from ``resend``
+MAX_NOTICES = 4096  # unacknowledged; beyond, the oldest is given up
 _CLAIM_RECORD = msgspec.msgpack.Decoder(ClaimRecord)
 
 
 class LedgerMachine:
-    """Implements ``api.Ledgers`` and ``api.Machine``. What this member keeps of its own ledger goes the same
-    way as for others, without the network."""
+    """Implements ``api.Ledgers`` and ``api.Machine``. If this member is a replica of its own ledger, the
+    messages are the same but are delivered locally."""
 
     handles: tuple[type[api.Message], ...] = (*REQUESTS, *REPLIES)
 
@@ -54,12 +54,14 @@
         self.writers: dict[str, Writer] = {}
         self.recovery = LedgerRecovery(me, members, rules, self)
         self.counts: Counter[str] = Counter()
-        self._inherited_claims: dict[
-            str, tuple[frozenset[Incarnation], str]
-        ] = {}  # whose claims of a ledger are its own, by which
-        self._key_drops: list[tuple[str, int, str]] = []  # own ledger, number, ledger whose key that drops
-        self._notices: dict[tuple[Incarnation, str, int, bool], list[Any]] = {}  # message, due, times
-        self._extra_ledgers = 0  # ledgers opened for claims
+        # by ledger: the incarnations whose claims of it this member continues, and its own ledger with the
+        # key
+        self._inherited_claims: dict[str, tuple[frozenset[Incarnation], str]] = {}
+        # own ledger, number of the change, claimed ledger whose key that change drops
+        self._key_drops: list[tuple[str, int, str]] = []
+        # by recipient, ledger, segment and release: message, when to resend it, times sent
+        self._notices: dict[tuple[Incarnation, str, int, bool], list[Any]] = {}
+        self._extra_ledgers = 0  # opened for claim keys
         self._published: tuple[LedgerAt, ...] = ()
 
     # api.Ledgers
@@ -108,12 +110,13 @@
             due = min(due, notice[1])
         return due
 
-    # What the parts ask of it
+    # Services for writers and recoveries
 
     def append_own(self, now: int, changes: Sequence[Change], into: str) -> tuple[str, int, list[Action]]:
-        """Appends to that ledger of this member ("": its newest job ledger): its name, the number, 0 if
-        there is none. Where all its job ledgers have lost a majority of their replicas, another is opened:
-        after a mass death nobody could claim anything otherwise."""
+        """Appends to a ledger of this member ("": its newest job ledger); returns the ledger's name and the
+        number of the last change, 0 if there is no such ledger. If all its job ledgers have lost a majority
+        of their replicas, it creates another: when many members have failed at once, nobody could claim
+        anything otherwise."""
         name = into or api.job_ledger(self.me)
         has_job_ledger = False
         for ledger in reversed(self.writers):
@@ -133,9 +136,9 @@
     def choose_replicas(
         self, ledger: str, avoid: frozenset[Incarnation] = frozenset()
     ) -> tuple[Incarnation, ...]:
-        """Replicas for a ledger: by rank, spread over sites; empty if there are fewer others than half of
-        those wanted. This member itself only where that makes the number odd: a ledger that needs its writer
-        for a majority is lost with it."""
+        """Chooses replicas for a ledger by rank, spread over the sites; empty if fewer than half of the
+        configured number are available. This member itself is added only to make the number odd: a ledger
+        that needs its writer for a majority can't be recovered without it."""
         wanted = self._rules.replicas
         others = [
             m
@@ -152,10 +155,10 @@
         chosen: list[Incarnation] = []
         sites: Counter[str] = Counter()
         while others and len(chosen) < wanted:
-            nearest = min(others, key=lambda m: sites[m.card.site])  # the first of them, so the nearest
-            others.remove(nearest)
-            sites[nearest.card.site] += 1
-            chosen.append(nearest.card.incarnation)
+            candidate = min(others, key=lambda m: sites[m.card.site])  # the first one has the highest rank
+            others.remove(candidate)
+            sites[candidate.card.site] += 1
+            chosen.append(candidate.card.incarnation)
         if len(chosen) < wanted // 2:
             return ()
         if len(chosen) < wanted and len(chosen) % 2 == 0:
@@ -163,7 +166,7 @@
         return tuple(chosen)
 
     def notify(self, now: int, incarnations: Sequence[Incarnation], message: Learn | Close) -> list[Action]:
-        """Tells incarnations of a fate until they have heard it."""
+        """Sends a message to incarnations, and again until each has acknowledged it."""
         actions: list[Action] = []
         release = message.release if isinstance(message, Learn) else True
         for incarnation in incarnations:
@@ -179,13 +182,13 @@
         return actions
 
     def start_leading(self, now: int, claim: Claim, decision: Decision) -> list[Action]:
-        """This member writes the claim's ledger from here on."""
+        """Makes this member the writer of a ledger whose next segment has been decided to be its own."""
         at = LedgerAt(claim.proposal.at.ledger, claim.proposal.at.segment + 1, decision.replicas)
         writer = Writer(self.me, at, self._members, self._rules, self, claim.content or {})
         self.writers[at.ledger] = writer
         return writer.open_as_leader(now, claim.unreleased)
 
-    # Inside
+    # Internals
 
     def _is_alive(self, incarnation: Incarnation) -> bool:
         return incarnation == self.me or self._members.health(incarnation) in (Health.ALIVE, Health.SUSPECT)
@@ -198,7 +201,7 @@
         return writer.open(now)
 
     def _majority_lost(self, writer: Writer) -> bool:
-        """A majority of its replicas is dead."""
+        """Whether so many replicas are dead that the others are no majority."""
         replicas = writer.at.replicas
         return 2 * sum(self._is_alive(replica) for replica in replicas) <= len(replicas) > 0
 
@@ -213,7 +216,7 @@
         return seq, actions
 
     def _dispatch(self, now: int, sender: Incarnation, message: Any) -> list[Action]:
-        """Hands a message to whoever wants it."""
+        """Passes a message to the part that handles it."""
         if isinstance(message, LearnAck):
             self._notices.pop((sender, message.ledger, message.segment, message.release), None)
             return []
@@ -224,14 +227,15 @@
             if writer is not None:
                 return writer.on_seal_reply(now, sender, message)
             return self.recovery.received(now, sender, message)
-        answer = self.replica.received(now, sender, message)
-        actions: list[Action] = [] if answer is None else [api.Send(sender, answer)]
+        reply = self.replica.received(now, sender, message)
+        actions: list[Action] = [] if reply is None else [api.Send(sender, reply)]
         if isinstance(message, Learn) and writer is not None:
             actions += writer.on_learn(now, message)
         return actions
 
     def _deliver_local(self, now: int, actions: list[Action]) -> list[Action]:
-        """Delivers what goes to this member itself, and acts on the news of its own parts."""
+        """Delivers messages to this member itself, and acts on the events of its parts; returns all other
+        actions and the events."""
         out: list[Action] = []
         queue, i = list(actions), 0
         while i < len(queue):
@@ -256,13 +260,14 @@
                 self._inherit_claims(action)
         return out + self._publish_locations()
 
-    def _on_committed(self, now: int, news: Kept) -> list[Action]:
-        """What waited for this to be kept."""
-        actions = self.recovery.on_committed(now, news.ledger, news.seq)
+    def _on_committed(self, now: int, event: Kept) -> list[Action]:
+        """Continues what waited for a commit: claims whose keys were written, and releases after a key was
+        dropped."""
+        actions = self.recovery.on_committed(now, event.ledger, event.seq)
         remaining: list[tuple[str, int, str]] = []
         for drop in self._key_drops:
             own_ledger, seq, ledger = drop
-            if own_ledger != news.ledger or seq > news.seq:
+            if own_ledger != event.ledger or seq > event.seq:
                 remaining.append(drop)
                 continue
             if self.recovery.keys.get(ledger) is None or self.recovery.keys[ledger].ledger != own_ledger:
@@ -273,18 +278,19 @@
         self._key_drops = remaining
         return actions
 
-    def _inherit_claims(self, news: Claimed) -> None:
-        """Claims of the dead are this member's to go on with."""
-        for key, value in news.content.items():
+    def _inherit_claims(self, event: Claimed) -> None:
+        """Takes over the claims that a claimed ledger contains."""
+        for key, value in event.content.items():
             if key.startswith(CLAIM):
                 try:
-                    found = _CLAIM_RECORD.decode(value)
+                    record = _CLAIM_RECORD.decode(value)
                 except (msgspec.MsgspecError, UnicodeDecodeError):
-                    self.counts["claim not readable"] += 1
+                    self.counts["unreadable claim"] += 1
                     continue
-                self._inherited_claims[found.ledger] = frozenset(found.claimants), news.into
+                self._inherited_claims[record.ledger] = frozenset(record.claimants), event.into
 
     def _resend_notices(self, now: int) -> list[Action]:
+        """Resends the notices that are due, with a growing delay."""
         actions: list[Action] = []
         for key, notice in list(self._notices.items()):
             message, due, times = notice
@@ -294,7 +300,7 @@
             if times >= MAX_NOTICE_SENDS:
                 del self._notices[key]
                 continue
-            # one held for dead by mistake must hear it too, sometime
+            # a member that is considered dead may be alive, and must learn of it eventually
             notice[1:] = (
                 now + (self._rules.resend << (8 if dead else min(times, 6))),
                 times + (5 if dead else 1),
@@ -303,8 +309,8 @@
         return actions
 
     def _publish_locations(self) -> list[Action]:
-        """Tells all members where its ledgers are, when that has changed."""
-        # danger: a ledger between two segments must be found too, by the one before
+        """Publishes to all members where this member's ledgers are, if that has changed."""
+        # the last opened segment, so that a ledger can be recovered while it moves to the next one
         at = tuple(w.last_opened for w in self.writers.values() if w.last_opened is not None)
         if at == self._published:
             return []
