--- a/ironbarrow/fleet/links/__init__.py
+++ b/ironbarrow/fleet/links/__init__.py
@@ -1,4 +1,4 @@
-"""What carries messages between members: TCP on the loop, one connection for each direction."""
+"""Message transport between members: TCP on the event loop, one connection for each direction."""
 
 from ironbarrow.fleet.links.links import Links
 
--- a/ironbarrow/fleet/links/queue.py
+++ b/ironbarrow/fleet/links/queue.py
@@ -1,23 +1,24 @@
-"""What waits to be sent to one peer: bounded, and shed by a stated order. No input or output."""
+"""The send queue of one peer: bounded, with a fixed order in which messages are dropped. No input or
+output."""
 
 from collections import Counter, deque
 from enum import IntEnum
 
 
 class Category(IntEnum):
-    """Sorts of messages, in the order in which a full queue sheds them."""
+    """Categories of messages, in the order in which a full queue drops them."""
 
     STARVATION = 0
     MEMBERS = 1
     ROLLOUT = 2
-    LEDGER = 3  # ledgers and take-over: what is owed hangs on them
+    LEDGER = 3  # ledgers and take-over: dropped last, because accepted jobs depend on them
 
 
 _SEND_ORDER = (Category.MEMBERS, Category.LEDGER, Category.ROLLOUT, Category.STARVATION)
 
 
 def category_of(kind: int) -> Category:
-    """By a message's number on the wire."""
+    """The category of a message, by its number on the wire."""
     if 1 <= kind < 20:
         return Category.MEMBERS
     if 60 <= kind < 80:
@@ -26,15 +27,16 @@
 
 
 class Budget:
-    """Bytes that all queues may hold together."""
+    """A limit to the bytes that all queues hold together."""
 
     def __init__(self, limit: int) -> None:
         self.limit, self.used = limit, 0
 
 
 class SendQueue:
-    """Frames for one peer. A full one drops the oldest of the sort that is shed first, the new frame
-    included if its sort comes before all that wait."""
+    """Frames for one peer, limited to ``max_frames``, ``max_bytes`` and the shared budget. A full queue drops
+    the oldest frame of the lowest category, or the new frame if its category is lower than all that are
+    queued."""
 
     def __init__(self, max_frames: int, max_bytes: int, budget: Budget, dropped: Counter[str]) -> None:
         self._max_frames, self._max_bytes, self._budget, self._dropped = (
@@ -48,7 +50,7 @@
         self.bytes = 0
 
     def put(self, category: Category, frame: bytes) -> bool:
-        """Whether the frame waits now; what was dropped for it is counted by its sort."""
+        """Queues a frame; False if it was dropped. Each dropped frame is counted by its category."""
         size = len(frame)
         while (
             self.count >= self._max_frames
@@ -71,8 +73,8 @@
         return True
 
     def take(self, max_bytes: int) -> bytes:
-        """The next frames together, one at least if any waits: members first, then ledgers, rollouts and
-        tables."""
+        """Removes and returns the next frames, at most ``max_bytes`` but at least one if there is any:
+        members first, then ledgers, rollouts and starvation."""
         frames: list[bytes] = []
         size = 0
         for category in _SEND_ORDER:
@@ -84,7 +86,7 @@
         return b"".join(frames)
 
     def clear(self, cause: str) -> None:
-        """Drops all, counted under a cause."""
+        """Drops all frames, counted by a cause."""
         if self.count:
             self._dropped[cause] += self.count
         for pending in self._frames.values():
