--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -229,7 +229,7 @@
                 return True
 
         bench.until(closed)
-    assert a.links.metrics["foreign"] == 1
+    assert a.links.metrics["protocol errors"] == 1
     bench.run(0.5)
     assert bench.met()
 
@@ -245,7 +245,7 @@
     with socket.create_connection((bench.host, a.links.port)) as sock:
         sock.sendall(frame * 3)
         bench.until(lambda: a.codec.dropped["kind"] == 3)
-        assert a.links.metrics["foreign"] == 0
+        assert a.links.metrics["protocol errors"] == 0
 
 
 def test_a_peer_that_reads_nothing_costs_a_bounded_queue_and_no_other_peer_anything(bench: Bench) -> None:
