--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -24,7 +24,7 @@
 from ironbarrow.lab.sim.run import Simulation
 from ironbarrow.runtime.loop import MS, Loop
 from ironbarrow.runtime.sockets import listen
-from tests.test_fleet_ledgers import job_ledger, opened, put
+from tests.test_fleet_ledgers import job_ledger, open_fleet, puts
 
 EXPERIMENTS = Path(__file__).parents[1] / "experiments"
 
@@ -293,48 +293,50 @@
 
 
 def test_a_writer_whose_replicas_have_all_started_again_goes_on_once_it_owes_nothing() -> None:
-    fleet = opened(6)
-    ledger, at = job_ledger(fleet, "m0"), fleet.at("m0")
-    fleet.do("m0", "append", ledger, put(20))
+    fleet = open_fleet(6)
+    ledger, at = job_ledger(fleet, "m0"), fleet.location("m0")
+    fleet.call("m0", "append", ledger, puts(20))
     fleet.run(5)
     for replica in at.replicas[:2]:
         fleet.kill(replica.name)
-    fleet.do("m0", "append", ledger, put(3, 50))
+    fleet.call("m0", "append", ledger, puts(3, 50))
     fleet.run(3000)
-    assert fleet.at("m0") == at and fleet.news("m0", NoMajority)[-1].back is False  # dead may be cut off
+    assert (
+        fleet.location("m0") == at and fleet.events("m0", NoMajority)[-1].back is False
+    )  # dead may be cut off
     for replica in at.replicas[:2]:
         fleet.net.start(replica.name)
     fleet.run(1000)
     # danger: before they started again they may have decided that another has what is in it
-    assert fleet.at("m0") == at and not fleet.news("m0", NoMajority)[-1].back
-    fleet.do("m0", "append", ledger, [Change(c.key) for c in (*put(20), *put(3, 50))])
+    assert fleet.location("m0") == at and not fleet.events("m0", NoMajority)[-1].back
+    fleet.call("m0", "append", ledger, [Change(c.key) for c in (*puts(20), *puts(3, 50))])
     fleet.run(1000)
-    moved = fleet.news("m0", Moved)[-1].at
+    moved = fleet.events("m0", Moved)[-1].at
     assert (moved.segment, len(moved.replicas)) == (1, 3) and not set(moved.replicas) & set(at.replicas[:2])
-    assert fleet.news("m0", NoMajority)[-1].back
-    fleet.do("m0", "append", ledger, put(4, 90))
+    assert fleet.events("m0", NoMajority)[-1].back
+    fleet.call("m0", "append", ledger, puts(4, 90))
     fleet.run(5)
     fleet.kill("m0")
     by = next(n for n in fleet.names[1:] if fleet.net.seats[n].node)
-    fleet.do(by, "claim", moved)
+    fleet.call(by, "claim", moved)
     fleet.run(200)
-    assert fleet.news(by, Claimed)[0].content.keys() == {c.key for c in put(4, 90)}
+    assert fleet.events(by, Claimed)[0].content.keys() == {c.key for c in puts(4, 90)}
 
 
 def test_a_writer_that_started_with_too_few_replicas_has_more_soon_and_keeps_as_many() -> None:
-    fleet = opened(3)
+    fleet = open_fleet(3)
     fleet.kill("m2")
     fleet.net.start("m1")
-    fleet.do("m1", "create", job_ledger(fleet, "m1"))
+    fleet.call("m1", "create", job_ledger(fleet, "m1"))
     fleet.run(50)
-    assert len(fleet.at("m1").replicas) < 3
+    assert len(fleet.location("m1").replicas) < 3
     fleet.net.start("m2")
     fleet.run(300)
-    assert len(fleet.at("m1").replicas) == 3
+    assert len(fleet.location("m1").replicas) == 3
     fleet.net.pause("m2")  # slow, not dead
-    fleet.do("m1", "append", job_ledger(fleet, "m1"), put(1))
+    fleet.call("m1", "append", job_ledger(fleet, "m1"), puts(1))
     fleet.run(3000)
-    assert len(fleet.at("m1").replicas) == 3
+    assert len(fleet.location("m1").replicas) == 3
 
 
 # Whole runs: several dispatchers' processes with faults between them; the workers' counts decide
