--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -1,4 +1,4 @@
-"""Links and a member on the loop: several in one thread, on loopback, and peers that speak bytes."""
+"""Links and members on the event loop: several in one thread on loopback, and peers that send raw bytes."""
 
 import contextlib
 import socket
@@ -34,15 +34,15 @@
 
 
 class Sink:
-    """Wants two kinds of messages and counts them."""
+    """A machine that records the messages of two kinds."""
 
     handles = (Bulk, Table)
 
     def __init__(self) -> None:
-        self.heard: list[tuple[Incarnation, bytes]] = []
+        self.messages: list[tuple[Incarnation, bytes]] = []
 
     def received(self, now: int, sender: Incarnation, message: Bulk) -> list[Send]:
-        self.heard.append((sender, message.data))
+        self.messages.append((sender, message.data))
         return []
 
     def ticked(self, now: int) -> list[Send]:
@@ -53,17 +53,17 @@
 
 
 class Bench:
-    """A loop with some members on it."""
+    """An event loop with several members."""
 
     def __init__(self) -> None:
         self.errors: list[Exception] = []
         self.loop = Loop(self.errors.append)
-        # danger: of ports at 127.0.0.1 one that is let go may be another's before it is bound again
+        # a port of 127.0.0.1 that has been released may be taken by another process before it is bound again
         self.network = LoopbackNetwork.reserve(1)
         self.host = self.network.party(0)[0]
         self.services: list[FleetService] = []
         self.sinks: dict[str, Sink] = {}
-        self.told: dict[str, list[News]] = {}
+        self.events: dict[str, list[News]] = {}
 
     def start(self, name: str, *seeds: FleetService, extra: str = "", port: int = 0) -> FleetService:
         listed = ", ".join(f'"{s.name}={s.address}"' for s in seeds)
@@ -71,20 +71,20 @@
         fleet: Fleet = parse(text.encode(), "fleet.toml", name)
         service = FleetService(self.loop, fleet, name, "x", "127.0.0.1:80")
         self.sinks[name] = Sink()
-        self.told[name] = []
+        self.events[name] = []
         service.add(self.sinks[name])
-        service.on_news(self.told[name].append)
+        service.on_news(self.events[name].append)
         self.services.append(service)
         return service
 
-    def end(self, service: FleetService) -> None:
+    def stop(self, service: FleetService) -> None:
         service.close()
         self.services.remove(service)
 
-    def until(self, holds: Callable[[], bool], limit_s: float = 5) -> None:
-        """Turns the loop until something holds."""
+    def until(self, condition: Callable[[], bool], limit_s: float = 5) -> None:
+        """Runs the loop until a condition holds; fails after ``limit_s`` seconds."""
         end = self.loop.now() + int(limit_s * SECOND)
-        while not holds():
+        while not condition():
             assert not self.errors, self.errors
             assert self.loop.now() < end, "not in time"
             self.loop.call_at(self.loop.now() + 5 * MS, lambda: None)
@@ -94,7 +94,7 @@
         end = self.loop.now() + int(seconds * SECOND)
         self.until(lambda: self.loop.now() >= end, seconds + 1)
 
-    def met(self) -> bool:
+    def joined(self) -> bool:
         names = sorted(service.name for service in self.services)
         return all(
             [(m.card.incarnation.name, m.health) for m in s.members.alive()]
@@ -108,7 +108,7 @@
     made = Bench()
     yield made
     for service in list(made.services):
-        made.end(service)
+        made.stop(service)
     made.loop.close()
     made.network.close()
     assert not made.errors, made.errors
@@ -117,48 +117,50 @@
 def pair(bench: Bench, extra: str = "") -> tuple[FleetService, FleetService]:
     a = bench.start("a", extra=extra)
     b = bench.start("b", a, extra=extra)
-    bench.until(bench.met)
+    bench.until(bench.joined)
     return a, b
 
 
-def test_three_members_meet_and_a_death_a_leave_and_a_restart_are_told(bench: Bench) -> None:
+def test_three_members_join_and_a_crash_a_departure_and_a_restart_are_noticed(bench: Bench) -> None:
     a, b = pair(bench)
     c = bench.start("c", a)
-    bench.until(bench.met)
+    bench.until(bench.joined)
     first = c.incarnation
-    bench.end(c)
+    bench.stop(c)
     started = bench.loop.now()
     bench.until(lambda: {s.members.health(first) for s in (a, b)} == {Health.DEAD}, 2)
-    assert bench.loop.now() - started < 1500 * MS  # the broken connections told
+    assert bench.loop.now() - started < 1500 * MS  # the broken connections were noticed
     c = bench.start("c", a, port=int(c.address.rpartition(":")[2]))
-    bench.until(bench.met)
+    bench.until(bench.joined)
     b.leave()
     bench.until(lambda: b.sent, 1)
-    bench.end(b)
+    bench.stop(b)
     bench.until(lambda: {s.members.health(b.incarnation) for s in (a, c)} == {Health.LEFT}, 2)
-    told = [
-        (n.member.card.incarnation, n.member.health) for n in bench.told["a"] if isinstance(n, MemberChanged)
+    changes = [
+        (n.member.card.incarnation, n.member.health)
+        for n in bench.events["a"]
+        if isinstance(n, MemberChanged)
     ]
-    assert told.index((first, Health.DEAD)) < told.index((c.incarnation, Health.ALIVE))
+    assert changes.index((first, Health.DEAD)) < changes.index((c.incarnation, Health.ALIVE))
 
 
-def test_a_way_that_is_cut_in_one_direction_kills_nobody_where_a_third_sees_both(bench: Bench) -> None:
+def test_a_link_cut_in_one_direction_makes_no_member_dead_if_a_third_reaches_both(bench: Bench) -> None:
     a, b = pair(bench)
     c = bench.start("c", a)
-    bench.until(bench.met)
-    with contextlib.closing(listen(("127.0.0.1", 0))) as hole:  # takes connections and hears nothing
-        a.fleet.routes["b"] = f"127.0.0.1:{hole.getsockname()[1]}"
+    bench.until(bench.joined)
+    with contextlib.closing(listen(("127.0.0.1", 0))) as silent:  # accepts connections and reads nothing
+        a.fleet.routes["b"] = f"127.0.0.1:{silent.getsockname()[1]}"
         bench.run(3)
-        assert bench.met() or Health.SUSPECT in {m.health for m in c.members.alive()}
+        assert bench.joined() or Health.SUSPECT in {m.health for m in c.members.alive()}
         assert not any(
-            isinstance(news, MemberChanged) and news.member.health is Health.DEAD
-            for told in bench.told.values()
-            for news in told
+            isinstance(event, MemberChanged) and event.member.health is Health.DEAD
+            for events in bench.events.values()
+            for event in events
         )
         assert b.links.metrics["messages in"] > 0 and not a.links.dropped["unreachable"]
 
 
-def test_a_renewed_member_is_another_incarnation_and_the_old_one_is_dead(bench: Bench) -> None:
+def test_a_renewed_member_is_a_new_incarnation_and_the_old_one_is_dead(bench: Bench) -> None:
     a, b = pair(bench)
     before, sink = b.incarnation, Sink()
     b.on_renewed(lambda service: service.add(sink))
@@ -167,12 +169,12 @@
     bench.until(lambda: a.members.health(b.incarnation) is Health.ALIVE)
     assert a.members.health(before) is Health.DEAD
     a.order([Send(before, Bulk(b"old")), Send(b.incarnation, Bulk(b"new"))])
-    bench.until(lambda: bool(sink.heard))
-    assert sink.heard == [(a.incarnation, b"new")]
-    assert bench.sinks["b"].heard == []
+    bench.until(lambda: bool(sink.messages))
+    assert sink.messages == [(a.incarnation, b"new")]
+    assert bench.sinks["b"].messages == []
 
 
-def test_a_machine_that_fails_does_not_spin_the_loop(bench: Bench) -> None:
+def test_a_failing_machine_does_not_make_the_loop_spin(bench: Bench) -> None:
     class Failing(Sink):
         handles = ()
         tries = 0
@@ -194,27 +196,29 @@
     bench.errors.clear()
 
 
-def test_a_clock_set_back_does_not_keep_a_member_out(bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_clock_set_back_does_not_keep_a_restarted_member_out(
+    bench: Bench, monkeypatch: pytest.MonkeyPatch
+) -> None:
     a, b = pair(bench)
     old = b.incarnation
-    bench.end(b)
+    bench.stop(b)
     monkeypatch.setattr("ironbarrow.fleet.service.time.time_ns", lambda: old.start - SECOND)
     b = bench.start("b", a, port=int(b.address.rpartition(":")[2]))
     bench.until(lambda: b.incarnation.start > old.start and a.members.health(b.incarnation) is Health.ALIVE)
-    assert bench.met()
+    assert bench.joined()
 
 
-FOREIGN = {
-    "a page": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+INVALID = {
+    "an HTTP request": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
     "a huge length": b"\xff\xff\xff\xff",
-    "no length": b"\0\0\0\0",
-    "a frame that is none": b"\0\0\0\5hello",
-    "another shape": b"\0\0\0\4\x93\1\1\1",
+    "a zero length": b"\0\0\0\0",
+    "a frame that is no msgpack array": b"\0\0\0\5hello",
+    "an array of another shape": b"\0\0\0\4\x93\1\1\1",
 }
 
 
-@pytest.mark.parametrize("data", FOREIGN.values(), ids=FOREIGN)
-def test_foreign_bytes_close_their_connection_and_are_counted(bench: Bench, data: bytes) -> None:
+@pytest.mark.parametrize("data", INVALID.values(), ids=INVALID)
+def test_invalid_bytes_close_their_connection_and_are_counted(bench: Bench, data: bytes) -> None:
     a, _ = pair(bench)
     with socket.create_connection((bench.host, a.links.port)) as sock:
         sock.sendall(data)
@@ -231,10 +235,10 @@
         bench.until(closed)
     assert a.links.metrics["protocol errors"] == 1
     bench.run(0.5)
-    assert bench.met()
+    assert bench.joined()
 
 
-def test_another_version_of_the_program_is_passed_over(bench: Bench) -> None:
+def test_unknown_messages_of_another_version_are_ignored(bench: Bench) -> None:
     a, _ = pair(bench)
 
     class Later(Message, frozen=True, array_like=True):
@@ -248,21 +252,21 @@
         assert a.links.metrics["protocol errors"] == 0
 
 
-def test_a_peer_that_reads_nothing_costs_a_bounded_queue_and_no_other_peer_anything(bench: Bench) -> None:
+def test_a_peer_that_does_not_read_has_a_bounded_queue_and_does_not_delay_others(bench: Bench) -> None:
     a, b = pair(bench, "[links]\nqueue_kb = 1100")
-    with contextlib.closing(listen(("127.0.0.1", 0))) as deaf:
-        a.fleet.routes["deaf"] = f"127.0.0.1:{deaf.getsockname()[1]}"
+    with contextlib.closing(listen(("127.0.0.1", 0))) as stuck:
+        a.fleet.routes["stuck"] = f"127.0.0.1:{stuck.getsockname()[1]}"
         data = bytes(60_000)
         for _ in range(200):
-            a.order([Send(Incarnation("deaf"), Bulk(data)), Send(Incarnation("deaf"), Table(data))])
+            a.order([Send(Incarnation("stuck"), Bulk(data)), Send(Incarnation("stuck"), Table(data))])
             bench.run(0.002)
             assert a.links._budget.used <= 1100 << 10
         assert a.links.dropped["starvation"] > 100
         assert a.links.dropped["ledger"] > 50
         a.order([Send(b.incarnation, Bulk(b"on"))])
-        bench.until(lambda: bench.sinks["b"].heard == [(a.incarnation, b"on")])
-        bench.until(lambda: not a.links._budget.used)  # it is given up in time
-        assert bench.met()
+        bench.until(lambda: bench.sinks["b"].messages == [(a.incarnation, b"on")])
+        bench.until(lambda: not a.links._budget.used)  # the write times out and the queue is dropped
+        assert bench.joined()
 
 
 def test_the_number_of_connections_is_bounded(bench: Bench) -> None:
@@ -277,25 +281,25 @@
             bench.run(0.01)
         assert a.links.open_connections <= 32
         assert len(socks) == 40
-    bench.until(bench.met)
+    bench.until(bench.joined)
 
 
-def test_a_peer_that_takes_connections_and_ends_them_is_called_on_with_pauses(bench: Bench) -> None:
+def test_reconnecting_to_a_peer_that_closes_its_connections_backs_off(bench: Bench) -> None:
     a = bench.start("a")
-    with contextlib.closing(listen(("127.0.0.1", 0))) as shut:
-        a.fleet.routes["shut"] = f"127.0.0.1:{shut.getsockname()[1]}"
-        end, taken = bench.loop.now() + SECOND, 0
+    with contextlib.closing(listen(("127.0.0.1", 0))) as closer:
+        a.fleet.routes["closer"] = f"127.0.0.1:{closer.getsockname()[1]}"
+        end, accepted = bench.loop.now() + SECOND, 0
         while bench.loop.now() < end:
-            a.order([Send(Incarnation("shut"), Bulk(b"x"))])
+            a.order([Send(Incarnation("closer"), Bulk(b"x"))])
             bench.run(0.005)
-            while (sock := accept(shut)) is not None:
-                taken += 1
+            while (sock := accept(closer)) is not None:
+                accepted += 1
                 sock.close()
-    assert 2 <= taken <= 7
+    assert 2 <= accepted <= 7
     assert a.links.dropped["unreachable"] > 20
 
 
-def test_half_frames_are_bounded_together(bench: Bench) -> None:
+def test_incomplete_frames_are_bounded_over_all_connections(bench: Bench) -> None:
     a, _ = pair(bench, "[links]\nmemory_mb = 2")
     with contextlib.ExitStack() as stack:
         for _ in range(8):
@@ -309,14 +313,14 @@
         bench.run(0.1)
         assert a.links._partial_bytes <= 2 << 20
         assert a.links.metrics["evicted"] >= 6
-    assert bench.met()
+    assert bench.joined()
 
 
-def test_a_full_queue_sheds_in_the_stated_order() -> None:
-    shed: Counter[str] = Counter()
+def test_a_full_queue_drops_in_the_order_of_categories() -> None:
+    dropped: Counter[str] = Counter()
     budget = Budget(10_000)
-    queue = SendQueue(6, 1000, budget, shed)
-    for sort in (
+    queue = SendQueue(6, 1000, budget, dropped)
+    for category in (
         Category.LEDGER,
         Category.STARVATION,
         Category.MEMBERS,
@@ -324,14 +328,14 @@
         Category.MEMBERS,
         Category.STARVATION,
     ):
-        assert queue.put(sort, bytes(10))
-    gone = []
+        assert queue.put(category, bytes(10))
+    order = []
     for _ in range(6):
-        before = shed.copy()
+        before = dropped.copy()
         queue.put(Category.LEDGER, bytes(10))
-        gone += (shed - before).elements()
-    assert gone == ["starvation", "starvation", "members", "members", "rollout", "ledger"]
-    assert not queue.put(Category.STARVATION, b"x") and shed["starvation"] == 3  # itself
+        order += (dropped - before).elements()
+    assert order == ["starvation", "starvation", "members", "members", "rollout", "ledger"]
+    assert not queue.put(Category.STARVATION, b"x") and dropped["starvation"] == 3  # the new frame
     assert (queue.count, queue.bytes, budget.used) == (6, 60, 60)
     assert queue.put(Category.LEDGER, bytes(1000)) and queue.count == 1
     assert queue.take(10) == bytes(1000) and budget.used == queue.bytes == queue.count == 0
@@ -361,7 +365,7 @@
         ('listen = "h:1"\n[links]\nqueue_kb = 1024', "links.queue_kb"),
     ],
 )
-def test_wrong_rules_of_members_and_links_are_named(text: str, expected: str) -> None:
+def test_invalid_rules_of_members_and_links_are_reported(text: str, expected: str) -> None:
     with pytest.raises(FleetError, match=r"^fleet\.toml: ") as error:
         parse(text.encode(), "fleet.toml", "me")
     assert expected in str(error.value)
