--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -1,4 +1,4 @@
-"""The model search: the machines hold in every interleaving, and it finds each way to break them."""
+"""The model search: the invariants hold in every interleaving, and the search detects each mutant."""
 
 from collections.abc import Callable, Iterator
 
@@ -12,7 +12,7 @@
 from ironbarrow.fleet.ledgers.writer import Writer
 from ironbarrow.lab.fleet.search import SCENARIOS, Scenario, Search
 
-MOST = 20_000  # states of a scenario
+MAX_STATES = 20_000  # of a scenario
 
 
 @pytest.fixture(autouse=True)
@@ -22,32 +22,32 @@
     INVARIANTS.fatal = False
 
 
-def test_every_interleaving_holds() -> None:
+def test_the_invariants_hold_in_every_interleaving() -> None:
     states = 0
     for scenario in SCENARIOS:
-        found = Search(scenario).run(MOST)
+        found = Search(scenario).run(MAX_STATES)
         assert found.violation is None, (found.violation.what, *found.violation.trace)
         states += found.states
     assert states >= 100_000
 
 
-def append_under_a_seal(patch: pytest.MonkeyPatch) -> None:
+def append_to_a_sealed_segment(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Replica, "_is_sealed", lambda self, segment: False)
 
 
-def accepted_fate_ignored(patch: pytest.MonkeyPatch) -> None:
+def accepted_decision_ignored(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Proposal, "accepted_decision", lambda self: None)
 
 
-def acts_on_a_seal(patch: pytest.MonkeyPatch) -> None:
-    def propose(self, now, own):
-        self.decision, self.step = own, Step.DECIDED
+def decides_without_acceptance(patch: pytest.MonkeyPatch) -> None:
+    def propose(self, now, value):
+        self.decision, self.step = value, Step.DECIDED
         return []
 
     patch.setattr(Proposal, "propose", propose)
 
 
-def reads_the_lowest(patch: pytest.MonkeyPatch) -> None:
+def reads_the_shortest_table(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(proposal, "_last_index_of", lambda promise: -promise.last_index)
 
 
@@ -64,36 +64,36 @@
 def lower_ballot_accepted(patch: pytest.MonkeyPatch) -> None:
     accept = Replica.accept
 
-    def careless(self, now, sender, message):
+    def ignoring_the_promise(self, now, sender, message):
         segment = self.segments.get((message.ledger, message.segment))
         if segment is not None:
             segment.promised = min(segment.promised, message.ballot)
         return accept(self, now, sender, message)
 
-    patch.setattr(Replica, "accept", careless)
+    patch.setattr(Replica, "accept", ignoring_the_promise)
 
 
-def forgetful(patch: pytest.MonkeyPatch) -> None:
-    """The search lets a replica that has forgotten vote as the incarnation that it was."""
+def votes_after_data_loss(patch: pytest.MonkeyPatch) -> None:
+    """The search lets a replica that has lost its data vote as its former incarnation; nothing is patched."""
 
 
 MUTANTS: list[tuple[Callable[[pytest.MonkeyPatch], None], Scenario]] = [
-    (forgetful, Scenario("", claims=("c0",), doubles=1, restarts=1)),
-    (append_under_a_seal, Scenario("", appends=1, claims=("c0",))),
-    (accepted_fate_ignored, Scenario("", appends=0)),
-    (acts_on_a_seal, Scenario("", appends=0)),
-    (reads_the_lowest, Scenario("", appends=1, claims=("c0",))),
+    (votes_after_data_loss, Scenario("", claims=("c0",), doubles=1, restarts=1)),
+    (append_to_a_sealed_segment, Scenario("", appends=1, claims=("c0",))),
+    (accepted_decision_ignored, Scenario("", appends=0)),
+    (decides_without_acceptance, Scenario("", appends=0)),
+    (reads_the_shortest_table, Scenario("", appends=1, claims=("c0",))),
     (replicas_changed_without_a_seal, Scenario("", appends=1, claims=("c0",), changes=1)),
     (lower_ballot_accepted, Scenario("", appends=0)),
 ]
 
 
 @pytest.mark.parametrize(("mutant", "scenario"), MUTANTS, ids=lambda value: getattr(value, "__name__", ""))
-def test_each_mutant_is_found(
+def test_each_mutant_is_detected(
     mutant: Callable[[pytest.MonkeyPatch], None], scenario: Scenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for module in (replica, proposal):  # the observer alone is to find it
+    for module in (replica, proposal):  # only the observer may detect the mutant
         monkeypatch.setattr(module, "check", lambda *_, **__: None)
     mutant(monkeypatch)
-    found = Search(scenario, forgetful=mutant is forgetful).run(100_000)
+    found = Search(scenario, forgetful=mutant is votes_after_data_loss).run(100_000)
     assert found.violation is not None and len(found.violation.trace) > 2, found
