--- a/ironbarrow/fleet/ledgers/machine.py
+++ b/ironbarrow/fleet/ledgers/machine.py
@@ -54,8 +54,7 @@
         self.writers: dict[str, Writer] = {}
         self.recovery = LedgerRecovery(me, members, rules, self)
         self.counts: Counter[str] = Counter()
-        # by ledger: the incarnations whose claims of it this member continues, and its own ledger with the
-        # key
+        # by ledger: incarnations whose claims of it this member continues, and the own ledger with the key
         self._inherited_claims: dict[str, tuple[frozenset[Incarnation], str]] = {}
         # own ledger, number of the change, claimed ledger whose key that change drops
         self._key_drops: list[tuple[str, int, str]] = []
--- a/ironbarrow/fleet/ledgers/writer.py
+++ b/ironbarrow/fleet/ledgers/writer.py
@@ -386,8 +386,8 @@
         return frozenset(self._avoid_until)
 
     def _next_replicas(self, now: int) -> tuple[Incarnation, ...]:
-        """The replicas of the next segment. Fewer replicas tolerate fewer failures: if there are too
-        few other members, present replicas that are slow but not considered dead stay; this member itself is
+        """The replicas of the next segment. Fewer replicas tolerate fewer failures, so if there are too few
+        other members, present replicas that are slow but not considered dead stay. This member itself is
         added only to make the number odd."""
         chosen = [
             candidate
@@ -443,12 +443,11 @@
         so many replicas have terminated that the others are no majority. Without this, a writer whose
         replicas all restart at once could never write again.
 
-        A replica that is considered dead may still be alive. Only a newer incarnation of its name, or
-        its announced departure, proves that it has terminated."""
+        A replica that is considered dead may still be alive. Only a newer incarnation of its name, or its
+        announced departure, proves that it has terminated."""
         if self.table or not self.at.ledger.startswith(job_ledger(self.me)):
-            # the fate may have been decided before the replicas terminated, without the writer
-            # learning of it: another member may own the content by now, or write the ledger if it is a led
-            # one
+            # the fate may have been decided before the replicas terminated, without the writer learning of
+            # it: another member may own the content by now, or write the ledger if it is a led one
             return []
         terminated = {
             replica for replica in self.at.replicas if replica != self.me and self._has_terminated(replica)
