--- a/ironbarrow/fleet/links/links.py
+++ b/ironbarrow/fleet/links/links.py
@@ -194,8 +194,8 @@
                 peer.sleeping = not peer.queue.count
                 while peer.sleeping:
                     assert peer.sock is not None
-                    readable = yield Wait(peer.sock.fileno(), READ | HANGUP, peer.used_at + self._rules.idle)
-                    if peer.sleeping and not readable:
+                    ready = yield Wait(peer.sock.fileno(), READ | HANGUP, peer.used_at + self._rules.idle)
+                    if peer.sleeping and not ready:
                         return
                     if peer.sleeping:
                         # the peer sends nothing on this connection, so it has closed it
@@ -231,10 +231,10 @@
         number = sock.connect_ex(address)
         if number == errno.EINPROGRESS:
             if not (yield Wait(sock.fileno(), WRITE, self._loop.now() + _CONNECT_TIMEOUT)):
-                raise OSError(errno.ETIMEDOUT, "connect")
+                raise OSError(errno.ETIMEDOUT, "connect timed out")
             number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if number:
-            raise OSError(number, "connect")
+            raise OSError(number, "connect failed")
         self.metrics["opened"] += 1
 
     def _write(self, peer: _Peer) -> Coroutine[None]:
@@ -248,7 +248,7 @@
                     sent = sock.send(data)
                 except BlockingIOError:
                     if not (yield Wait(sock.fileno(), WRITE, self._loop.now() + _WRITE_TIMEOUT)):
-                        raise OSError(errno.ETIMEDOUT, "write") from None
+                        raise OSError(errno.ETIMEDOUT, "write timed out") from None
                     continue
                 data = data[sent:]
                 self.metrics["bytes out"] += sent
