--- a/tests/test_fleet_ledgers.py
+++ b/tests/test_fleet_ledgers.py
@@ -240,9 +240,9 @@
     into = fleet.events(by, Claimed)[1].into
     fleet.call(by, "append", into, [*(Change(k, v) for k, v in content.items()), Change(key)])
     fleet.run(20)
-    segments = [m.replica.segments.get((first.ledger, 0)) for m in fleet.machines.values()]
+    stored = [m.replica.segments.get((first.ledger, 0)) for m in fleet.machines.values()]
     assert all(
-        s is None or s.released for s, n in zip(segments, fleet.names, strict=True) if fleet.net.seats[n].node
+        s is None or s.released for s, n in zip(stored, fleet.names, strict=True) if fleet.net.seats[n].node
     )
     fleet.call(by, "claim", first)
     fleet.run(20)
