--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -142,7 +142,7 @@
         """What this process takes and owes is known to its fleet from here on."""
         try:
             from ironbarrow.fleet.file import FleetError
-            from ironbarrow.fleet.takeover.process import Process
+            from ironbarrow.fleet.takeover.participant import Process
         except ImportError as error:
             raise ConfigError(f"fleet: {path}: needs msgspec: {error}") from None
         front = self.listener.getsockname()[:2]
--- a/ironbarrow/fleet/takeover/work.py
+++ b/ironbarrow/fleet/takeover/adapter.py
@@ -20,8 +20,7 @@
 from ironbarrow.fleet.file import Fleet
 from ironbarrow.fleet.invariants import check
 from ironbarrow.fleet.records import JobRecord, Stage
-from ironbarrow.fleet.takeover.machine import Rules, Takeover
-from ironbarrow.fleet.takeover.orders import (
+from ironbarrow.fleet.takeover.actions import (
     Adopted,
     CallOff,
     Forget,
@@ -33,6 +32,7 @@
     Take,
     Withdraw,
 )
+from ironbarrow.fleet.takeover.machine import Rules, Takeover
 from ironbarrow.handover.keeper import Keeper, Kept
 from ironbarrow.handover.records import Record
 from ironbarrow.runtime.clock import MS, SECOND, Clock
--- a/ironbarrow/fleet/takeover/machine.py
+++ b/ironbarrow/fleet/takeover/machine.py
@@ -47,10 +47,8 @@
     put,
     put_answer,
 )
-from ironbarrow.fleet.takeover import claims as rules_of_claims
-from ironbarrow.fleet.takeover.claims import STAND, What, turn
-from ironbarrow.fleet.takeover.messages import KINDS, Ask, CallBack, Said, TakenOver, Told, Word
-from ironbarrow.fleet.takeover.orders import (
+from ironbarrow.fleet.takeover import recovery as recovery_rules
+from ironbarrow.fleet.takeover.actions import (
     Adopted,
     CallOff,
     Forget,
@@ -62,7 +60,9 @@
     Take,
     Withdraw,
 )
-from ironbarrow.fleet.takeover.repeats import POLL, Answers, Asking, Promises
+from ironbarrow.fleet.takeover.deduplication import POLL, Answers, Asking, Promises
+from ironbarrow.fleet.takeover.messages import KINDS, Ask, CallBack, Said, TakenOver, Told, Word
+from ironbarrow.fleet.takeover.recovery import STAND, What, turn
 from ironbarrow.runtime.clock import MS, SECOND
 
 LINGER = 10 * SECOND  # the answer of a job that must not run twice stays in the ledger so long after its end
@@ -477,7 +477,7 @@
             worker="",
             may_have_run=held.record.may_have_run or held.unproven,
         )
-        left = rules_of_claims.what(
+        left = recovery_rules.what(
             held.record, safe=held.safe, whole=True, most_attempts=self.rules.most_attempts, now=now
         )
         if left is What.AGAIN:
@@ -961,7 +961,7 @@
         safe = self.rules.safe.get(record.job_class, False)
         out = record.may_have_run or record.stage is Stage.INTENT
         held = Held(record, safe, [], adopted=True, unproven=out)
-        what = rules_of_claims.what(
+        what = recovery_rules.what(
             record, safe=safe, whole=whole, most_attempts=self.rules.most_attempts, now=now
         )
         if record.job_class not in self.rules.safe:
--- a/ironbarrow/fleet/takeover/process.py
+++ b/ironbarrow/fleet/takeover/participant.py
@@ -17,8 +17,8 @@
 from ironbarrow.fleet.ledgers import LedgerMachine
 from ironbarrow.fleet.service import FleetService
 from ironbarrow.fleet.takeover import faults
+from ironbarrow.fleet.takeover.adapter import Back, Work, rules_of
 from ironbarrow.fleet.takeover.machine import Takeover
-from ironbarrow.fleet.takeover.work import Back, Work, rules_of
 from ironbarrow.runtime.loop import MS, Loop
 from ironbarrow.runtime.sockets import Address
 
@@ -60,7 +60,7 @@
         self.service.on_news(self.work.told)
         self.service.on_news(self._told)
         if self.fleet.rollout is not None:
-            from ironbarrow.fleet.rolling import Rolling
+            from ironbarrow.fleet.rollout_participant import Rolling
 
             Rolling(loop, host, self.service, self.fleet.rollout, lambda: self.ledgers)
 
--- a/ironbarrow/lab/fleet/work.py
+++ b/ironbarrow/lab/fleet/work.py
@@ -21,9 +21,9 @@
 from ironbarrow.fleet.ledgers import LedgerMachine
 from ironbarrow.fleet.members import MemberMachine
 from ironbarrow.fleet.node import Node
+from ironbarrow.fleet.takeover.actions import Adopted
+from ironbarrow.fleet.takeover.adapter import Work, rules_of
 from ironbarrow.fleet.takeover.machine import Takeover
-from ironbarrow.fleet.takeover.orders import Adopted
-from ironbarrow.fleet.takeover.work import Work, rules_of
 from ironbarrow.lab.fleet.net import Seat, SimulatedNet
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS, SECOND, Timer
--- a/ironbarrow/lab/scale/hollow_dispatchers.py
+++ b/ironbarrow/lab/scale/hollow_dispatchers.py
@@ -24,7 +24,7 @@
 from ironbarrow.fleet.codec import Codec
 from ironbarrow.fleet.file import Fleet
 from ironbarrow.fleet.service import FleetService
-from ironbarrow.fleet.takeover.process import Process
+from ironbarrow.fleet.takeover.participant import Process
 from ironbarrow.lab.scale.control import Control
 from ironbarrow.lab.scale.kinds import kind_of
 from ironbarrow.lab.scale.messages import (
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -19,11 +19,11 @@
 from ironbarrow.fleet.invariants import INVARIANTS, InvariantError
 from ironbarrow.fleet.records import JobRecord
 from ironbarrow.fleet.records import Stage as Come
-from ironbarrow.fleet.takeover import claims, faults
-from ironbarrow.fleet.takeover.claims import What
+from ironbarrow.fleet.takeover import faults, recovery
+from ironbarrow.fleet.takeover.actions import Go
+from ironbarrow.fleet.takeover.deduplication import Answers
 from ironbarrow.fleet.takeover.machine import Takeover
-from ironbarrow.fleet.takeover.orders import Go
-from ironbarrow.fleet.takeover.repeats import Answers
+from ironbarrow.fleet.takeover.recovery import What
 from ironbarrow.lab.fleet.random_work import KINDS, SETTINGS, UNSAFE, play
 from ironbarrow.lab.fleet.work import WorkWorld, ms
 from ironbarrow.runtime.sockets import listen
@@ -66,7 +66,7 @@
 @given(RECORDS, st.booleans(), st.booleans())
 @settings(derandomize=True)
 def test_what_becomes_of_a_job_that_another_has_left(record: JobRecord, safe: bool, whole: bool) -> None:
-    what = claims.what(record, safe=safe, whole=whole, most_attempts=3, now=5)
+    what = recovery.what(record, safe=safe, whole=whole, most_attempts=3, now=5)
     may_run = record.may_have_run or record.stage is Come.INTENT
     if record.stage is Come.REFUSED:
         assert what is What.REFUSED
@@ -86,7 +86,7 @@
 @given(st.lists(st.text("abcdef", min_size=1, max_size=3), min_size=1, unique=True))
 @settings(derandomize=True)
 def test_claimants_stand_in_one_line(names: list[str]) -> None:
-    assert sorted(claims.turn("jobs/x", name, names) for name in names) == list(range(len(names)))
+    assert sorted(recovery.turn("jobs/x", name, names) for name in names) == list(range(len(names)))
 
 
 def test_kept_answers_are_bounded_by_number_bytes_and_time() -> None:
@@ -310,11 +310,11 @@
     return _TOLD(self, now, news)
 
 
-_INTENT, _WHAT, _TELL_ALL, _TOLD = Takeover.intent, claims.what, Takeover._tell_all, Takeover.told
+_INTENT, _WHAT, _TELL_ALL, _TOLD = Takeover.intent, recovery.what, Takeover._tell_all, Takeover.told
 MUTANTS = {
     "intent before send": (Takeover, "intent", _sent_before_kept),
     "at most three attempts": (Takeover, "intent", _any_number),
-    "unsafe never sent twice": (claims, "what", _kept_are_sent),
+    "unsafe never sent twice": (recovery, "what", _kept_are_sent),
     "one answer": (Takeover, "_tell_all", _tells_twice),
     "one holder": (Takeover, "told", _has_it_twice),
 }
