--- a/ironbarrow/fleet/takeover/adapter.py
+++ b/ironbarrow/fleet/takeover/adapter.py
@@ -32,7 +32,7 @@
     Superseded,
     WithdrawJob,
 )
-from ironbarrow.fleet.takeover.machine import Rules, Takeover
+from ironbarrow.fleet.takeover.machine import Takeover, TakeoverRules
 from ironbarrow.handover.keeper import Keeper, Kept
 from ironbarrow.handover.records import Record
 from ironbarrow.runtime.clock import MS, SECOND, Clock
@@ -70,13 +70,13 @@
 
 def takeover_rules(
     settings: api.Settings, fleet: Fleet, on_fault_point: Callable[[str], None] | None = None
-) -> Rules:
+) -> TakeoverRules:
     """The machine's rules. A job of an unsafe class is turned away without a majority, unless the file says
     otherwise."""
     safe = {cls.name: cls.effect is api.Effect.SAFE for cls in settings.classes}
     away = "turn away"
     turned = {n for n, s in safe.items() if fleet.without_majority.get(n, "" if s else away) == away}
-    return Rules(
+    return TakeoverRules(
         safe=safe,
         turn_away=frozenset(turned),
         most_attempts=settings.max_attempts,
--- a/ironbarrow/fleet/takeover/machine.py
+++ b/ironbarrow/fleet/takeover/machine.py
@@ -1,7 +1,9 @@
-"""Jobs written down before they are done, and what others have left taken over. No input or output.
+"""The take-over state machine: records jobs in the ledger before they run, recovers those of ended members.
 
-The process tells it what comes (``arrive``, ``intent``, ``attempt_over``, ``ended``, ``left``, ``stray``) and
-carries out what it answers (``orders``). Changes of one turn are pending; ``flush`` appends them together.
+The host adapter reports events (``on_request``, ``begin_attempt``, ``attempt_ended``, ``job_ended``,
+``client_disconnected``, ``forward_call_back``) and carries out the returned actions (module ``actions``).
+Ledger changes made in one turn of the event loop are collected; ``flush`` appends them together. Does no
+input or output.
 """
 
 from collections import Counter, OrderedDict, deque
@@ -78,133 +80,139 @@
 from ironbarrow.fleet.takeover.recovery import CLAIM_STAGGER, RecoveryAction, claim_position
 from ironbarrow.runtime.clock import MS, SECOND
 
-LEDGER_ANSWER_RETENTION = (
-    10 * SECOND
-)  # the answer of a job that must not run twice stays in the ledger so long after its end
-_MAX_LEDGER_ANSWERS = 1024  # such answers at the most
-_MAX_LEDGER_RESULT_BYTES = (
-    4096  # bytes; a longer result is not written down, and a repeat elsewhere hears "failed"
-)
-_SAFE_LOOKUP_LIMIT = 5 * SECOND  # at most, and half of its time: then a safe job that is asked for is refused
-_SETTLING_TIME = 1 * SECOND  # so long after its start a member does not yet know all others
-_MAX_REMOTE_WAITERS = 64  # others that are told a job's answer unasked
-_NOTICE_DELAYS = (200 * MS, 1 * SECOND, 3 * SECOND)  # after a ledger is taken over, since messages are lost
-_CLAIM_RETRY_INTERVAL = 1 * SECOND  # a claim that has no end yet is looked at again
-_MAX_CLAIM_TRIES = 3  # of a claim, while a majority of the replicas seems to be there
-# without a majority of replicas, until this incarnation is given up for one that has them
+LEDGER_ANSWER_RETENTION = 10 * SECOND  # how long the answer of a booking stays in the ledger after its end
+_MAX_LEDGER_ANSWERS = 1024  # answers of bookings in the ledger at a time
+# bytes; a longer result is not stored in the ledger: after a take-over a retry of its job gets "failed"
+_MAX_LEDGER_RESULT_BYTES = 4096
+_SAFE_LOOKUP_LIMIT = 5 * SECOND  # longest lookup of a safe job; half of its remaining time if that is shorter
+_SETTLING_TIME = 1 * SECOND  # after its start a member may not know all other members yet
+_MAX_REMOTE_WAITERS = 64  # members per job that are sent its answer without asking again
+_NOTICE_DELAYS = (200 * MS, 1 * SECOND, 3 * SECOND)  # a TakeoverNotice is repeated, as messages may be lost
+_CLAIM_RETRY_INTERVAL = 1 * SECOND  # between two checks of a claim that has not ended
+_MAX_CLAIM_TRIES = 3  # for one ledger, while a majority of its replicas appears to be alive
+# how long a majority of the own ledger's replicas may be dead before this incarnation ends and a new one
+# chooses other replicas
 _MAJORITY_GONE_LIMIT = 2 * SECOND
-_MAJORITY_GONE_LIMIT_WITH_JOBS = 15 * SECOND  # while a job that may not run twice is out
-_MAX_REMEMBERED = 1024  # incarnations taken over
+_MAJORITY_GONE_LIMIT_WITH_JOBS = 15 * SECOND  # the same while bookings are running or adopted jobs are owned
+_MAX_REMEMBERED = 1024  # incarnations whose take-over is remembered
 
-# as ledgers and messages have them: members of other versions read and write the same words
+# as encoded in ledgers and messages: members of other versions read and write the same words
 ENCODED_VERDICTS = {Verdict.SERVED: "served", Verdict.REFUSED: "rejected", Verdict.FAILED: "failed"}
 _VERDICTS = {encoded: verdict for verdict, encoded in ENCODED_VERDICTS.items()}
 _FAILED_ANSWER = Answer(Verdict.FAILED)
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
-    """What the machine goes by. Times in ns."""
+class TakeoverRules:
+    """Settings of the machine. Times in ns."""
 
-    safe: dict[str, bool]  # by class
-    turn_away: frozenset[str]  # classes that are not served without a majority
+    safe: dict[str, bool]  # by job class: whether a job may run twice
+    turn_away: frozenset[str]  # job classes that are not served without a majority of the ledger's replicas
     most_attempts: int
     majority_timeout: int
     answer_retention: int
     max_answers: int
     retry_after: int = 0
-    query_all: bool = False  # also those that do not say that they come again
-    on_fault_point: Callable[[str], None] | None = None  # tests end the process at named points
+    query_all: bool = False  # look up every new booking at all members, not only those marked as retries
+    on_fault_point: Callable[[str], None] | None = None  # called at the points named in ``faults``
 
 
 @dataclass(slots=True, eq=False)
 class OwnedJob:
-    """A job that this member owes its answer."""
+    """A job that this member has to answer."""
 
     record: JobRecord
     safe: bool
     waiters: list[object]
     remote_waiters: dict[Incarnation, None] = field(default_factory=dict)
     adopted: bool = False
-    intent_commit: "_PendingCommit | None" = None  # the present attempt's
-    unprotected: bool = False  # it goes out though no majority knows
-    attempt_may_have_run: bool = False  # an attempt may have run
-    refusal_pending: bool = False  # its refusal is being written
+    intent_commit: "_PendingCommit | None" = None  # of the current attempt's intent
+    unprotected: bool = False  # its attempt is sent although the intent is not committed
+    attempt_may_have_run: bool = False
+    refusal_pending: bool = False  # its refusal is not committed yet
     ended: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class _PendingCommit:
-    """What commits for a majority. ``attempt``: the attempt that an intent is about."""
+    """Callbacks that wait until an append is committed at a majority of the replicas.
+
+    ``attempt``: the attempt whose intent is appended, if any."""
 
     deadline: int
     on_commit: Callable[[int], list[Action]]
     on_failure: Callable[[int], list[Action]]
     attempt: object = None
     resolved: bool = False
-    extended: bool = False  # its time was given once more
-    seq: int = NEVER  # the append's that has to be kept
+    extended: bool = False  # the deadline was extended once, after a stop of this process
+    seq: int = NEVER  # number of the append that has to be committed
 
 
 @dataclass(slots=True, eq=False)
 class _OpenLedger:
-    """A ledger that somebody has to take over."""
+    """The ledger of an ended incarnation, while it is not known to be taken over."""
 
     incarnation: Incarnation
     location: LedgerLocation
     since: int
     due: int
-    claimed_by: Incarnation | None = None  # who has claimed it; it has ended too
+    claimed_by: Incarnation | None = None  # the member that has claimed it, and has ended too
     claiming: bool = False
-    inherited_from: Incarnation | None = (
-        None  # the claim was found in that one's ledger, which is this member's now
-    )
+    # set if the claim was found in the ledger of that incarnation, which this member has taken over
+    inherited_from: Incarnation | None = None
     adopting: bool = False
     tries: int = 0
 
 
 class Takeover:
-    """One incarnation's machine; ``succeed`` moves on what outlives an incarnation."""
+    """The take-over machine of one incarnation; ``inherit`` carries state over to the next one."""
 
     handles: tuple[type[Message], ...] = KINDS
 
-    def __init__(self, now: int, me: Incarnation, members: Members, ledgers: Ledgers, rules: Rules) -> None:
+    def __init__(
+        self, now: int, me: Incarnation, members: Members, ledgers: Ledgers, rules: TakeoverRules
+    ) -> None:
         self.me, self.members, self.ledgers, self.rules = me, members, ledgers, rules
         self.ledger = job_ledger(me)
         self.started_at = now
         self.fenced = False
-        self.no_majority = False  # no majority answers
-        self.committed_seq = 0  # the number up to which a majority has this ledger
+        self.no_majority = False  # no majority of the own ledger's replicas answers
+        self.committed_seq = 0  # appends up to this number are stored at a majority
         self.leaving = False
         self.owned: dict[str, OwnedJob] = {}
         self.lookups: dict[str, JobLookup] = {}
         self.answers = AnswerCache(rules.answer_retention, rules.max_answers)
         self.disclaimed = DisclaimedIds(rules.answer_retention)
         self.open_ledgers: dict[Incarnation, _OpenLedger] = {}
-        self.unfinished_ledgers: list[_OpenLedger] = []  # by an incarnation that is over
-        self.taken_over: OrderedDict[Incarnation, bool] = OrderedDict()  # whether whole
+        self.unfinished_ledgers: list[_OpenLedger] = []  # left by this incarnation when it was fenced
+        self.taken_over: OrderedDict[Incarnation, bool] = (
+            OrderedDict()
+        )  # value: whether the ledger was complete
         self.counts: Counter[str] = Counter()
         self._changes: dict[str, Change] = {}
         self._pending: list[_PendingCommit] = []
         self._commits: deque[tuple[int, list[_PendingCommit]]] = deque()
         self._attempt_commits: dict[object, _PendingCommit] = {}
-        self.cancelling: set[str] = set()  # ids whose clients have left, being called off
+        self.cancelling: set[str] = set()  # ids of jobs being cancelled as their clients have disconnected
         self._next_majority_check = now
         self._majority_gone_since = NEVER
         self._answer_expiries: deque[tuple[int, str]] = deque()
         self._notices: list[tuple[int, Incarnation, bool]] = []
-        self._lost_until: dict[Incarnation, int] = {}  # until when a repeat may be about a job of it
+        self._lost_until: dict[
+            Incarnation, int
+        ] = {}  # until when a retry may be for a job of that incarnation
 
-    # What the process tells
+    # Calls by the host adapter
 
     def open_ledger(self, now: int) -> list[Action]:
         """Opens this incarnation's ledger."""
         return self.ledgers.create(now, self.ledger)
 
     def inherit(self, now: int, earlier: "Takeover") -> list[Action]:
-        """Takes on the clients, answers and promises of an earlier incarnation, which others have taken
-        over. Their jobs are asked for first, and those that may have gone out from here are not taken
-        anew."""
+        """Continues for the clients of an earlier incarnation of this process, whose ledger others take over.
+
+        Its answers and disclaimed ids stay valid. Its clients' jobs are looked up at the other members first;
+        those that may have been sent from here are not started again."""
         self.answers, self.disclaimed, self.counts = earlier.answers, earlier.disclaimed, earlier.counts
         self._lost_until, self.taken_over = earlier._lost_until, earlier.taken_over
         actions: list[Action] = []
@@ -224,12 +232,12 @@
         return actions
 
     def on_request(self, now: int, record: JobRecord, retried: bool, waiter: object) -> list[Action]:
-        """A client's request. ``retried``: it says that it comes again."""
+        """Handles a client's request. ``retried``: the client has marked it as a retry."""
         if (known := self._join(now, record, waiter)) is not None:
             return known
         safe = self.rules.safe.get(record.job_class, False)
         if self.fenced:
-            # the next incarnation asks for it, as for all that came when this one was over
+            # the next incarnation looks it up, like all other requests that arrive after the fencing
             self.lookups[record.id] = JobLookup(record, safe, [waiter], now, next_at=NEVER)
             return []
         seen = record.id in self.cancelling or self.disclaimed.contains(record.id, now)
@@ -238,13 +246,13 @@
             self.lookups[record.id] = lookup
             return self._query(now, lookup)
         if self.no_majority and record.job_class in self.rules.turn_away:
-            # nothing of it was written, nobody can do it: a repeat is harmless
+            # the job is in no ledger, so no member can run it and a retry is harmless
             self.counts["turned away"] += 1
             return [ReplyToClient(waiter, Answer(Verdict.REFUSED, retry_after=self.rules.retry_after))]
         return self._take(now, OwnedJob(record, safe, [waiter]))
 
     def begin_attempt(self, now: int, attempt: object, job_id: str, worker: str) -> list[Action]:
-        """An attempt is about to go out; ``AttemptDecision`` follows, at once or once a majority knows."""
+        """Records the intent of an attempt. ``AttemptDecision`` follows, at once or once it is committed."""
         job = self.owned.get(job_id)
         if job is None or self.fenced or self.leaving:
             return [AttemptDecision(attempt, False)]
@@ -262,19 +270,19 @@
             return [AttemptDecision(attempt, False)]
         commit = _PendingCommit(
             now + self.rules.majority_timeout,
-            lambda then: self._release_attempt(then, job, attempt, committed=True),
-            lambda then: self._intent_failed(then, job, attempt),
+            lambda later: self._release_attempt(later, job, attempt, committed=True),
+            lambda later: self._intent_failed(later, job, attempt),
             attempt,
         )
         job.intent_commit, job.unprotected = commit, False
-        self._stage(put(job.record), commit)
+        self._add_change(put(job.record), commit)
         if self.no_majority:
             return self._fail(now, commit)
         self._attempt_commits[attempt] = commit
         return []
 
     def cancel_attempt(self, attempt: object) -> bool:
-        """An attempt is called off; whether it had no leave to go yet, and now never gets it."""
+        """Cancels an attempt; True if it was still waiting for its decision, which then never comes."""
         commit = self._attempt_commits.pop(attempt, None)
         if commit is None:
             return False
@@ -282,7 +290,7 @@
         return True
 
     def attempt_ended(self, job_id: str, *, never_ran: bool) -> None:
-        """An attempt has ended, its job may have not."""
+        """Notes the end of an attempt; its job may go on."""
         self.cancelling.discard(job_id)
         job = self.owned.get(job_id)
         if job is None or job.record.stage is not Stage.INTENT or job.refusal_pending:
@@ -293,10 +301,13 @@
             job.record = msgspec.structs.replace(
                 job.record, stage=Stage.TAKEN, worker="", may_have_run=job.attempt_may_have_run
             )
-            self._stage(put(job.record))
+            self._add_change(put(job.record))
 
     def job_ended(self, now: int, job_id: str, answer: Answer) -> list[Action]:
-        """The host, or the keeper of jobs handed over, has a job's final answer."""
+        """Handles a job's final answer from the host or from the keeper of awaited call-backs.
+
+        The refusal of a booking is committed before the client gets it: a refused client may retry, so no
+        other member may send the job after a take-over. Without a majority the client gets ``failed``."""
         job = self.owned.get(job_id)
         if job is None or job.refusal_pending:
             return []
@@ -309,14 +320,14 @@
         job.record = msgspec.structs.replace(job.record, stage=Stage.REFUSED)
         commit = _PendingCommit(
             now + self.rules.majority_timeout,
-            lambda then: self._refusal_committed(then, job, answer),
-            lambda then: self._finish(then, job, _FAILED_ANSWER),
+            lambda later: self._refusal_committed(later, job, answer),
+            lambda later: self._finish(later, job, _FAILED_ANSWER),
         )
-        self._stage(put(job.record), commit)
+        self._add_change(put(job.record), commit)
         return []
 
     def client_disconnected(self, now: int, job_id: str, waiter: object) -> list[Action]:
-        """A client has gone before its answer."""
+        """Handles a client that has disconnected before its answer."""
         lookup = self.lookups.get(job_id)
         if lookup is not None and waiter in lookup.waiters:
             lookup.waiters.remove(waiter)
@@ -330,27 +341,27 @@
         if job.waiters or job.remote_waiters or job.adopted or job.refusal_pending:
             return []
         if not job.safe and job.record.stage is not Stage.TAKEN:
-            return []  # it may have run: it goes on, for the client that comes again
+            return []  # it may have run: it goes on, as the client may retry for its answer
         del self.owned[job_id]
         if job.record.stage is Stage.INTENT:
             self.cancelling.add(job_id)
-        self._stage(drop(job_id))
+        self._add_change(drop(job_id))
         return [WithdrawJob(job_id)]
 
     def forward_call_back(self, job_id: str, worker: str, state: str, result: bytes) -> list[Action]:
-        """A worker's word on a job that is not here: all others hear it."""
+        """Forwards a worker's call-back for a job that is unknown here to all other members."""
         self.counts["call-backs passed on"] += 1
         return self._broadcast(ForwardedCallBack(job_id, worker, state, result))
 
     def cancelled_at_worker(self, now: int, job_id: str) -> list[Action]:
-        """A job that was taken over is called off at the worker that had it."""
+        """Retries or answers an adopted job that its worker has confirmed as cancelled."""
         job = self.owned.get(job_id)
         if job is None or job.refusal_pending:
             return []
         return self._retake(now, job)
 
     def retry_job(self, now: int, job_id: str, *, may_have_run: bool) -> list[Action]:
-        """A kept job's attempt has ended and it may be taken anew."""
+        """Retries or answers an adopted job whose earlier attempt has ended without a final answer."""
         job = self.owned.get(job_id)
         if job is None:
             return []
@@ -358,7 +369,7 @@
         return self._retake(now, job)
 
     def leave(self, now: int) -> list[Action]:
-        """From now on nothing is sent; what is owed stays in the ledger, for the others."""
+        """Stops sending attempts; jobs without an answer stay in the ledger for the other members."""
         self.leaving = True
         actions: list[Action] = []
         for commit in list(self._attempt_commits.values()):
@@ -370,15 +381,16 @@
 
     @property
     def has_unflushed(self) -> bool:
+        """Whether ``flush`` has changes to append."""
         return bool(self._changes)
 
     @property
     def all_committed(self) -> bool:
-        """Whether all that was appended is at a majority."""
+        """Whether no change is unflushed or uncommitted."""
         return not self._changes and not self._commits
 
     def flush(self, now: int) -> list[Action]:
-        """Appends all that was pending."""
+        """Appends the collected changes to the ledger in one append."""
         if not self._changes:
             return []
         changes, self._changes = list(self._changes.values()), {}
@@ -386,19 +398,21 @@
         if self.fenced:
             return self._fail_all(now, pending)
         seq, actions = self.ledgers.append(now, self.ledger, changes)
-        # 0: not its writer any more, as will be told; until then it is as if nobody answered
+        # seq is 0 if this member is no longer the writer: a Fenced event follows, and until then the commits
+        # stay pending as if no replica answered
         for commit in pending:
             commit.seq = seq or NEVER
         self._commits.append((seq or NEVER, pending))
         return actions
 
-    # Machine
+    # The Machine protocol
 
     def ticked(self, now: int) -> list[Action]:
+        """Fails late commits, repeats queries and notices, and claims the ledgers whose time has come."""
         actions: list[Action] = []
         late = [c for _, commits in self._commits for c in commits if c.deadline <= now and not c.resolved]
         if late and now - late[0].deadline > self.rules.majority_timeout:
-            # this process was stopped: nobody had the time to answer
+            # this process was stopped, so the replicas' answers could not be read: extend the deadline once
             for commit in [c for c in late if not c.extended]:
                 commit.deadline, commit.extended = now + self.rules.majority_timeout, True
             late = [c for c in late if c.deadline <= now]
@@ -409,11 +423,11 @@
         while self._answer_expiries and (
             self._answer_expiries[0][0] <= now or len(self._answer_expiries) > _MAX_LEDGER_ANSWERS
         ):
-            self._stage(drop_answer(self._answer_expiries.popleft()[1]))
+            self._add_change(drop_answer(self._answer_expiries.popleft()[1]))
         if self.no_majority and not self.fenced:
-            actions += self._abandon_ledger_if_lost(now)
+            actions += self._end_if_replicas_lost(now)
         waiting = [] if self.fenced else list(self.lookups.values())
-        for lookup in [a for a in waiting if min(a.next_at, self._lookup_deadline(a)) <= now]:
+        for lookup in [w for w in waiting if min(w.next_at, self._lookup_deadline(w)) <= now]:
             if self.lookups.get(lookup.record.id) is lookup:
                 actions += self._query(now, lookup)
         for due, incarnation, whole in [notice for notice in self._notices if notice[0] <= now]:
@@ -424,6 +438,7 @@
         return actions + self.flush(now)
 
     def next_at(self) -> int:
+        """When ``ticked`` is due next, ns; NEVER if nothing is planned."""
         times = [c.deadline for _, commits in self._commits for c in commits if not c.resolved]
         times += [min(a.next_at, self._lookup_deadline(a)) for a in self.lookups.values() if not self.fenced]
         times += [o.due for o in self.open_ledgers.values()]
@@ -435,6 +450,7 @@
         return min(times, default=NEVER)
 
     def received(self, now: int, sender: Incarnation, message: Message) -> list[Action]:
+        """Handles a message from another member."""
         actions: list[Action] = []
         if isinstance(message, JobQuery):
             actions = self._on_query(now, sender, message)
@@ -449,7 +465,7 @@
         return actions + self.flush(now)
 
     def on_event(self, now: int, event: FleetEvent) -> list[Action]:
-        """News of the other machines."""
+        """Handles an event of this member's other machines: its ledgers and its list of members."""
         actions: list[Action] = []
         if isinstance(event, Committed):
             if event.ledger == self.ledger:
@@ -484,8 +500,9 @@
         if self.rules.on_fault_point is not None:
             self.rules.on_fault_point(point)
 
-    def _stage(self, change: Change, commit: _PendingCommit | None = None) -> None:
-        # danger: a later change of the same key takes the place of the earlier one, at the end of the line
+    def _add_change(self, change: Change, commit: _PendingCommit | None = None) -> None:
+        # A later change of a key replaces the earlier one and moves to the end of the append: left in the
+        # earlier place it would overtake changes that were made before it.
         self._changes.pop(change.key, None)
         self._changes[change.key] = change
         if commit is not None:
@@ -494,12 +511,12 @@
     def _take(self, now: int, job: OwnedJob) -> list[Action]:
         job.record = msgspec.structs.replace(job.record, stage=Stage.TAKEN, worker="")
         self.owned[job.record.id] = job
-        self._stage(put(job.record))
+        self._add_change(put(job.record))
         self._fault_point("after-taken")
         return [StartJob(job.record)]
 
     def _retake(self, now: int, job: OwnedJob) -> list[Action]:
-        """Takes a job anew that another had, or answers it where it has no time or attempts left."""
+        """Starts an adopted job again, or answers it if it has no time or attempts left."""
         job.record = msgspec.structs.replace(
             job.record,
             stage=Stage.TAKEN,
@@ -518,6 +535,7 @@
         return Answer(Verdict.REFUSED, retry_after=self.rules.retry_after)
 
     def _release_attempt(self, now: int, job: OwnedJob, attempt: object, *, committed: bool) -> list[Action]:
+        """Allows an attempt to be sent; ``committed`` False: its intent is stored at no majority."""
         self._attempt_commits.pop(attempt, None)
         if job.ended or self.fenced or self.leaving:
             return [AttemptDecision(attempt, False)]
@@ -532,16 +550,17 @@
         return [AttemptDecision(attempt, True)]
 
     def may_send(self, job_id: str) -> bool:
-        """Whether an attempt's intent is at a majority, or its class is served without one: looked at by who
-        writes the first byte."""
+        """Whether a job's attempt may be sent: its intent is committed, or its class is served without a
+        majority. Checked again by the host adapter before an attempt's first byte is written."""
         job = self.owned.get(job_id)
         if job is None or job.intent_commit is None:
             return False
-        away = job.record.job_class in self.rules.turn_away
-        return job.intent_commit.seq <= self.committed_seq or (job.unprotected and not away)
+        turned_away = job.record.job_class in self.rules.turn_away
+        return job.intent_commit.seq <= self.committed_seq or (job.unprotected and not turned_away)
 
     def _intent_failed(self, now: int, job: OwnedJob, attempt: object) -> list[Action]:
-        """No majority has answered in time."""
+        """Handles an intent that no majority has stored in time: sends the attempt unprotected or answers the
+        job, as its class demands."""
         if job.ended:
             return [AttemptDecision(attempt, False)]
         if not self.fenced and job.record.job_class not in self.rules.turn_away:
@@ -558,6 +577,7 @@
         return self._finish(now, job, answer)
 
     def _finish(self, now: int, job: OwnedJob, answer: Answer) -> list[Action]:
+        """Ends a job: drops its record, caches its answer and sends that to all who wait for it."""
         if job.ended:
             return []
         record = job.record
@@ -566,18 +586,20 @@
         self.owned.pop(record.id, None)
         refused = answer.verdict is Verdict.REFUSED
         self.answers.store(record.id, record.digest, answer, now, short=refused and job.safe)
-        self._stage(drop(record.id))
+        self._add_change(drop(record.id))
         if not job.safe and not refused:
             self._write_answer(now, record.id, record.digest, answer)
         return self._reply_all(record.id, job.waiters, job.remote_waiters, answer)
 
     def _write_answer(self, now: int, job_id: str, digest: bytes, answer: Answer) -> None:
-        """Danger: dropped alone, a booking whose answer was lost on the way would be unknown to whoever takes
-        over, and its repeat would run."""
+        """Stores a booking's answer in the append that drops its record.
+
+        Without it the booking would be unknown to a member that takes over, and a retry by a client that
+        missed the answer would run it again."""
         verdict, result = answer.verdict, answer.result
         if len(result) > _MAX_LEDGER_RESULT_BYTES:
             verdict, result = Verdict.FAILED, b""
-        self._stage(
+        self._add_change(
             put_answer(
                 AnswerRecord(id=job_id, digest=digest, verdict=ENCODED_VERDICTS[verdict], result=result)
             )
@@ -614,35 +636,39 @@
         return [action for commit in commits for action in self._fail(now, commit)]
 
     def supersede(self, now: int) -> list[Action]:
-        """This incarnation is over by a word from elsewhere: as if its ledger had been sealed."""
+        """Ends this incarnation when another process uses its name, as if its ledger had been sealed."""
         return [action for action in self._fence(now) if not isinstance(action, Superseded)]
 
-    def _abandon_ledger_if_lost(self, now: int) -> list[Action]:
-        """Where a majority of its replicas is gone for good no ledger comes back: this incarnation ends, as
-        if another had sealed it, and the next one has new replicas. Jobs that may not run twice and are out
-        are waited for, up to a bound."""
+    def _end_if_replicas_lost(self, now: int) -> list[Action]:
+        """Ends this incarnation if a majority of its ledger's replicas stays dead.
+
+        Such a ledger can't be written again; the next incarnation chooses new replicas. Running bookings and
+        adopted jobs get more time to end, up to ``_MAJORITY_GONE_LIMIT_WITH_JOBS``."""
         if now < self._next_majority_check:
             return []
         self._next_majority_check = now + _CLAIM_RETRY_INTERVAL
         at = next((at for at in self.members.me.ledgers if at.ledger == self.ledger), None)
         if at is None or self.leaving:
             return []
-        gone = sum(self.members.health(k) in (Health.DEAD, Health.LEFT) for k in at.replicas)
+        gone = sum(self.members.health(replica) in (Health.DEAD, Health.LEFT) for replica in at.replicas)
         if 2 * (len(at.replicas) - gone) > len(at.replicas):
             self._majority_gone_since = NEVER
             return []
         self._majority_gone_since = min(self._majority_gone_since, now)
-        # danger: what was saved of others is nowhere else
-        out = any(job.adopted or (job.attempt_may_have_run and not job.safe) for job in self.owned.values())
-        # danger: of two that keep for each other alone, each that begins anew ends the other one's ledger
+        # adopted jobs are stored in no other ledger and would be lost with this one
+        wait_longer = any(
+            job.adopted or (job.attempt_may_have_run and not job.safe) for job in self.owned.values()
+        )
+        # Of two members that are each other's only replicas, each new incarnation ends the ledger of the
+        # other one. The limit doubles so that they don't go on in turn for ever.
         limit = _MAJORITY_GONE_LIMIT << min(self.counts["own ledger given up"], 5)
-        if now < self._majority_gone_since + max(limit, _MAJORITY_GONE_LIMIT_WITH_JOBS if out else 0):
+        if now < self._majority_gone_since + max(limit, _MAJORITY_GONE_LIMIT_WITH_JOBS if wait_longer else 0):
             return []
         self.counts["own ledger given up"] += 1
         return self._fence(now)
 
     def _fence(self, now: int) -> list[Action]:
-        """Danger: from here on another may do whatever this incarnation owes."""
+        """Ends this incarnation: another member may run its jobs from now on, so all are released here."""
         self.fenced = True
         self.counts["fenced"] += 1
         commits = [c for _, group in self._commits for c in group] + self._pending
@@ -654,8 +680,8 @@
             job.ended = True
             actions.append(ReleaseJob(job_id))
             if job.waiters:
-                # its clients still commit: they get the answer from whoever has it now, or, where it
-                # never went out from here and nobody has it, it is taken anew
+                # its clients still wait: the next incarnation asks the new owner for the answer, or starts
+                # the job if no member owns it and no attempt of it was sent from here
                 self.lookups[job_id] = JobLookup(
                     job.record, job.safe, job.waiters, now, may_take=not job.attempt_may_have_run
                 )
@@ -663,11 +689,13 @@
         self.unfinished_ledgers, self.open_ledgers = list(self.open_ledgers.values()), {}
         return [*actions, Superseded()]
 
-    # Repeats
+    # Retries by clients
 
     def _queries_first_tries(self, now: int) -> bool:
-        """Danger: a process that was stopped may read requests that came before it was taken over, and
-        another has them by now; at first it asks for all that must not run twice."""
+        """Whether a booking is looked up at all members although its client has not marked it as a retry.
+
+        A process that was stopped may read requests that arrived before its ledger was taken over, and which
+        another member may own by now. A new incarnation therefore looks up every booking for a while."""
         return self.rules.query_all or (
             self.me.start > 0
             and self.counts["fenced"] > 0
@@ -675,7 +703,7 @@
         )
 
     def _join(self, now: int, record: JobRecord, waiter: object) -> list[Action] | None:
-        """Joins a client to what is known of its id here; None if nothing is."""
+        """Adds a client to the job, lookup or answer known here under its id; None if there is none."""
         ended = self.answers.find(record.id, now)
         if ended is not None:
             self.counts["answered again"] += 1
@@ -690,12 +718,13 @@
         return []
 
     def _lookup_deadline(self, lookup: JobLookup) -> int:
+        """When a lookup without a result is answered with a refusal or ``failed``, ns."""
         if not lookup.safe or lookup.holder is not None:
             return lookup.record.until
         return min(lookup.started_at + _SAFE_LOOKUP_LIMIT, (lookup.started_at + lookup.record.until) // 2)
 
     def _query(self, now: int, lookup: JobLookup) -> list[Action]:
-        """Begins a round; ends the lookup where time is over, or the job has come here meanwhile."""
+        """Begins a round of queries; ends the lookup if its time is over or the job has arrived here."""
         record = lookup.record
         if self.fenced:
             lookup.next_at = NEVER
@@ -709,7 +738,7 @@
             del self.lookups[record.id]
             return self._reply_all(record.id, lookup.waiters, lookup.remote_waiters, ended.answer)
         if now >= self._lookup_deadline(lookup):
-            # danger: a repeat of a job that somebody may have, or has run
+            # another member may own the job or have run it, so it must not be started here
             self.counts["not all have answered"] += 1
             answer = self._refusal() if lookup.safe else _FAILED_ANSWER
             return self._end_lookup(now, lookup, answer)
@@ -731,7 +760,7 @@
         return self._take(now, job)
 
     def _decide(self, now: int, lookup: JobLookup) -> list[Action]:
-        """Takes the job once all that live have reply, in one round, that they have it not."""
+        """Starts the job once all live members have replied in one round that they don't know it."""
         if (
             self.fenced
             or lookup.holder is not None
@@ -749,7 +778,7 @@
             return []
         lost = lookup.may_be_lost or self._has_lost_ledgers(now)
         if (lost and not lookup.safe) or not lookup.may_take:
-            # nobody has it: it has ended and is forgotten, or nobody knows all that an ended incarnation had
+            # no member knows the job: it may have ended long ago, or have been in a ledger that was lost
             self.counts["not found"] += 1
             return self._end_lookup(now, lookup, self._refusal() if lookup.safe else _FAILED_ANSWER)
         self.counts["repeats taken"] += 1
@@ -776,7 +805,7 @@
         elif known is not None and known.record.digest != query.digest:
             status = JobStatus.CONFLICT
         elif job is not None or (lookup is not None and lookup.holder is None and self.me < sender):
-            # of two that ask for the same id, the one whose name is first goes on
+            # of two members that look up the same id, the one with the lower name goes on
             status = JobStatus.OWNED
             assert known is not None
             if len(known.remote_waiters) < _MAX_REMOTE_WAITERS:
@@ -784,7 +813,8 @@
         else:
             self.disclaimed.add(query.id, now)
             if lookup is not None:
-                lookup.new_round(now)  # danger: what it was told before it gave way does not count any more
+                # replies from before this member gave way to the sender must not count any more
+                lookup.new_round(now)
                 lookup.next_at = now
         reply = JobQueryReply(
             query.id,
@@ -812,7 +842,7 @@
                 lookup.holder, lookup.next_at = sender, now + HOLDER_POLL_INTERVAL
             return []
         if lookup.holder == sender:
-            # it had it and has forgotten: all are asked again
+            # the holder does not know the job any more: query all members again
             lookup.holder_lost(now)
             return []
         if reply.round != lookup.round:
@@ -841,7 +871,7 @@
             Send(m.card.incarnation, message) for m in self.members.alive() if m.card.incarnation != self.me
         ]
 
-    # Taking over
+    # Taking over ledgers
 
     def _on_member_changed(self, now: int, event: MemberChanged) -> None:
         card, incarnation = event.member.card, event.member.card.incarnation
@@ -869,16 +899,16 @@
         self, now: int, incarnation: Incarnation, at: LedgerLocation, inherited_from: Incarnation | None
     ) -> None:
         names = [m.card.incarnation.name for m in self.members.alive()]
-        before = 0 if inherited_from is not None else claim_position(at.ledger, self.me.name, names)
+        position = 0 if inherited_from is not None else claim_position(at.ledger, self.me.name, names)
         self.open_ledgers[incarnation] = _OpenLedger(
-            incarnation, at, now, now + before * CLAIM_STAGGER, inherited_from=inherited_from
+            incarnation, at, now, now + position * CLAIM_STAGGER, inherited_from=inherited_from
         )
 
     def _claim(self, now: int, open_ledger: _OpenLedger) -> list[Action]:
-        """This member's turn has come: the claim is written down, then the ledger sealed."""
+        """Claims a ledger, unless another member has it: records the claim, then seals the ledger."""
         open_ledger.due = now + _CLAIM_RETRY_INTERVAL
         if open_ledger.claimed_by is not None and open_ledger.claimed_by not in self.open_ledgers:
-            open_ledger.claimed_by = None  # whoever had it has been taken over: with it, this
+            open_ledger.claimed_by = None  # the claimant's own ledger was taken over, and this claim with it
             if open_ledger.inherited_from is None:
                 del self.open_ledgers[open_ledger.incarnation]
                 return []
@@ -899,13 +929,16 @@
             return []
         if event.by is None:
             replicas = open_ledger.location.replicas
-            there = sum(self.members.health(k) in (Health.ALIVE, Health.SUSPECT) for k in replicas)
-            if 2 * there > len(replicas) and open_ledger.tries < _MAX_CLAIM_TRIES:
+            alive = sum(
+                self.members.health(replica) in (Health.ALIVE, Health.SUSPECT) for replica in replicas
+            )
+            if 2 * alive > len(replicas) and open_ledger.tries < _MAX_CLAIM_TRIES:
                 open_ledger.claiming, open_ledger.due = False, now + _CLAIM_RETRY_INTERVAL
                 return []
             self.counts["ledgers lost"] += 1
             if open_ledger.incarnation in self.taken_over:
-                # danger: nothing but its word keeps whoever read a part first from doing the same jobs
+                # Another member has adopted what it could read of this ledger. Only its notice keeps this
+                # member from running the same jobs too, so the notice has to be respected.
                 del self.open_ledgers[open_ledger.incarnation]
                 return []
             return self._on_claimed(now, event.ledger, event.partial, whole=False)
@@ -913,7 +946,7 @@
             return self._on_claimed(now, event.ledger, event.partial, whole=True)
         open_ledger.claiming = False
         if self.members.health(event.by) in (Health.ALIVE, Health.SUSPECT):
-            # it tells itself that the ledger is open until all of it is its own
+            # the claimant itself reports the ledger as open, in its replies, until it has adopted all of it
             del self.open_ledgers[open_ledger.incarnation]
             self._remember_taken_over(now, open_ledger.incarnation, True)
         else:
@@ -921,7 +954,9 @@
         return []
 
     def _on_claimed(self, now: int, ledger: str, content: dict[str, bytes], *, whole: bool) -> list[Action]:
-        """All goes into the own ledger, in one append, before anything of it is done."""
+        """Appends the content of a claimed ledger to the own one before acting on any of it.
+
+        All goes into one append; ``whole`` False: the content is a partial reading of a lost ledger."""
         open_ledger = self._find_open_ledger(ledger)
         if open_ledger is None or open_ledger.adopting:
             return []
@@ -934,24 +969,25 @@
         self.counts["unreadable"] += len(content) - len(records) - len(answer_records) - len(inherited_claims)
         for record in records:
             if record.id not in self.owned:
-                self._stage(put(record))
+                self._add_change(put(record))
         for answer in answer_records:
-            self._stage(put_answer(answer))
+            self._add_change(put_answer(answer))
         for at in inherited_claims:
-            self._stage(Change(CLAIM + at.ledger, content[CLAIM + at.ledger]))
+            self._add_change(Change(CLAIM + at.ledger, content[CLAIM + at.ledger]))
 
-        def act(then: int) -> list[Action]:
+        def start_adopted(later: int) -> list[Action]:
             return self._start_adopted(
-                then, open_ledger, records, answer_records, inherited_claims, whole=whole
+                later, open_ledger, records, answer_records, inherited_claims, whole=whole
             )
 
-        # last: whoever reads a part of this append finds the claim still
+        # last in the append: a member that reads only a part of it still finds the claim
         if whole:
-            self._stage(drop_claim(ledger), _PendingCommit(NEVER, act, lambda then: []))
+            self._add_change(drop_claim(ledger), _PendingCommit(NEVER, start_adopted, lambda later: []))
             return self.flush(now)
-        # a partial reading proves no exclusive claim, so a majority of the own replicas would add no proof
-        self._stage(drop_claim(ledger))
-        return self.flush(now) + act(now)
+        # A partial reading doesn't prove that no other member has these jobs, and a commit of it would not
+        # either: there is nothing to wait for.
+        self._add_change(drop_claim(ledger))
+        return self.flush(now) + start_adopted(now)
 
     def _start_adopted(
         self,
@@ -963,6 +999,7 @@
         *,
         whole: bool,
     ) -> list[Action]:
+        """Acts on the records of a ledger that are now in the own one, and tells all members."""
         self._fault_point("after-adoption")
         incarnation = open_ledger.incarnation
         actions: list[Action] = []
@@ -978,8 +1015,8 @@
             other = _incarnation_of(at.ledger)
             if other is None or other == self.me:
                 continue
-            # danger: it counts as taken over since the one that is taken over here won it, but that one has
-            # not made it its own: the key would be gone
+            # The incarnation taken over here had won the claim of this ledger, so it was remembered as taken
+            # over, but ended before adopting it. If it stayed so, the claim's key would be lost.
             self.taken_over.pop(other, None)
             known = self.open_ledgers.get(other)
             if known is None:
@@ -990,7 +1027,7 @@
         self._notices += [(now + later, incarnation, whole) for later in _NOTICE_DELAYS]
         self.counts["ledgers taken over"] += 1
         self.counts["jobs taken over"] += len(records)
-        # what commits here for an answer may be among these
+        # jobs that are looked up here may be among the adopted ones
         for lookup in list(self.lookups.values()):
             actions += self._query(now, lookup)
         return [
@@ -1004,8 +1041,8 @@
             self.counts["already here"] += 1
             return []
         safe = self.rules.safe.get(record.job_class, False)
-        out = record.may_have_run or record.stage is Stage.INTENT
-        job = OwnedJob(record, safe, [], adopted=True, attempt_may_have_run=out)
+        may_run = record.may_have_run or record.stage is Stage.INTENT
+        job = OwnedJob(record, safe, [], adopted=True, attempt_may_have_run=may_run)
         action = recovery_rules.choose_action(
             record, safe=safe, whole=whole, most_attempts=self.rules.most_attempts, now=now
         )
@@ -1026,7 +1063,7 @@
     def _note_taken_over(self, now: int, incarnation: Incarnation, whole: bool) -> None:
         self._remember_taken_over(now, incarnation, whole)
         open_ledger = self.open_ledgers.get(incarnation)
-        # danger: what another could still read in part is no end of a claim that may bring all of it
+        # a partial take-over by another member doesn't end a running claim here, which may get all of it
         if open_ledger is not None and not open_ledger.adopting and (whole or not open_ledger.claiming):
             del self.open_ledgers[incarnation]
         for other in list(self.open_ledgers.values()):
@@ -1042,7 +1079,7 @@
 
 
 def _incarnation_of(ledger: str) -> Incarnation | None:
-    """Whose jobs are in a ledger of that name; None for another kind of ledger."""
+    """The incarnation whose jobs are in a ledger of that name; None for another kind of ledger."""
     name, _, start = ledger.removeprefix("jobs/").rpartition("/")
     if not ledger.startswith("jobs/") or not name or not start.isdigit():
         return None
