--- a/ironbarrow/fleet/takeover/machine.py
+++ b/ironbarrow/fleet/takeover/machine.py
@@ -185,9 +185,8 @@
         self.disclaimed = DisclaimedIds(rules.answer_retention)
         self.open_ledgers: dict[Incarnation, _OpenLedger] = {}
         self.unfinished_ledgers: list[_OpenLedger] = []  # left by this incarnation when it was fenced
-        self.taken_over: OrderedDict[Incarnation, bool] = (
-            OrderedDict()
-        )  # value: whether the ledger was complete
+        # ended incarnations whose ledgers are taken over, and whether each ledger was read completely
+        self.taken_over: OrderedDict[Incarnation, bool] = OrderedDict()
         self.counts: Counter[str] = Counter()
         self._changes: dict[str, Change] = {}
         self._pending: list[_PendingCommit] = []
@@ -198,9 +197,8 @@
         self._majority_gone_since = NEVER
         self._answer_expiries: deque[tuple[int, str]] = deque()
         self._notices: list[tuple[int, Incarnation, bool]] = []
-        self._lost_until: dict[
-            Incarnation, int
-        ] = {}  # until when a retry may be for a job of that incarnation
+        # incarnations whose ledgers were lost, and until when (ns) a retry may be for a job of theirs
+        self._lost_until: dict[Incarnation, int] = {}
 
     # Calls by the host adapter
 
