--- a/ironbarrow/fleet/takeover/__init__.py
+++ b/ironbarrow/fleet/takeover/__init__.py
@@ -1,1 +1,2 @@
-"""Work in hand that outlives its dispatcher: written down before it is done, taken over once."""
+"""Recovery of jobs: a dispatcher records each job before it runs, and one other member takes over its ledger
+when it ends."""
