--- a/ironbarrow/fleet/takeover/deduplication.py
+++ b/ironbarrow/fleet/takeover/deduplication.py
@@ -1,5 +1,7 @@
-"""Clients that come again: answers that are kept for them, promises not to take an id, who is asked for
-one. No input or output."""
+"""Deduplication of client retries: cached answers, ids that other members may own, lookups at all members.
+
+Does no input or output.
+"""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -9,26 +11,25 @@
 from ironbarrow.fleet.records import JobRecord
 from ironbarrow.runtime.clock import MS, SECOND
 
-ROUND_INTERVAL = 100 * MS  # until all are asked again, or those that have not answered
-HOLDER_POLL_INTERVAL = (
-    500 * MS
-)  # a holder is asked again whether it has ended: its answer may be lost on the way
+ROUND_INTERVAL = 100 * MS  # between two rounds of queries to all members
+HOLDER_POLL_INTERVAL = 500 * MS  # between queries to the job's holder, whose answer may be lost on the way
 _MAX_DISCLAIMED_IDS = 8192
-_MAX_RESULT_BYTES = 8 << 20  # of results that are kept
-_REFUSAL_RETENTION = 1 * SECOND  # of a safe job: then a repeat under the same id is a new try
+_MAX_RESULT_BYTES = 8 << 20  # of all cached results together
+_REFUSAL_RETENTION = 1 * SECOND  # of a safe job; after that a retry under the same id is a new job
 
 
 @dataclass(frozen=True, slots=True)
 class CachedAnswer:
-    """A job that has ended."""
+    """The answer of a job that has ended. ``digest``: of its request."""
 
     digest: bytes
     answer: Answer
-    until: int  # it is kept so long
+    until: int  # ns, when it expires
 
 
 class AnswerCache:
-    """Answers for those that come again. ``keep_for``: ns; ``most``: of them; the oldest go first."""
+    """Answers of ended jobs, for clients that retry. ``retention`` in ns; beyond ``max_answers`` or 8 MiB of
+    results the oldest are evicted."""
 
     def __init__(self, retention: int, max_answers: int) -> None:
         self._retention, self._max_answers = retention, max_answers
@@ -39,7 +40,8 @@
         return len(self._answers)
 
     def store(self, job_id: str, digest: bytes, answer: Answer, now: int, *, short: bool) -> None:
-        """``short``: the refusal of a safe job, which may soon be tried anew under its id."""
+        """Stores an answer. ``short``: the refusal of a safe job, which expires early so that the client may
+        try again under the same id."""
         self._remove(job_id)
         retention = (
             min(self._retention, max(_REFUSAL_RETENTION, answer.retry_after)) if short else self._retention
@@ -50,6 +52,7 @@
             self._remove(next(iter(self._answers)))
 
     def find(self, job_id: str, now: int) -> CachedAnswer | None:
+        """The answer of a job; None if there is none or it has expired."""
         found = self._answers.get(job_id)
         if found is not None and found.until <= now:
             self._remove(job_id)
@@ -62,48 +65,55 @@
 
 
 class DisclaimedIds:
-    """Ids that this member does not take without asking first, since it has told another that it has none."""
+    """Ids of jobs that this member has told another member it does not own.
+
+    The other may have started the job since, so a request under such an id is looked up first."""
 
     def __init__(self, retention: int) -> None:
         self._retention = retention
         self._until: OrderedDict[str, int] = OrderedDict()
 
     def add(self, job_id: str, now: int) -> None:
+        """Notes an id; the oldest ones beyond ``_MAX_DISCLAIMED_IDS`` are dropped."""
         self._until[job_id] = now + self._retention
         self._until.move_to_end(job_id)
         while len(self._until) > _MAX_DISCLAIMED_IDS:
             self._until.popitem(last=False)
 
     def contains(self, job_id: str, now: int) -> bool:
+        """Whether an id was noted within the retention time."""
         return self._until.get(job_id, 0) > now
 
 
 @dataclass(slots=True, eq=False)
 class JobLookup:
-    """A job that comes again, while all are asked who has it. A round is over once every member that is alive
-    has answered in it, and it decides only where none of them knows of an open ledger."""
+    """A retried job, while all members are queried for it.
+
+    A round of queries is complete once every live member has replied in it. Its result counts only if no
+    member knows of a ledger that is still to be taken over, as the job may be in that one."""
 
     record: JobRecord
     safe: bool
     waiters: list[object]
-    started_at: int  # ns, when it was asked for first, or lost its holder
-    may_take: bool = True  # False: it was sent from here in an earlier incarnation
+    started_at: int  # ns, when the lookup began, or the job's holder was lost
+    may_take: bool = True  # False: an earlier incarnation of this process may have sent it
     remote_waiters: dict[Incarnation, None] = field(default_factory=dict)
     round: int = 0
     answered: set[Incarnation] = field(default_factory=set)
     no_open_ledger: bool = True
-    may_be_lost: bool = False  # an incarnation is lost of which nobody knows all that it had
-    holder: Incarnation | None = None
+    may_be_lost: bool = False  # a member knows of a lost ledger, which may have held the job
+    holder: Incarnation | None = None  # the member that has replied that it owns the job
     next_at: int = 0
 
     def new_round(self, now: int) -> None:
-        """Danger: what was answered before this member gave way to another no longer counts."""
+        """Begins a round. Earlier replies no longer count: a member may have started the job since."""
         self.round += 1
         self.answered.clear()
         self.no_open_ledger, self.may_be_lost = True, False
         self.next_at = now + (ROUND_INTERVAL if self.holder is None else HOLDER_POLL_INTERVAL)
 
     def holder_lost(self, now: int) -> None:
-        """Whoever had it is gone, or has forgotten it. Danger: measured from the first question, the time for
-        finding it may be over in the very instant in which its holder is lost."""
+        """Notes that the holder has ended or does not know the job any more, and restarts the lookup's time.
+
+        Counted from the first query, the time might be over at the moment in which the holder is lost."""
         self.holder, self.next_at, self.started_at = None, now, now
