--- a/ironbarrow/fleet/takeover/faults.py
+++ b/ironbarrow/fleet/takeover/faults.py
@@ -1,8 +1,9 @@
-"""Named points at which a test ends or stops this process. Off, and a comparison with None, otherwise.
+"""Fault injection for tests: named points at which this process is killed or stopped.
 
-``BALANCER_FAULT`` is ``POINT:N`` (at the N-th passing the process ends, as by SIGKILL), ``POINT:N:stop`` (it
-stops, as by SIGSTOP, until somebody sends SIGCONT), or several of these with commas between them. Of all
-processes with the same ``BALANCER_FAULT_ONCE``, a file's path, only the first one that comes so far does so.
+``BALANCER_FAULT`` is ``POINT:N`` (the process exits at the N-th pass of the point, as by SIGKILL),
+``POINT:N:stop`` (it stops there, as by SIGSTOP, until a SIGCONT), or several of these separated by commas. Of
+all processes with the same ``BALANCER_FAULT_ONCE``, the path of a marker file, only the first to get that far
+does so. Without ``BALANCER_FAULT`` a point costs one comparison with None.
 """
 
 import os
@@ -11,21 +12,23 @@
 from collections.abc import Callable, Mapping
 
 POINTS = {
-    "after-taken": "a job is taken, its record is not sent yet",
-    "after-intent": "an attempt's intent is at a majority, its first byte is not written",
-    "before-refusal": "a refusal is decided, its record is not sent yet",
-    "after-refusal": "a refusal is at a majority, its client has not heard it",
-    "before-claim": "it is this member's turn to claim a ledger, nothing is sealed",
-    "after-seal": "a ledger is claimed, nothing of it is in the own one",
-    "after-adoption": "what was claimed is in the own ledger at a majority, nothing is done with it",
-    "after-answer": "an answer is handed out, its job is not dropped from the ledger",
+    "after-taken": "a job is accepted, its record is not sent to the replicas yet",
+    "after-intent": "an attempt's intent is committed, its first byte is not written yet",
+    "before-refusal": "a refusal is decided, its record is not sent to the replicas yet",
+    "after-refusal": "a refusal is committed, its client has not been answered yet",
+    "before-claim": "this member is about to claim a ledger, no replica is sealed yet",
+    "after-seal": "a ledger is claimed, none of its records are in the own ledger yet",
+    "after-adoption": "the claimed records are committed in the own ledger, no job of them is handled yet",
+    "after-answer": "an answer is sent to the client, its job is not dropped from the ledger yet",
 }
 
-KILLED_STATUS = 137  # exit status, as by SIGKILL
+KILLED_STATUS = 137  # exit status of a process killed by SIGKILL (128 + 9)
 
 
 def parse(text: str) -> dict[str, tuple[int, bool]]:
-    """Points with the passing that counts and whether it stops; a ValueError names what is wrong."""
+    """By point: the number of the pass that counts, and whether the process stops there instead of exiting.
+
+    Raises a ValueError that quotes the wrong part."""
     found: dict[str, tuple[int, bool]] = {}
     for part in filter(None, (p.strip() for p in text.split(","))):
         point, _, rest = part.partition(":")
@@ -39,7 +42,9 @@
 
 
 class FaultInjector:
-    """Counts passings and carries out what was asked for."""
+    """Called at each point by name; counts the passes and kills or stops the process at the chosen ones.
+
+    ``may_act``: asked before it does so; False leaves the process alone."""
 
     def __init__(
         self,
@@ -59,7 +64,7 @@
 
 
 def from_environment(environment: Mapping[str, str]) -> FaultInjector | None:
-    """None, as in service; else what to call at each point."""
+    """The injector that the environment asks for; None without ``BALANCER_FAULT``."""
     text, once = environment.get("BALANCER_FAULT", ""), environment.get("BALANCER_FAULT_ONCE", "")
     if not text:
         return None
@@ -71,7 +76,7 @@
 
 
 def _create_marker(path: str) -> bool:
-    """Whether this process made the file; False if it was there."""
+    """Creates a marker file; False if it exists already."""
     try:
         os.close(os.open(path, os.O_CREAT | os.O_EXCL | os.O_WRONLY))
     except FileExistsError:
