--- a/ironbarrow/fleet/takeover/messages.py
+++ b/ironbarrow/fleet/takeover/messages.py
@@ -1,4 +1,4 @@
-"""What members tell each other of jobs. Kinds 40 to 49. No input or output."""
+"""Messages between members about jobs and take-overs, kinds 40 to 49. Does no input or output."""
 
 import enum
 
@@ -6,16 +6,16 @@
 
 
 class JobStatus(enum.IntEnum):
-    """What a member knows of an id."""
+    """What a member knows of a job's id."""
 
-    UNKNOWN = 0  # nothing, and from now on it does not take it either without asking
-    OWNED = 1  # the job is its own; the answer follows as ``JobAnswer``
-    ENDED = 2  # the answer is in the message
-    CONFLICT = 3  # another request is under that id
+    UNKNOWN = 0  # nothing; from now on it looks the id up before it starts such a job
+    OWNED = 1  # it owns the job; the answer follows as a ``JobAnswer``
+    ENDED = 2  # the job has ended; the answer is in the message
+    CONFLICT = 3  # it knows the id with another request
 
 
 class JobQuery(Message, frozen=True, array_like=True):
-    """Who has the job of that id? Answered by ``JobQueryReply`` of the same round."""
+    """Asks whether a member knows the job of that id. Answered by a ``JobQueryReply`` of the same round."""
 
     KIND = 40
     id: str
@@ -24,9 +24,10 @@
 
 
 class JobQueryReply(Message, frozen=True, array_like=True):
-    """``open``: incarnations that have ended and whose ledgers nobody is known to have taken over yet;
-    ``lost``: incarnations of which no majority remembers the ledger, so that nobody knows all that they
-    had."""
+    """What the sender knows of a job; ``verdict``, ``result`` and ``retry_after`` (ns) if it has ended.
+
+    ``open_incarnations``: ended ones whose ledgers are not known to be taken over yet. ``lost_incarnations``:
+    ended ones whose ledgers no majority of replicas remembers, so that some of their jobs may be unknown."""
 
     KIND = 41
     id: str
@@ -40,7 +41,7 @@
 
 
 class JobAnswer(Message, frozen=True, array_like=True):
-    """The answer of a job that the other has asked for."""
+    """The answer of a job that the receiver has queried."""
 
     KIND = 42
     id: str
@@ -50,7 +51,7 @@
 
 
 class ForwardedCallBack(Message, frozen=True, array_like=True):
-    """A worker's word on a job that the sender does not have. It is passed on once, never further."""
+    """A worker's call-back for a job that the sender does not know. Receivers don't forward it again."""
 
     KIND = 43
     id: str
@@ -60,7 +61,7 @@
 
 
 class TakeoverNotice(Message, frozen=True, array_like=True):
-    """The sender has what an incarnation owed. ``whole``: all of it; else what could still be read."""
+    """The sender has taken over an incarnation's jobs. ``whole`` False: only those still readable."""
 
     KIND = 44
     incarnation: Incarnation
