--- a/ironbarrow/fleet/takeover/actions.py
+++ b/ironbarrow/fleet/takeover/actions.py
@@ -1,4 +1,4 @@
-"""What the machine of taking over tells the process that it is part of. No input or output."""
+"""Actions of the take-over machine that the host adapter carries out. Does no input or output."""
 
 from dataclasses import dataclass
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartJob(FleetEvent):
-    """The job is this process's: the host takes it, with the attempts that are left."""
+    """The host accepts the job, with the attempts that it has left."""
 
     record: JobRecord
 
 
 @dataclass(frozen=True, slots=True)
 class AwaitCallBack(FleetEvent):
-    """A worker may have the job: it waits for its call-back and is never sent beside it."""
+    """A worker may have the job: it waits for the worker's call-back, no second copy is sent meanwhile."""
 
     record: JobRecord
     safe: bool
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAtWorker(FleetEvent):
-    """The job's worker is told to stop; ``Takeover.called_off`` follows."""
+    """The job is cancelled at its worker; on confirmation ``Takeover.cancelled_at_worker`` is called."""
 
     record: JobRecord
 
 
 @dataclass(frozen=True, slots=True)
 class ReplyToClient(FleetEvent):
-    """A client's one answer; None: another request is under that id."""
+    """The only answer to a client; None: the id is in use by another request."""
 
     waiter: object
     answer: Answer | None
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptDecision(FleetEvent):
-    """An attempt's first byte may be written, or (``may`` False) never is."""
+    """An attempt may be sent; or (``allowed`` False) it ends unsent."""
 
     attempt: object
     allowed: bool
@@ -47,21 +47,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawJob(FleetEvent):
-    """Nothing more is owed of the job here: what is out is called off."""
+    """No client waits for the job any more: it ends, and its attempts are cancelled."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseJob(FleetEvent):
-    """Another has the job now: nothing of it is sent, called off or answered here."""
+    """Another member owns the job now: it is dropped here, neither cancelled at its workers nor answered."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverCallBack(FleetEvent):
-    """A worker's word that came to another member."""
+    """A worker's call-back that another member has received and forwarded."""
 
     id: str
     worker: str
@@ -71,15 +71,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerAdopted(FleetEvent):
-    """All that an incarnation owed is in this member's ledger, and what is to be done with it has begun.
-    ``whole`` False: what could still be read of it."""
+    """The jobs of an ended incarnation are in this member's ledger and are being handled.
+
+    ``whole`` False: only those that could still be read."""
 
     incarnation: Incarnation
     jobs: int
     whole: bool
-    after: int  # ns since this member held that incarnation for ended
+    after: int  # ns since this member took that incarnation to have ended
 
 
 @dataclass(frozen=True, slots=True)
 class Superseded(FleetEvent):
-    """Another has sealed this member's ledger: it goes on as a new incarnation or not at all."""
+    """Another member has sealed this member's ledger: the process continues as a new incarnation."""
