--- a/ironbarrow/fleet/takeover/adapter.py
+++ b/ironbarrow/fleet/takeover/adapter.py
@@ -1,7 +1,7 @@
-"""The machine of taking over beside the host: jobs come in through here, attempts go out through here.
+"""Connects the take-over machine to the host.
 
-It stands between the clients' front and the host (``take``), and between the host and what carries its
-attempts (``start``, ``give_up``). Works on any clock; the sockets are the front's and the back's.
+Requests pass through it from the clients' front to the host (``take``), and attempts from the host to the
+invoker (``start``, ``give_up``). It works on any clock and has no sockets of its own.
 """
 
 from collections.abc import Callable, Iterable
@@ -39,46 +39,52 @@
 
 log = structlog.get_logger()
 
-_EXPIRY_CHECK_INTERVAL = 20 * MS  # at kept jobs whose time may be over
-# danger: a call-back for a job of a dispatcher that has died finds nobody until its ledger is taken over
+_EXPIRY_CHECK_INTERVAL = 20 * MS  # between checks for awaited jobs whose time is over
+# A call-back for a job of an ended dispatcher matches no job until that dispatcher's ledger is taken over; it
+# is kept this long for the job.
 _EARLY_CALL_BACK_RETENTION = 15 * SECOND
 _MAX_EARLY_CALL_BACKS = 4096
 _FINAL_STATES = ("done", "failed", "returned", "lost")
 
 
 class CancellingInvoker(Invoker, Protocol):
-    """What carries attempts, and can let go of them."""
+    """An invoker that can also cancel jobs that another dispatcher has sent."""
 
     def call_off(self, job_id: str, worker: str, until: int, done: Callable[[bool], None]) -> None:
-        """Calls a job off that another had sent. ``done`` is told whether the worker has confirmed it, or
-        False at ``until`` (ns)."""
+        """Cancels a job that another dispatcher has sent. Calls ``done`` with whether the worker has
+        confirmed it, or with False at ``until`` (ns)."""
 
     def called_back(self, raw: Any) -> bool:
-        """A worker's word on an attempt, and whether any is out that it is about; a ValueError if it is
+        """Handles a worker's call-back; False if it is for no running attempt. Raises a ValueError if it is
         malformed."""
 
 
 @dataclass(slots=True, eq=False)
 class _Waiter:
-    """A client that waits."""
+    """A client that waits for the answer of a job."""
 
-    id: str
+    id: str  # the job's
     answered: Callable[[Answer | None], None]
-    watch: Watch | None = None  # until a job of the host's has it
+    watch: Watch | None = None  # None once the host's job reports to it
     done: bool = False
 
 
 def takeover_rules(
     settings: api.Settings, fleet: Fleet, on_fault_point: Callable[[str], None] | None = None
 ) -> TakeoverRules:
-    """The machine's rules. A job of an unsafe class is turned away without a majority, unless the file says
-    otherwise."""
+    """The machine's settings from those of the dispatcher and the fleet file.
+
+    Without a majority of replicas jobs of unsafe classes are turned away, unless the file says otherwise."""
     safe = {cls.name: cls.effect is api.Effect.SAFE for cls in settings.classes}
-    away = "turn away"
-    turned = {n for n, s in safe.items() if fleet.without_majority.get(n, "" if s else away) == away}
+    turn_away = "turn away"
+    turned_away = {
+        name
+        for name, is_safe in safe.items()
+        if fleet.without_majority.get(name, "" if is_safe else turn_away) == turn_away
+    }
     return TakeoverRules(
         safe=safe,
-        turn_away=frozenset(turned),
+        turn_away=frozenset(turned_away),
         most_attempts=settings.max_attempts,
         majority_timeout=fleet.ledgers.wait,
         answer_retention=fleet.answers.keep_for,
@@ -90,20 +96,28 @@
 
 
 class TakeoverAdapter:
-    """One dispatcher's work as its fleet knows it. ``machine`` is set before the first job, and anew with
-    each incarnation."""
+    """Stands between a dispatcher's front, host and invoker and its take-over machine.
+
+    ``machine`` is set before the first job, and replaced with each incarnation."""
 
     machine: Takeover
 
     def __init__(
-        self, clock: Clock, host: Host, back: CancellingInvoker, carry_out: Callable[[Iterable[Action]], None]
+        self,
+        clock: Clock,
+        host: Host,
+        invoker: CancellingInvoker,
+        carry_out: Callable[[Iterable[Action]], None],
     ) -> None:
-        self._clock, self._host, self._back, self._carry_out = clock, host, back, carry_out
+        self._clock, self._host, self._invoker, self._carry_out = clock, host, invoker, carry_out
         self._classes = {cls.name: cls for cls in host.settings.classes}
-        rules = host.settings
-        advice = min(200 * MS, rules.max_retry_after) if rules.gives_retry_after else 0
+        settings = host.settings
+        retry_after = min(200 * MS, settings.max_retry_after) if settings.gives_retry_after else 0
         self.keeper = Keeper(
-            rules.max_attempts, advice, early_for=_EARLY_CALL_BACK_RETENTION, early_most=_MAX_EARLY_CALL_BACKS
+            settings.max_attempts,
+            retry_after,
+            early_for=_EARLY_CALL_BACK_RETENTION,
+            early_most=_MAX_EARLY_CALL_BACKS,
         )
         self.on_superseded: Callable[[], None] = lambda: None
         self.on_adopted: Callable[[LedgerAdopted], None] = lambda event: None
@@ -126,10 +140,11 @@
             Superseded: lambda event: self.on_superseded(),
         }
 
-    # News
+    # Events
 
     def on_event(self, event: FleetEvent) -> None:
-        """All event of this member's machines, in order."""
+        """Handles an event of any of this member's machines: carries out the actions of the take-over
+        machine, passes all other events on to it."""
         handler = self._handlers.get(type(event))
         if handler is not None:
             handler(event)
@@ -140,7 +155,7 @@
         self._carry_out(actions)
         if self.machine.has_unflushed and not self._flush_planned:
             self._flush_planned = True
-            self._clock.soon(self._flush)  # with all that comes in this turn
+            self._clock.soon(self._flush)  # together with all other changes of this turn
 
     def _flush(self) -> None:
         self._flush_planned = False
@@ -151,8 +166,8 @@
     def take(
         self, payload: Payload, answered: Callable[[Answer | None], None], **options: Any
     ) -> Callable[[], None]:
-        """As ``Host.take``; ``answered`` is told None where another request is under that id. Gives back what
-        is called when the client leaves or has its answer."""
+        """As ``Host.take``; ``answered`` gets None if another request uses that id. Returns the function to
+        call when the client has disconnected or has its answer."""
         now = self._clock.now()
         text = f"{payload.method}\0{payload.target}\0".encode()
         terms: Terms | None = options.get("terms")
@@ -180,17 +195,18 @@
         return partial(self._client_disconnected, waiter)
 
     def readiness(self) -> str:
+        """The value of the header ``X-Fleet``: the state of this member and of its take-overs."""
         machine = self.machine
         state = "leaving" if machine.leaving else "no majority" if machine.no_majority else "majority"
-        away = ",".join(sorted(machine.rules.turn_away)) if machine.no_majority else ""
+        turned_away = ",".join(sorted(machine.rules.turn_away)) if machine.no_majority else ""
         return (
-            f"{state}; turned-away={away or '-'}; members={len(machine.members.alive())}; "
+            f"{state}; turned-away={turned_away or '-'}; members={len(machine.members.alive())}; "
             f"taking-over={len(machine.open_ledgers)}; lost={machine.counts['ledgers lost']}"
         )
 
     @property
     def owed(self) -> int:
-        """Jobs that this member owes their answer, those that only wait for a call-back included."""
+        """Number of jobs that this member has to answer, including those that only wait for a call-back."""
         return len(self.machine.owned)
 
     def _client_disconnected(self, waiter: _Waiter) -> None:
@@ -223,8 +239,8 @@
         waiter, options = self._client_options.pop(record.id, (None, {}))
         terms: Terms = options.get("terms") or Terms()
         if waiter is not None:
-            waiter.watch = None  # the host tells it
-        left = max(1, self._host.settings.max_attempts - record.attempts)
+            waiter.watch = None  # the host's job reports to it from now on
+        attempts_left = max(1, self._host.settings.max_attempts - record.attempts)
         cls = self._classes[record.job_class]
         wanted = terms.wanted
         if waiter is None and not cls.stretch:
@@ -246,7 +262,9 @@
             slots=record.slots,
             memory=record.memory,
             repeat=bool(options.get("repeat")) or record.may_have_run,
-            terms=replace(terms, wanted=wanted, most_attempts=min(terms.most_attempts or left, left)),
+            terms=replace(
+                terms, wanted=wanted, most_attempts=min(terms.most_attempts or attempts_left, attempts_left)
+            ),
             tried=record.tried,
         )
 
@@ -260,13 +278,14 @@
             self._host.withdraw(job)
 
     def _release_job(self, event: ReleaseJob) -> None:
-        """Danger: what is called off here may be what another has sent by now."""
+        """Drops a job without cancelling its attempts: a cancellation could hit the copy that the new owner
+        of the job has sent to the same worker."""
         self.keeper.gone(event.id)
         job = self._jobs.pop(event.id, None)
         if job is not None:
             for attempt in job.attempts:
                 if not attempt.ended:
-                    self._back.let_go(attempt)
+                    self._invoker.let_go(attempt)
             self._host.let_go(job)
 
     def _log_adopted(self, event: LedgerAdopted) -> None:
@@ -279,7 +298,7 @@
         )
         self.on_adopted(event)
 
-    # Jobs that a worker has
+    # Adopted jobs that a worker may have
 
     def _await_call_back(self, event: AwaitCallBack) -> None:
         record, now = event.record, self._clock.now()
@@ -311,23 +330,25 @@
             self._plan_expiry_check()
 
     def _cancel_at_worker(self, event: CancelAtWorker) -> None:
-        """Danger: until the worker has confirmed it, the attempt may run: it is kept for its call-back."""
+        """Cancels an adopted job at its worker. Until that is confirmed the attempt may run, so its call-back
+        is awaited meanwhile."""
         record, machine = event.record, self.machine
         self._await_call_back(AwaitCallBack(record, safe=True))
         kept = self.keeper.jobs.get(record.id)
         if kept is None:
-            return  # its call-back had come already
+            return  # its call-back had arrived before the job was adopted
 
         def done(confirmed: bool) -> None:
-            still_kept = self.keeper.jobs.get(record.id) is kept
-            if confirmed and still_kept and machine is self.machine:
+            still_awaited = self.keeper.jobs.get(record.id) is kept
+            if confirmed and still_awaited and machine is self.machine:
                 self.keeper.gone(record.id)
                 self._run(machine.cancelled_at_worker(self._clock.now(), record.id))
 
-        self._back.call_off(record.id, record.worker, record.until, done)
+        self._invoker.call_off(record.id, record.worker, record.until, done)
 
     def on_unmatched_call_back(self, raw: dict[str, Any]) -> None:
-        """A call-back for no attempt of this process: for a job kept here, or for another member."""
+        """Handles a call-back that matches no attempt of this process: it is for an adopted job, or forwarded
+        to the other members."""
         if not self._deliver_to_awaited(raw) and raw["state"] in _FINAL_STATES:
             result = raw.get("result", "")
             data = result.encode() if isinstance(result, str) else b""
@@ -339,18 +360,20 @@
         return self.keeper.called_back(raw["id"], raw["from"], raw["state"], data, self._clock.now())
 
     def _deliver_call_back(self, event: DeliverCallBack) -> None:
-        """Passed on by another. Danger: passed on again, what nobody knows would go round for ever."""
+        """Handles a call-back forwarded by another member. It is not forwarded again: one that no member
+        knows would circulate for ever."""
         raw = {"id": event.id, "from": event.worker, "state": event.state}
         raw["result"] = event.result.decode("utf-8", "replace")
         try:
-            if not self._back.called_back(raw):
+            if not self._invoker.called_back(raw):
                 self._deliver_to_awaited(raw)
         except ValueError as error:
-            log.error("forwarded call-back passed over", error=str(error))
+            log.error("malformed forwarded call-back ignored", error=str(error))
 
-    # The host's attempts
+    # The host's invoker
 
     def start(self, attempt: Attempt) -> None:
+        """Sends an attempt once its intent is committed."""
         now = self._clock.now()
         self._run(self.machine.begin_attempt(now, attempt, attempt.job.payload.id, attempt.worker))
 
@@ -362,25 +385,27 @@
         if event.allowed:
             job_id = attempt.job.payload.id
             check("intent before send", self.machine.may_send(job_id), id=job_id, worker=attempt.worker)
-            self._back.start(attempt)
+            self._invoker.start(attempt)
         else:
             self._host.attempt_ended(attempt, Ending.NOT_SENT)
 
     def give_up(self, attempt: Attempt, ending: Ending) -> None:
+        """Cancels an attempt."""
         if self.machine.cancel_attempt(attempt):
             self._host.attempt_ended(attempt, Ending.NOT_SENT)
         else:
-            self._back.give_up(attempt, ending)
+            self._invoker.give_up(attempt, ending)
 
     def let_go(self, attempt: Attempt) -> None:
-        self._back.let_go(attempt)
+        """Drops an attempt without cancelling it at its worker."""
+        self._invoker.let_go(attempt)
 
     def _attempt_over(self, attempt: Attempt) -> None:
         self.machine.attempt_ended(attempt.job.payload.id, never_ran=attempt.never_ran)
         self._run(())
 
     def probe(self, worker: str) -> None:
-        self._back.probe(worker)
+        self._invoker.probe(worker)
 
     def close_idle(self, worker: str) -> None:
-        self._back.close_idle(worker)
+        self._invoker.close_idle(worker)
