--- a/ironbarrow/fleet/takeover/participant.py
+++ b/ironbarrow/fleet/takeover/participant.py
@@ -1,6 +1,6 @@
-"""One dispatcher's part in its fleet, put together: the member on the loop, its ledgers, its work.
+"""A dispatcher as a member of its fleet: puts together the member, its ledgers and its take-over machine.
 
-Imported by the program only where a fleet file is given.
+Imported by the program only if a fleet file is configured.
 """
 
 import os
@@ -27,18 +27,20 @@
 
 log = structlog.get_logger()
 
-_LEAVE_CHECK_INTERVAL = 20 * MS  # between two looks whether all is written down and said
+_LEAVE_CHECK_INTERVAL = 20 * MS  # between checks whether all changes are committed and all messages sent
 
 
 class FleetParticipant:
-    """A dispatcher of a fleet. A FleetError or ValueError for a file or a fault that can't be used, an
-    OSError if it can't listen where the file says."""
+    """A dispatcher as a member of its fleet.
+
+    Raises a FleetError or ValueError for an unusable fleet file or ``BALANCER_FAULT``, and an OSError if it
+    can't listen at the file's address."""
 
     def __init__(
         self,
         loop: Loop,
         host: Host,
-        back: CancellingInvoker,
+        invoker: CancellingInvoker,
         path: Path,
         name: str,
         site: str,
@@ -46,14 +48,14 @@
         *,
         make_service: Callable[[Loop, Fleet, str, str, str], FleetService] = FleetService,
     ) -> None:
-        """``make_service``: makes the member on the loop; a laboratory's own may count or cut its links."""
+        """``make_service``: creates the fleet service; the laboratory's own counts or cuts its links."""
         self.fleet: Fleet = file.load(path, name)
         on_fault_point = faults.from_environment(os.environ)
         self._loop, self._host, self._stopping = loop, host, False
         self.waits: StarvationMachine | None = None
         self._rules = takeover_rules(host.settings, self.fleet, on_fault_point)
         self.service = make_service(loop, self.fleet, name, site, "{}:{}".format(*front))
-        self.adapter = TakeoverAdapter(loop, host, back, self.service.carry_out)
+        self.adapter = TakeoverAdapter(loop, host, invoker, self.service.carry_out)
         self.adapter.on_superseded = lambda: loop.soon(self._on_superseded)
         self._add_machines(self.service)
         self.service.on_new_incarnation(self._add_machines)
@@ -65,7 +67,7 @@
             RolloutParticipant(loop, host, self.service, self.fleet.rollout, lambda: self.ledgers)
 
     def _add_machines(self, service: FleetService) -> None:
-        """Another incarnation: its machines, and what clients of the last one still wait for."""
+        """Adds the machines of a new incarnation, which continues for the clients of the earlier one."""
         now = self._loop.now()
         earlier: Takeover | None = getattr(self.adapter, "machine", None)
         self.ledgers = LedgerMachine(service.incarnation, service.members, self.fleet.ledgers)
@@ -76,18 +78,18 @@
         self.adapter.machine = machine
         service.carry_out(machine.open_ledger(now))
         if earlier is not None:
-            if not earlier.fenced:  # another process went by this name, or this one's clock was set back
+            if not earlier.fenced:  # another process used this name, or this process's clock was set back
                 service.carry_out(earlier.supersede(now))
             service.carry_out(machine.inherit(now, earlier))
 
     def _compare_waits(self, service: FleetService, rules: StarvationRules, now: int) -> None:
-        """This dispatcher's waits are compared with those at the others."""
+        """Adds the machine that compares this dispatcher's waits with those of the others."""
         from ironbarrow.fleet.starvation.machine import Shares, StarvationMachine
 
         settings = self._host.settings
         shares = Shares({t.name: t.allowance_per_s / settings.dispatchers for t in settings.tenants})
         if rules.move and self.waits is None:
-            log.warning("starvation.move: jobs are not moved yet, verdicts alone are given")
+            log.warning("starvation.move: jobs are not moved yet, only verdicts are given")
         book = self.waits.book if self.waits is not None else None
         self.waits = StarvationMachine(
             service.members.me, service.members, self.ledgers, rules, shares, now, book=book
@@ -104,8 +106,9 @@
             self.service.start_new_incarnation()
 
     def leave(self, until: int) -> None:
-        """Sends nothing more and tells the others that this member goes; what it owes is theirs. ``left``
-        says when. ``until``: it waits no longer for its ledger's replicas, ns."""
+        """Stops sending attempts and tells the other members that this one leaves; they take over its jobs.
+
+        ``has_left`` becomes True when that is done. ``until``: when to stop waiting for the replicas, ns."""
         if self._stopping:
             return
         self._stopping = True
@@ -134,8 +137,9 @@
             self._loop.call_at(now + _LEAVE_CHECK_INTERVAL, self._wait_sent, until)
 
     def on_unmatched_call_back(self, raw: Any) -> None:
-        """A worker's word on a call that is not out here."""
+        """Handles a worker's call-back that matches no attempt of this process."""
         self.adapter.on_unmatched_call_back(raw)
 
     def close(self) -> None:
+        """Closes all links at once, without telling the other members."""
         self.service.close()
