--- a/ironbarrow/fleet/file.py
+++ b/ironbarrow/fleet/file.py
@@ -1,6 +1,6 @@
-"""The fleet file: who this member is to the others, and under which rules. TOML, checked whole.
+"""The fleet file: addresses and rules of one member, TOML, checked completely when it is read.
 
-Without such a file a dispatcher shares nothing with anybody, and none of this package is imported.
+Without such a file a dispatcher works alone, and nothing of this package is imported.
 """
 
 from pathlib import Path
@@ -22,79 +22,79 @@
 
 
 class _Table(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What all tables of the file have in common: unknown keys are refused."""
+    """Base of all tables of the file: unknown keys are refused."""
 
 
 class MemberRules(_Table, frozen=True):
-    """How members watch each other. Each asks one other in every ``period``."""
+    """Failure detection between members. Each member pings one other per ``period``."""
 
     period: Duration = ms(300)
-    timeout: Duration = ms(150)  # of a question asked directly; then ``helpers`` others ask for it
+    timeout: Duration = ms(150)  # of a direct ping; after that ``helpers`` other members ping for it
     helpers: PositiveInt = 3
-    suspect_for: Duration = ms(900)  # from the first doubt to death, of a member that does not object
-    keep_dead: Duration = ms(120_000)  # so long the card of a dead member is remembered
-    most: Annotated[int, Meta(ge=1024)] = 4096  # members that are kept in the list
+    suspect_for: Duration = ms(900)  # from suspicion to death, unless the member refutes the suspicion
+    keep_dead: Duration = ms(120_000)  # how long the card of a dead member is remembered
+    most: Annotated[int, Meta(ge=1024)] = 4096  # members in the list at most
 
 
 class LinkRules(_Table, frozen=True):
-    """Bounds of what carries messages: connections, and what waits to be sent."""
+    """Limits of the connections between members and of their send queues."""
 
-    outgoing: Annotated[int, Meta(ge=16)] = 96  # connections that this member opens
-    incoming: Annotated[int, Meta(ge=16)] = 160  # and those that others open to it
-    idle: Duration = ms(20_000)  # an unused one is closed
-    queue: Annotated[int, Meta(ge=64)] = 2048  # messages that wait for one peer
-    queue_kb: Annotated[int, Meta(ge=1025)] = 2048  # and their size: one frame of 1 MiB at least
-    memory_mb: Annotated[int, Meta(ge=2)] = 32  # of all that waits to be sent; as much for frames half read
+    outgoing: Annotated[int, Meta(ge=16)] = 96  # connections opened by this member, at most
+    incoming: Annotated[int, Meta(ge=16)] = 160  # connections opened to it, at most
+    idle: Duration = ms(20_000)  # an unused connection is closed after this time
+    queue: Annotated[int, Meta(ge=64)] = 2048  # messages queued for one peer, at most
+    queue_kb: Annotated[int, Meta(ge=1025)] = 2048  # KiB queued for one peer; at least one frame of 1 MiB
+    memory_mb: Annotated[int, Meta(ge=2)] = 32  # MiB of all send queues, and as much of incomplete frames
 
 
 class LedgerRules(_Table, frozen=True):
-    """How many replicas keep what a dispatcher owes, and how long is waited for them."""
+    """Replication of the ledgers of jobs."""
 
     replicas: Literal[3, 5] = msgspec.field(default=3, name="keepers")  # the key of users' files stays
-    wait: Duration = ms(250)  # for a majority: then what waits for it fails
-    resend: Duration = ms(60)  # what was not acknowledged goes out again
-    replace_after: Duration = ms(600)  # a replica that is silent for so long gives way to another
-    memory_mb: PositiveInt = 24  # for what is kept for others
+    wait: Duration = ms(250)  # for a majority; after that the waiting operations fail
+    resend: Duration = ms(60)  # unacknowledged appends are sent again after this time
+    replace_after: Duration = ms(600)  # a replica silent for this time is replaced by another
+    memory_mb: PositiveInt = 24  # MiB of replicas stored for other members, at most
 
 
 class AnswerRules(_Table, frozen=True):
-    """Answers kept for clients that come again with the same id."""
+    """Cached answers for clients that retry with the same id."""
 
     keep_for: Duration = ms(60_000)
     most: PositiveInt = 4096
-    # of jobs that may not run twice: which are asked for at all members before they are taken
-    ask: Literal["marked", "all"] = "marked"  # those that say X-Retried: 1, or all
+    # which bookings are looked up at all members before they start: those marked by X-Retried: 1, or all
+    ask: Literal["marked", "all"] = "marked"
 
 
 class StarvationRules(_Table, frozen=True):
-    """Bounds of the tables of waits, and when a verdict is given."""
+    """Limits of the tables of waits, and thresholds of a starvation verdict."""
 
     window: Duration = ms(5_000)
-    windows: PositiveInt = 6  # that are compared
-    tenants: PositiveInt = 64  # in a table; what is beyond is counted
+    windows: PositiveInt = 6  # number of windows that are compared
+    tenants: PositiveInt = 64  # in a table, at most; others are only counted
     table_bytes: PositiveInt = 16_384
-    false_alarms: Annotated[float, Meta(gt=0, lt=0.5)] = 0.01  # chance a look over all pairs
+    false_alarms: Annotated[float, Meta(gt=0, lt=0.5)] = 0.01  # probability per evaluation of all pairs
     least_jobs: PositiveInt = 20
-    least_effect: Annotated[float, Meta(gt=1)] = 2.0  # times as long a wait
-    least_wait: Duration = ms(20)  # a shorter mean wait is nobody's trouble
-    lasting: PositiveInt = 2  # windows in a row
-    least_seen: Fraction = 0.5  # of the fleet's tables
-    move: bool = False  # held jobs of a starved tenant go to where it waits least
+    least_effect: Annotated[float, Meta(gt=1)] = 2.0  # factor by which the waits have to be longer
+    least_wait: Duration = ms(20)  # shorter mean waits give no verdict
+    lasting: PositiveInt = 2  # windows in a row in which the effect has to be seen
+    least_seen: Fraction = 0.5  # share of the fleet's tables that have to be known
+    move: bool = False  # move waiting jobs of a starved tenant to where it waits least
 
 
 class RolloutRules(_Table, frozen=True):
-    """A part in rollouts of the workers' runtime."""
+    """Participation in rollouts of the workers' runtime."""
 
-    plan: str = ""  # the path of one to start here; "": this member only takes part
-    meet: Duration = ms(3_000)  # after the start of the process and before that of the rollout
+    plan: str = ""  # path of a plan to start here; "": this member only takes part
+    meet: Duration = ms(3_000)  # from the start of the process to the start of the rollout
     absent_for: Duration = ms(120_000)  # a worker that is no longer listed counts as down, then as gone
 
 
 class Fleet(_Table, frozen=True):
-    """All of it. ``routes``: where a member is reached, if not at the address that it tells."""
+    """The whole file. ``routes``: addresses of members to use instead of those in their cards."""
 
     listen: str
-    address: str = ""  # how the others reach it; "": as it listens
+    address: str = ""  # at which others reach it; "": the address of ``listen``
     seeds: list[str] = msgspec.field(default_factory=list)  # "name=host:port"
     site: str = ""  # "": the zone of the settings
     members: MemberRules = MemberRules()
@@ -103,7 +103,7 @@
     answers: AnswerRules = AnswerRules()
     starvation: StarvationRules | None = None  # None: waits are not compared
     rollout: RolloutRules | None = None  # None: it neither leads nor watches rollouts
-    # a dispatcher without a majority of replicas, by class: what becomes of jobs that may not run twice
+    # by job class: what a dispatcher without a majority of replicas does with bookings
     without_majority: dict[str, Literal["turn away", "serve unprotected"]] = msgspec.field(
         default_factory=dict
     )
@@ -111,11 +111,11 @@
 
     @property
     def descriptors(self) -> int:
-        """That a member needs at most for its links."""
+        """File descriptors that a member needs for its links, at most."""
         return self.links.outgoing + self.links.incoming + 2
 
     def seed_addresses(self) -> dict[str, Address]:
-        """Seeds by name."""
+        """Addresses of the seeds by name."""
         return {name: parse_address(address) for name, _, address in (s.partition("=") for s in self.seeds)}
 
 
@@ -126,7 +126,7 @@
 
 
 def load(path: Path, name: str) -> Fleet:
-    """The file of the member of that name; a FleetError if it can't be read or used."""
+    """Reads the file of the member of that name. Raises a FleetError if it can't be read or used."""
     try:
         return parse(path.read_bytes(), str(path), name)
     except OSError as error:
@@ -134,7 +134,8 @@
 
 
 def parse(text: bytes, where: str, name: str) -> Fleet:
-    """A fleet file's text; a FleetError names key, value and what was expected."""
+    """Parses a fleet file; ``where`` is its name for errors. Raises a FleetError that names key, value and
+    what was expected."""
     try:
         fleet = msgspec.toml.decode(text, type=Fleet, dec_hook=_decode)
         _check(fleet, name)
@@ -144,7 +145,7 @@
 
 
 def _check(fleet: Fleet, name: str) -> None:
-    """What no single key shows."""
+    """Checks addresses, and rules that concern several keys."""
     _address("listen", fleet.listen, least_port=0)
     if fleet.address:
         _address("address", fleet.address)
