--- a/ironbarrow/fleet/invariants.py
+++ b/ironbarrow/fleet/invariants.py
@@ -1,7 +1,7 @@
-"""What must hold at each change of state, checked where the state changes.
+"""Run-time checks of invariants, called where the state changes.
 
-In tests and in the laboratory a broken one ends the run; in service it is counted and logged, since a
-process that ends for it would lose what it has taken. No input or output but the log.
+In tests and in the laboratory a broken invariant ends the run. In service it is only counted and logged, as a
+process that exited would lose the jobs it has accepted.
 """
 
 from collections import Counter
@@ -13,11 +13,11 @@
 
 
 class InvariantError(AssertionError):
-    """What must never be; the text says what, and with which figures."""
+    """A broken invariant; the text has its name and the values involved."""
 
 
 class Invariants:
-    """Counts checks and failures by name. ``fatal``: a failure raises an InvariantError."""
+    """Counts checks and broken invariants by name. ``fatal``: a broken one raises an InvariantError."""
 
     def __init__(self, fatal: bool = False) -> None:
         self.fatal = fatal
@@ -26,7 +26,7 @@
         self.on_broken: Callable[[str, str], None] | None = None  # name, text
 
     def check(self, name: str, holds: bool, **details: object) -> None:
-        """Notes one check. ``name``: a few words such as "one holder"."""
+        """Checks one invariant. ``name``: a few words such as "one holder"; ``details``: values to report."""
         self.checked[name] += 1
         if holds:
             return
@@ -39,5 +39,5 @@
         log.error("invariant broken", invariant=name, figures=text)
 
 
-INVARIANTS = Invariants()  # this process's
+INVARIANTS = Invariants()  # of this process
 check = INVARIANTS.check
