--- a/ironbarrow/fleet/node.py
+++ b/ironbarrow/fleet/node.py
@@ -1,5 +1,6 @@
-"""The machines of one member together: each message goes to the machine that wants it, each action to whoever
-carries it out. No input or output: the loop's links or the laboratory's network drive it.
+"""Dispatches messages to the machines of one member, and their actions to the callbacks that carry them out.
+
+Does no input or output: the fleet service on the event loop or the laboratory's network drives it.
 """
 
 from collections import Counter
@@ -9,7 +10,7 @@
 
 
 class Node:
-    """Runs machines. ``send`` carries messages away; ``on_event`` gets all news, in order."""
+    """Runs the machines of a member. ``send`` sends messages; ``on_event`` gets all events, in order."""
 
     def __init__(
         self, incarnation: Incarnation, send: Callable[[Send], None], on_event: Callable[[FleetEvent], None]
@@ -18,21 +19,21 @@
         self._send, self._on_event = send, on_event
         self._machines: list[Machine] = []
         self._by_type: dict[type[Message], Machine] = {}
-        # messages for another incarnation, or that no machine wants
+        # messages dropped, by cause: meant for another incarnation, or a type that no machine handles
         self.ignored: Counter[str] = Counter()
 
     def add(self, machines: Iterable[Machine]) -> None:
-        """Adds machines; a ValueError if two want the same message."""
+        """Adds machines. Raises a ValueError if two handle the same message."""
         for machine in machines:
             self._machines.append(machine)
             for kind in machine.handles:
                 if kind in self._by_type:
-                    raise ValueError(f"{kind.__name__}: two machines want it")
+                    raise ValueError(f"{kind.__name__}: handled by two machines")
                 self._by_type[kind] = machine
 
     def received(self, now: int, sender: Incarnation, to_start: int, message: Message) -> None:
-        """Takes in a message. Danger: one that is meant for an earlier incarnation of this member must change
-        nothing."""
+        """Passes a message to its machine. One that is meant for an earlier incarnation of this member is
+        dropped: it must not change the state of the present one."""
         machine = self._by_type.get(type(message))
         if to_start not in (0, self.incarnation.start):
             self.ignored["another incarnation"] += 1
@@ -42,16 +43,17 @@
             self.carry_out(machine.received(now, sender, message))
 
     def ticked(self, now: int) -> None:
+        """Runs the machines that are due."""
         for machine in self._machines:
             if machine.next_at() <= now:
                 self.carry_out(machine.ticked(now))
 
     def next_at(self) -> int:
-        """ns; NEVER if nothing is planned."""
+        """When ``ticked`` is due next, ns; NEVER if nothing is planned."""
         return min((machine.next_at() for machine in self._machines), default=NEVER)
 
     def carry_out(self, actions: Iterable[Action]) -> None:
-        """Carries out what a machine answered, also to an order given to it directly."""
+        """Carries out the actions of a machine, also those returned to a direct call."""
         for action in actions:
             if isinstance(action, Send):
                 self._send(action)
