--- a/ironbarrow/fleet/records.py
+++ b/ironbarrow/fleet/records.py
@@ -1,8 +1,7 @@
-"""What a dispatcher's ledger says of a job, and what is passed on with it. No input or output.
+"""Records in a dispatcher's ledger. Does no input or output.
 
-A job is under the key ``j/ID``. It is written when it is taken (nobody has it), again before each attempt
-(who is about to have it), again with a refusal before its client hears that, and dropped when it has
-ended.
+A job has the key ``j/ID``. Its record is written when the job is accepted, again before each attempt (with
+the worker), again with a refusal before that is sent to the client, and dropped when the job has ended.
 """
 
 import enum
@@ -14,23 +13,24 @@
 from ironbarrow.fleet.api import Change, LedgerLocation
 
 _Record = TypeVar("_Record")
-JOB = "j/"  # a job that is owed
-CLAIM = "c/"  # a ledger of another that is about to be claimed: msgpack of its LedgerLocation
-VERDICT = "v/"  # a verdict on a tenant that has begun
-ANSWER = "a/"  # the answer of a job that must not run twice, for a while after its end
+# prefixes of keys
+JOB = "j/"  # a job that is not answered yet
+CLAIM = "c/"  # a ledger of another member that is about to be claimed: MessagePack of its LedgerLocation
+VERDICT = "v/"  # a starvation verdict on a tenant that is in force
+ANSWER = "a/"  # the answer of a booking, for a while after its end
 
 
 class Stage(enum.IntEnum):
-    """How far a job has come."""
+    """The progress of a job."""
 
-    TAKEN = 1  # no attempt of it is out, and none may have run unless ``may_have_run``
-    INTENT = 2  # the attempt to ``worker`` may go out at any time, or has
-    REFUSED = 3  # its client may have been told that a repeat is harmless: it is never sent again
+    TAKEN = 1  # accepted; no attempt is running, and none may have run unless ``may_have_run``
+    INTENT = 2  # the attempt to ``worker`` may be sent at any time, or has been
+    REFUSED = 3  # its client may have been refused and may retry, so it is never sent again
 
 
 class JobRecord(Struct, frozen=True, array_like=True, kw_only=True):
-    """A job as its ledger has it. Times in ns; ``taken_at`` and ``until`` are Unix times of the dispatcher
-    that took it first: whoever takes it over keeps to the shorter of ``until`` and the time left by ``age``
+    """A job in a ledger. Times in ns; ``taken_at`` and ``until`` are Unix times of the dispatcher that
+    accepted it first: whoever takes it over keeps to the shorter of ``until`` and the time left by ``age``
     rules of its own.
     """
 
@@ -43,20 +43,20 @@
     taken_at: int
     until: int
     stage: Stage
-    attempts: int = 0  # over all holders, that of the intent included
-    worker: str = ""  # INTENT: who is about to have it
-    may_have_run: bool = False  # at an attempt before the one of the intent
+    attempts: int = 0  # by all owners of the job, including the one of the intent
+    worker: str = ""  # INTENT: the worker of the attempt
+    may_have_run: bool = False  # in an attempt before the one of the intent
     key: int | None = None
     tenant: str | None = None
     slots: float = 1.0
     memory: float = 0.0
-    digest: bytes = b""  # of method, target and body: another request under the same id is not the same job
+    digest: bytes = b""  # of method, target and body: tells another request under the same id apart
     idempotency_key: str = ""
-    tried: tuple[str, ...] = ()  # workers that may still tell of an earlier attempt, over all holders
+    tried: tuple[str, ...] = ()  # workers of all attempts by all owners, which may still call back
 
 
 class AnswerRecord(Struct, frozen=True, array_like=True, kw_only=True):
-    """The answer of a job that has ended, in place of the job: its client may come again for it."""
+    """The answer of a job that has ended, which replaces the job's record: its client may retry for it."""
 
     id: str
     digest: bytes
@@ -71,43 +71,43 @@
 
 
 def put(record: JobRecord) -> Change:
-    """The change that writes a job down."""
+    """The change that stores a job."""
     return Change(JOB + record.id, _ENCODER.encode(record))
 
 
 def drop(job_id: str) -> Change:
-    """The change that says that nothing is owed of it."""
+    """The change that removes a job."""
     return Change(JOB + job_id)
 
 
 def jobs(content: dict[str, bytes]) -> list[JobRecord]:
-    """The jobs in a ledger's content, in order of id; what can't be read is left out, for the caller to
-    count."""
+    """The jobs in a ledger's content, in order of id. Malformed records are left out; the caller counts
+    them."""
     return _read(content, JOB, _JOB_DECODER)
 
 
 def put_answer(answer: AnswerRecord) -> Change:
-    """The change that writes an answer down."""
+    """The change that stores an answer."""
     return Change(ANSWER + answer.id, _ENCODER.encode(answer))
 
 
 def drop_answer(job_id: str) -> Change:
-    """The change that forgets an answer."""
+    """The change that removes an answer."""
     return Change(ANSWER + job_id)
 
 
 def answers(content: dict[str, bytes]) -> list[AnswerRecord]:
-    """The answers in a ledger's content, as ``jobs`` gives the jobs."""
+    """The answers in a ledger's content, in order of id; malformed records as in ``jobs``."""
     return _read(content, ANSWER, _ANSWER_DECODER)
 
 
 def drop_claim(ledger: str) -> Change:
-    """The change that says that a claim is over: what was claimed is in this ledger itself."""
+    """The change that ends a claim, as the claimed content is in this ledger."""
     return Change(CLAIM + ledger)
 
 
 def claims(content: dict[str, bytes]) -> list[LedgerLocation]:
-    """The ledgers that a ledger's writer was about to claim, as ``jobs`` gives the jobs."""
+    """The ledgers that the writer of a ledger was about to claim; malformed records as in ``jobs``."""
     return _read(content, CLAIM, _LOCATION_DECODER)
 
 
