--- a/ironbarrow/fleet/rollout_participant.py
+++ b/ironbarrow/fleet/rollout_participant.py
@@ -1,4 +1,4 @@
-"""A dispatcher's part in rollouts: its list of workers and its attempts for the rollouts' machine."""
+"""A dispatcher's part in rollouts: feeds its list of workers and its attempts to the rollouts' machine."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -22,8 +22,8 @@
 
 log = structlog.get_logger()
 
-_START_RETRY_INTERVAL = 200 * MS  # whether a plan can be started
-_AVERAGED_JOBS = 16  # jobs
+_START_RETRY_INTERVAL = 200 * MS  # between checks whether the plan can be started
+_AVERAGED_JOBS = 16  # jobs; weight of the moving average of a job class's duration
 _END_BY_OUTCOME = {
     api.Outcome.OK: End.DONE,
     api.Outcome.ERROR: End.FAILED,
@@ -33,13 +33,14 @@
 
 
 def _to_unix(now: int) -> int:
-    """The loop's time is Unix time."""
+    """Converts the loop's time to Unix time, ns: they are the same."""
     return now
 
 
 class RolloutParticipant:
-    """It lasts as long as the process; ``machine`` is another in each incarnation of the member. A FleetError
-    for a plan that can't be used."""
+    """Lasts as long as the process; ``machine`` is replaced in each incarnation of the member.
+
+    Raises a FleetError for a plan that can't be read, a PlanError for one that can't be used."""
 
     machine: Rollouts
 
@@ -51,13 +52,13 @@
         rules: RolloutRules,
         ledgers: Callable[[], Ledgers],
     ) -> None:
-        """``ledgers``: those of the incarnation that the service is in."""
+        """``ledgers`` returns the ledgers of the service's current incarnation."""
         self._loop, self._host, self._service, self._rules = loop, host, service, rules
         self._targets: dict[str, Listed] = {}
         self._absent: dict[str, int] = {}  # targets that are no longer listed: since when, ns
-        # attempts that are out: their workers' starts, and (0: not yet) their own, ns
+        # running attempts: when their worker's process and they themselves (0: not yet) started, ns
         self._sent: dict[Attempt, tuple[int, int]] = {}
-        self._usual_times: dict[str, float] = {}  # ns that a job of a class takes, as learnt here
+        self._usual_times: dict[str, float] = {}  # by job class: average duration here, ns
         self._plan: tuple[bytes, Plan] | None = None
         self._update_targets()
         if rules.plan:
@@ -75,7 +76,7 @@
         service.subscribe(self._on_event)
 
     def _add_machine(self, service: FleetService) -> None:
-        """Another incarnation of the member."""
+        """Adds the machine of a new incarnation of the member."""
         self.machine = Rollouts(service.members, self._ledgers(), _to_unix, self._host.settings)
         self.machine.held = lambda: self._host.slots_waiting
         self.machine.workers(self._loop.now(), self._targets.values())
@@ -84,7 +85,9 @@
     # The plan
 
     def _read_plan(self, path: Path) -> tuple[bytes, Plan]:
-        """It is held against the workers as far as some are known."""
+        """Reads and checks the plan, also against the workers if any are known.
+
+        Raises a FleetError if the file can't be read, and a PlanError for a plan that can't be used."""
         try:
             text = path.read_bytes()
             settings = self._host.settings
@@ -97,8 +100,10 @@
             raise FleetError(f"rollout.plan: {path}: can't be read: {error.strerror}") from None
 
     def _start_rollout(self) -> None:
-        """Once workers are listed. Danger: a process that starts again must not begin anew what goes on or
-        has been done; the cards of its writers, which all members keep, tell."""
+        """Starts the rollout once workers are listed and another member is known.
+
+        A process that restarts must not begin a rollout again that is running or done. The ledger that its
+        coordinator announces in its card, which all members remember, tells that there is one."""
         if self._plan is None:
             return
         if not self._targets or len(self._service.members.alive()) < 2:
@@ -106,7 +111,7 @@
             return
         (text, plan), self._plan = self._plan, None
         if self.machine.known == LEDGER + plan.name:
-            log.info("rollout goes on already", plan=plan.name)
+            log.info("rollout is already running or done", plan=plan.name)
             return
         try:
             self._service.carry_out(self.machine.start(self._loop.now(), text, self._rules.plan))
@@ -114,10 +119,10 @@
         except PlanError as error:
             log.error("rollout not started", error=str(error))
 
-    # News
+    # Events
 
     def _on_event(self, event: FleetEvent) -> None:
-        """News of this member's machines."""
+        """Logs the stages of rollouts, and passes all other events of this member to the machine."""
         if isinstance(event, RolloutChanged):
             report_stage = log.warning if event.stage in _WARNING_STAGES else log.info
             report_stage(
@@ -136,18 +141,20 @@
                 self._drop_absent()
 
     def _on_starvation(self, event: Any) -> None:
-        """A verdict of this member."""
+        """Tells the rollout of a tenant that starves at this member."""
         seen = StarvationSeen(event.tenant, event.partition, event.began_at)
         self._service.carry_out(self.machine.starvation(self._loop.now(), seen))
 
-    # The list
+    # The list of workers
 
     def _worker_list_changed(self) -> None:
         self._update_targets()
         self.machine.workers(self._loop.now(), self._targets.values())
 
     def _update_targets(self) -> None:
-        """Slots are the most that a worker was ever listed with: live weights fall with its load."""
+        """Updates the targets from the list of workers.
+
+        A target's slots are the most that its worker was ever listed with, as live weights fall with load."""
         now, listed = self._loop.now(), set()
         for entry in self._host.workers:
             if entry.state is api.WorkerState.GONE:
@@ -165,39 +172,43 @@
         self._drop_absent()
 
     def _drop_absent(self) -> None:
-        """Danger: a worker that is being replaced is not listed for a while, and stays a target."""
+        """Drops targets that have not been listed for ``absent_for``. A worker that is being replaced is not
+        listed for a while but must remain a target."""
         now = self._loop.now()
         for name in [n for n, since in self._absent.items() if now > since + self._rules.absent_for]:
             del self._absent[name], self._targets[name]
 
-    # Attempts, for the host
+    # The host's observer of attempts
 
     def sent(self, attempt: Attempt) -> None:
+        """Notes that an attempt is sent."""
         if not self.machine.known:
             return
         listed = self._targets.get(attempt.worker)
         since = listed.since if listed is not None else 0
         self._sent[attempt] = since, 0
-        arrival = attempt.job.arrival
-        usual = int(self._usual_times.get(arrival.job_class, 0.0))
-        self.machine.signals.sent(attempt.worker, since, arrival.job_class, usual, arrival.slots)
+        request = attempt.job.arrival
+        usual_time = int(self._usual_times.get(request.job_class, 0.0))
+        self.machine.signals.sent(attempt.worker, since, request.job_class, usual_time, request.slots)
 
     def started(self, attempt: Attempt) -> None:
+        """Notes that a worker has started an attempt."""
         sent = self._sent.get(attempt)
         if sent is not None:
             self._sent[attempt] = sent[0], self._loop.now()
 
     def ended(self, attempt: Attempt, ending: Ending, report: api.LoadReport | None) -> None:
-        """What was never whole at its worker says nothing of that one's runtime."""
-        since, started = self._sent.pop(attempt, (-1, 0))
-        if since < 0:
+        """Reports an attempt's end to the rollout's signals. An attempt whose request was not written
+        completely says nothing about its worker's runtime, so it counts without an end."""
+        worker_started, started = self._sent.pop(attempt, (-1, 0))
+        if worker_started < 0:
             return
         end = _END_BY_OUTCOME.get(outcome_of(ending, attempt.written)) if attempt.written else None
-        arrival = attempt.job.arrival
+        request = attempt.job.arrival
         elapsed = self._loop.now() - started if end is End.DONE and started else 0
         if elapsed:
-            before = self._usual_times.get(arrival.job_class, float(elapsed))
-            self._usual_times[arrival.job_class] = before + (elapsed - before) / _AVERAGED_JOBS
-        free = report.free_slots if report is not None else None
-        worker, name = attempt.worker, arrival.job_class
-        self.machine.signals.ended(worker, since, name, arrival.slots, end, elapsed, free)
+            before = self._usual_times.get(request.job_class, float(elapsed))
+            self._usual_times[request.job_class] = before + (elapsed - before) / _AVERAGED_JOBS
+        free_slots = report.free_slots if report is not None else None
+        worker, name = attempt.worker, request.job_class
+        self.machine.signals.ended(worker, worker_started, name, request.slots, end, elapsed, free_slots)
