--- a/ironbarrow/fleet/service.py
+++ b/ironbarrow/fleet/service.py
@@ -1,4 +1,4 @@
-"""One member of a fleet on the program's loop: its links, and the machines that use them."""
+"""A member of a fleet on the event loop: its links, and the machines that use them."""
 
 import socket
 import time
@@ -27,13 +27,15 @@
 from ironbarrow.runtime.loop import MS, SECOND, Loop
 
 log = structlog.get_logger()
-_REPLACED_EARLY = 10 * SECOND
-_RETRY_DELAY = 50 * MS
+_REPLACED_EARLY = 10 * SECOND  # an incarnation replaced within this time of its start begins another one
+_RETRY_DELAY = 50 * MS  # after a machine has raised an exception
 
 
 class FleetService:
-    """A member. ``site``: where it is, if the file does not say; ``front``: its clients' address. An
-    OSError if it can't listen where the file says."""
+    """A member of a fleet, over all its incarnations in this process.
+
+    ``site``: the member's site if the fleet file names none; ``front``: the address for clients and workers.
+    Raises an OSError if it can't listen at the file's address."""
 
     def __init__(
         self,
@@ -46,7 +48,7 @@
         listener: socket.socket | None = None,
         codec: Codec | None = None,
     ) -> None:
-        """``codec``: one that also counts what passes, for instance; None: a plain one."""
+        """``codec``: for example one that counts the messages; None: a plain one."""
         self._loop, self.fleet, self.name = loop, fleet, name
         self.site, self.front = fleet.site or site, front
         self._seeds = {seed: address for seed, _, address in (text.partition("=") for text in fleet.seeds)}
@@ -55,7 +57,7 @@
         self._timer: Timer | None = None
         self._timer_due = NEVER
         self._retry_at = 0
-        self._plan_pending = False
+        self._schedule_pending = False
         self._closed = False
         self.codec = codec or Codec(())
         address = sockets.parse_address(fleet.listen, 0)
@@ -82,30 +84,31 @@
         self.members = MemberMachine(card, self.fleet.members, self._seeds, self._started_at, known)
         self.add(self.members)
 
-    # What the process does with it
+    # Calls by the process
 
     def add(self, *machines: Machine) -> None:
-        """Adds machines to this incarnation; a ValueError if two want the same message."""
+        """Adds machines to this incarnation. Raises a ValueError if two handle the same message."""
         self.codec.register(kind for machine in machines for kind in machine.handles)
         self.node.add(machines)
         self._schedule_soon()
 
     def carry_out(self, actions: Iterable[Action]) -> None:
-        """Carries out what a machine answered to an order."""
+        """Carries out actions that a machine has returned to a direct call."""
         self.node.carry_out(actions)
         self._schedule_soon()
 
     def subscribe(self, callback: Callable[[FleetEvent], None]) -> None:
-        """Calls for each event of any machine, in order, over all incarnations."""
+        """Registers a callback for all events of all machines, in order, in all incarnations."""
         self._listeners.append(callback)
 
     def on_new_incarnation(self, callback: Callable[["FleetService"], None]) -> None:
-        """Calls when a new incarnation has begun: the machines of the other parts are added anew there."""
+        """Registers a callback for the start of a new incarnation, which has to add its machines again."""
         self._on_new_incarnation.append(callback)
 
     def start_new_incarnation(self, after: int = 0) -> None:
-        """Begins another incarnation in this process, later than ``over``: what was fenced off is over,
-        nothing of it is kept but who the others are."""
+        """Begins another incarnation in this process, with a start later than ``after`` (Unix ns).
+
+        The fenced incarnation ends; only the cards of the live members are carried over."""
         start = max(time.time_ns(), self.incarnation.start + 1, after + 1)
         known = [
             member.card for member in self.members.alive() if member.card.incarnation != self.incarnation
@@ -118,16 +121,16 @@
             callback(self)
 
     def leave(self) -> None:
-        """Tells the others that this member goes in good order; ``close`` follows once ``sent``."""
+        """Tells the other members that this one leaves in good order. Call ``close`` once ``all_sent``."""
         self.carry_out(self.members.leave(self._loop.now()))
 
     @property
     def all_sent(self) -> bool:
-        """Whether nothing waits to be sent."""
+        """Whether no message waits to be sent."""
         return not self.links.waiting
 
     def close(self) -> None:
-        """Ends at once, as a crash does for the others."""
+        """Closes all links at once; to the other members it looks like a crash."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -162,21 +165,23 @@
         for listener in self._listeners:
             listener(event)
         if isinstance(event, Replaced):
-            # danger: a clock that was set back makes this incarnation look like an earlier one than its last;
-            # two processes of one name would renew against each other for ever
+            # After the clock was set back the others take this incarnation for an older one than its
+            # predecessor, and a later start helps. That is tried soon after the start only: two processes of
+            # one name would replace each other's incarnations for ever.
             if self._loop.now() - self._started_at < _REPLACED_EARLY:
                 self._loop.soon(self.start_new_incarnation, event.by.start)
             else:
-                log.error("another process goes by this name", name=self.name, incarnation=str(event.by))
+                log.error("another process uses this name", name=self.name, incarnation=str(event.by))
 
     def _schedule_soon(self) -> None:
-        if not self._plan_pending and not self._closed:
-            self._plan_pending = True
+        if not self._schedule_pending and not self._closed:
+            self._schedule_pending = True
             self._loop.soon(self._schedule)
 
     def _schedule(self) -> None:
-        """Once in a turn of the loop, however many messages it brought."""
-        self._plan_pending = False
+        """Sets the timer for the machines' next time; called once in a turn of the loop, however many
+        messages it has brought."""
+        self._schedule_pending = False
         if self._closed:
             return
         due = max(self.node.next_at(), self._retry_at)
@@ -195,7 +200,7 @@
         try:
             self.node.ticked(now)
         except Exception:
-            # danger: what fails is due again at once, and the loop would spin
+            # a machine that fails stays due: without a delay the loop would spin
             self._retry_at = now + _RETRY_DELAY
             raise
         finally:
