--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -1,4 +1,4 @@
-"""Work taken over once: rules, scenarios and random load in virtual time, mutants, the program itself."""
+"""Take-over of jobs: rules of recovery, scenarios and random load in virtual time, mutants, the program."""
 
 import os
 import subprocess
@@ -31,7 +31,7 @@
 
 
 @pytest.fixture(autouse=True)
-def fatal() -> Iterator[None]:
+def fatal_invariants() -> Iterator[None]:
     INVARIANTS.fatal = True
     yield
     INVARIANTS.fatal = False
@@ -65,21 +65,19 @@
 
 @given(RECORDS, st.booleans(), st.booleans())
 @settings(derandomize=True)
-def test_what_becomes_of_a_job_that_another_has_left(record: JobRecord, safe: bool, whole: bool) -> None:
-    what = recovery.choose_action(record, safe=safe, whole=whole, most_attempts=3, now=5)
+def test_recovery_action_of_a_job_of_an_ended_member(record: JobRecord, safe: bool, whole: bool) -> None:
+    action = recovery.choose_action(record, safe=safe, whole=whole, most_attempts=3, now=5)
     may_run = record.may_have_run or record.stage is JobStage.INTENT
     if record.stage is JobStage.REFUSED:
-        assert what is RecoveryAction.REFUSE
-    elif (
-        what is RecoveryAction.RETRY
-    ):  # with attempts and time left, and for a job that may not run twice a proof
+        assert action is RecoveryAction.REFUSE
+    elif action is RecoveryAction.RETRY:  # attempts and time are left; a booking is proven not to run
         assert record.attempts < 3 and record.until > 5
         assert record.stage is JobStage.TAKEN and (safe or (whole and not may_run))
-    elif what is RecoveryAction.REFUSE:
-        assert safe or not may_run  # a repeat is harmless
-    elif what is RecoveryAction.AWAIT_CALL_BACK:
+    elif action is RecoveryAction.REFUSE:
+        assert safe or not may_run  # a retry is harmless
+    elif action is RecoveryAction.AWAIT_CALL_BACK:
         assert not safe and record.stage is JobStage.INTENT
-    elif what is RecoveryAction.CANCEL:
+    elif action is RecoveryAction.CANCEL:
         assert safe and record.stage is JobStage.INTENT
     else:
         assert not safe and (may_run or not whole)
@@ -87,11 +85,11 @@
 
 @given(st.lists(st.text("abcdef", min_size=1, max_size=3), min_size=1, unique=True))
 @settings(derandomize=True)
-def test_claimants_stand_in_one_line(names: list[str]) -> None:
+def test_members_claim_a_ledger_in_one_order(names: list[str]) -> None:
     assert sorted(recovery.claim_position("jobs/x", name, names) for name in names) == list(range(len(names)))
 
 
-def test_kept_answers_are_bounded_by_number_bytes_and_time() -> None:
+def test_cached_answers_are_limited_by_number_bytes_and_time() -> None:
     cache = AnswerCache(retention=100, max_answers=3)
     for number in range(5):
         cache.store(str(number), b"", Answer(Verdict.SERVED, b"r"), number, short=False)
@@ -106,13 +104,13 @@
     assert len(cache) == 1
 
 
-def test_faults_are_read_counted_and_carried_out() -> None:
-    done: list[str] = []
-    wanted = faults.parse("after-intent:2, after-seal:1:stop")
-    passed = faults.FaultInjector(wanted, lambda: done.append("end"), lambda: done.append("stop"))
+def test_fault_points_are_parsed_counted_and_acted_on() -> None:
+    actions: list[str] = []
+    points = faults.parse("after-intent:2, after-seal:1:stop")
+    injector = faults.FaultInjector(points, lambda: actions.append("end"), lambda: actions.append("stop"))
     for point in ("after-intent", "after-seal", "after-intent", "after-intent", "after-adoption"):
-        passed(point)
-    assert done == ["stop", "end"]
+        injector(point)
+    assert actions == ["stop", "end"]
     assert faults.from_environment({}) is None
     for wrong in ("nowhere:1", "after-seal:x", "after-seal:1:later"):
         with pytest.raises(ValueError, match="expected POINT"):
@@ -122,197 +120,200 @@
 # In virtual time
 
 
-def world(n: int = 5, seed: int = 1, **fleet: Any) -> WorkWorld:
-    found = WorkWorld(SETTINGS, n, seed=seed, fleet=Fleet(listen="127.0.0.1:0", **fleet), workers=8)
-    found.run(ms(1500))
-    return found
+def make_world(n: int = 5, seed: int = 1, **fleet: Any) -> WorkWorld:
+    world = WorkWorld(SETTINGS, n, seed=seed, fleet=Fleet(listen="127.0.0.1:0", **fleet), workers=8)
+    world.run(ms(1500))
+    return world
 
 
-def counts(played: WorkWorld, name: str) -> int:
-    return sum(process.work.machine.counts[name] for process in played.processes.values())
+def counts(world: WorkWorld, name: str) -> int:
+    return sum(process.work.machine.counts[name] for process in world.processes.values())
 
 
 @pytest.mark.parametrize("job_class", ["map", "book"])
-def test_a_job_that_is_out_survives_its_dispatcher(job_class: str) -> None:
-    played = world()
-    played.lasts = (ms(1700), ms(1700))
-    order = played.order("j", job_class, ms(9000), "d0")
-    played.run(ms(300))
-    assert played.workers.starts["j"] == 1
-    played.kill("d0")
-    played.run(ms(9000))
+def test_a_running_job_survives_its_dispatcher(job_class: str) -> None:
+    world = make_world()
+    world.lasts = (ms(1700), ms(1700))
+    order = world.order("j", job_class, ms(9000), "d0")
+    world.run(ms(300))
+    assert world.workers.starts["j"] == 1
+    world.kill("d0")
+    world.run(ms(9000))
     assert [a and a.verdict for a in order.heard] == [Verdict.SERVED]
-    assert played.workers.starts["j"] == (1 if job_class == "book" else 2)
-    assert not played.workers.copies and not played.broken(UNSAFE) and not played.workers.unheard
+    assert world.workers.starts["j"] == (1 if job_class == "book" else 2)
+    assert not world.workers.copies and not world.broken(UNSAFE) and not world.workers.unheard
 
 
 @pytest.mark.parametrize(("lasts", "verdict"), [(1700, Verdict.SERVED), (20_000, Verdict.REFUSED)])
-def test_what_could_not_be_called_off_is_not_sent_again(lasts: int, verdict: Verdict) -> None:
-    # danger: its worker may be cut off from the heir alone, and runs on
-    played = world()
-    played.lasts = (ms(lasts), ms(lasts))
-    played.deletes_lost = True
-    order = played.order("j", "map", ms(5000), "d0")
-    played.run(ms(300))
-    played.kill("d0")
-    played.run(ms(9000))
+def test_a_job_is_not_sent_again_before_its_cancellation_is_confirmed(lasts: int, verdict: Verdict) -> None:
+    # the worker may be unreachable from the new owner only, and go on running the job
+    world = make_world()
+    world.lasts = (ms(lasts), ms(lasts))
+    world.deletes_lost = True
+    order = world.order("j", "map", ms(5000), "d0")
+    world.run(ms(300))
+    world.kill("d0")
+    world.run(ms(9000))
     assert [a and a.verdict for a in order.heard] == [verdict]
-    assert played.workers.starts["j"] == 1 and not played.workers.copies
-
-
-def test_stopped_between_the_look_and_the_write_nothing_is_sent_twice() -> None:
-    """Where a lease would fail: the process has all it needs to send, is stopped, and others go on."""
-    played = world()
-    played.net.pause("d0")
-    order = played.order("j", "book", ms(15_000), "d0")  # in its socket, not read yet
-    played.run(ms(4000))
-    assert counts(played, "ledgers taken over") == 1
-    played.again(order, "d1")
-    played.run(ms(1500))
-    assert played.workers.starts["j"] == 1
-    played.resume("d0")  # reads the first request now, as a dispatcher that believes itself alive
-    played.run(ms(6000))
-    assert played.counts["renewed"] == 1
-    assert played.workers.starts["j"] == 1 and [a and a.verdict for a in order.heard] == [Verdict.SERVED]
-
-
-def test_an_old_holder_answers_by_the_new_one() -> None:
-    played = world()
-    played.lasts = (ms(5000), ms(5000))
-    order = played.order("j", "book", ms(15_000), "d0")
-    played.run(ms(300))
-    played.net.pause("d0")
-    played.run(ms(3000))
-    played.resume("d0")  # its client still waits there
-    played.run(ms(6000))
-    assert played.counts["renewed"] == 1 and order.tries == 1
+    assert world.workers.starts["j"] == 1 and not world.workers.copies
+
+
+def test_a_dispatcher_stopped_before_it_reads_a_request_sends_no_second_copy() -> None:
+    """Guards against a check before sending that is outdated by the time of sending, as with a lease.
+
+    The dispatcher is stopped with the request in its socket. Another one takes its ledger over and runs the
+    job on a retry; then the first goes on and reads the request."""
+    world = make_world()
+    world.net.pause("d0")
+    order = world.order("j", "book", ms(15_000), "d0")  # the request is in its socket, not read yet
+    world.run(ms(4000))
+    assert counts(world, "ledgers taken over") == 1
+    world.again(order, "d1")
+    world.run(ms(1500))
+    assert world.workers.starts["j"] == 1
+    world.resume("d0")  # it reads the first request now, not knowing that its ledger was taken over
+    world.run(ms(6000))
+    assert world.counts["renewed"] == 1
+    assert world.workers.starts["j"] == 1 and [a and a.verdict for a in order.heard] == [Verdict.SERVED]
+
+
+def test_a_superseded_dispatcher_answers_its_client_through_the_new_owner() -> None:
+    world = make_world()
+    world.lasts = (ms(5000), ms(5000))
+    order = world.order("j", "book", ms(15_000), "d0")
+    world.run(ms(300))
+    world.net.pause("d0")
+    world.run(ms(3000))
+    world.resume("d0")  # its client is still connected to it
+    world.run(ms(6000))
+    assert world.counts["renewed"] == 1 and order.tries == 1
     assert [a and a.verdict for a in order.heard] == [Verdict.SERVED]
-    assert played.workers.starts["j"] == 1
+    assert world.workers.starts["j"] == 1
 
 
-def test_a_repeat_joins_hears_the_answer_again_and_another_request_is_refused() -> None:
-    played = world()
-    order = played.order("j", "book", ms(9000), "d0")
-    played.run(ms(50))
-    played.again(order, "d1")
-    played.run(ms(3000))
-    assert played.workers.starts["j"] == 1 and [a and a.verdict for a in order.heard] == [Verdict.SERVED]
-    late = played.order("other", "book", ms(9000), "d2")
+def test_a_retry_joins_its_job_or_gets_its_answer_and_another_request_is_refused() -> None:
+    world = make_world()
+    order = world.order("j", "book", ms(9000), "d0")
+    world.run(ms(50))
+    world.again(order, "d1")
+    world.run(ms(3000))
+    assert world.workers.starts["j"] == 1 and [a and a.verdict for a in order.heard] == [Verdict.SERVED]
+    late = world.order("other", "book", ms(9000), "d2")
     late.id, late.job_class, late.tries = "j", "map", 1
-    played.again(late, "d3")
+    world.again(late, "d3")
     order.heard.clear()
-    played.again(order, "d4")
-    played.run(ms(1000))
+    world.again(order, "d4")
+    world.run(ms(1000))
     assert late.heard[-1] is None and [a and a.verdict for a in order.heard] == [Verdict.SERVED]
-    assert played.workers.starts["j"] == 1
+    assert world.workers.starts["j"] == 1
 
 
-def test_a_refusal_of_a_booking_waits_for_a_majority_or_is_a_failure() -> None:
-    heard = {}
+def test_a_booking_is_refused_only_once_a_majority_has_stored_the_refusal() -> None:
+    verdicts = {}
     for cut in (False, True):
-        played = world()
-        played.returns, played.lasts, played.call_backs_to = 1.0, (ms(200), ms(200)), "d0"
-        order = played.order("j", "book", ms(4000), "d0")
-        played.run(ms(300))
-        assert played.workers.returned["j"] == 1 and not order.heard
+        world = make_world()
+        world.returns, world.lasts, world.call_backs_to = 1.0, (ms(200), ms(200)), "d0"
+        order = world.order("j", "book", ms(4000), "d0")
+        world.run(ms(300))
+        assert world.workers.returned["j"] == 1 and not order.heard
         if cut:
             for other in ("d1", "d2", "d3", "d4"):
-                played.net.cut("d0", other)
-        played.run(ms(2000))
-        heard[cut] = [a and a.verdict for a in order.heard]
-    assert heard == {False: [Verdict.REFUSED], True: [Verdict.FAILED]}
+                world.net.cut("d0", other)
+        world.run(ms(2000))
+        verdicts[cut] = [a and a.verdict for a in order.heard]
+    assert verdicts == {False: [Verdict.REFUSED], True: [Verdict.FAILED]}
 
 
 @pytest.mark.parametrize("rule", ["turn away", "serve unprotected"])
-def test_without_a_majority_the_file_says_what_becomes_of_bookings(rule: Any) -> None:
-    played = world(without_majority={"book": rule})
-    played.call_backs_to = "d0"
+def test_without_a_majority_bookings_are_handled_as_the_file_says(rule: Any) -> None:
+    world = make_world(without_majority={"book": rule})
+    world.call_backs_to = "d0"
     for other in ("d1", "d2", "d3", "d4"):
-        played.net.cut("d0", other)
-    played.run(ms(100))
-    orders = [played.order(f"j{kind}{n}", kind, ms(4000), "d0") for kind in ("map", "book") for n in (1, 2)]
-    played.run(ms(600))
-    assert "no majority" in played.processes["d0"].work.readiness()
-    played.run(ms(4000))
+        world.net.cut("d0", other)
+    world.run(ms(100))
+    orders = [world.order(f"j{kind}{n}", kind, ms(4000), "d0") for kind in ("map", "book") for n in (1, 2)]
+    world.run(ms(600))
+    assert "no majority" in world.processes["d0"].work.readiness()
+    world.run(ms(4000))
     served = [bool(o.heard and o.heard[0] and o.heard[0].verdict is Verdict.SERVED) for o in orders]
     assert served[:2] == [True, True] and served[2:] == [rule == "serve unprotected"] * 2
 
 
-def test_where_no_majority_is_left_bookings_not_proven_are_not_sent() -> None:
-    played = world(7)
-    played.lasts = (ms(1500), ms(1500))
-    orders = [played.order(f"j{n}", ("map", "book")[n % 2], ms(20_000), f"d{n % 5}") for n in range(20)]
-    played.run(ms(300))
+def test_after_the_loss_of_a_ledger_unproven_bookings_are_not_sent() -> None:
+    world = make_world(7)
+    world.lasts = (ms(1500), ms(1500))
+    orders = [world.order(f"j{n}", ("map", "book")[n % 2], ms(20_000), f"d{n % 5}") for n in range(20)]
+    world.run(ms(300))
     for n in range(5):
-        played.kill(f"d{n}")
-    played.run(ms(22_000))
-    assert not played.broken(UNSAFE) and counts(played, "ledgers lost") > 0
+        world.kill(f"d{n}")
+    world.run(ms(22_000))
+    assert not world.broken(UNSAFE) and counts(world, "ledgers lost") > 0
     served = sum(bool(o.heard and o.heard[0] and o.heard[0].verdict is Verdict.SERVED) for o in orders)
-    # what a replica that is left had is saved, the rest is told its clients and counted
+    # records found at a live replica are recovered; the clients of all other jobs get an answer
     assert 5 <= served < 20 and all(order.heard for order in orders)
-    assert counts(played, "taken over: keep") > 0 and counts(played, "taken over: call off") > 0
+    assert counts(world, "taken over: keep") > 0 and counts(world, "taken over: call off") > 0
 
 
-def test_an_orderly_stop_hands_over_what_is_owed() -> None:
-    played = world()
-    played.lasts = (ms(4000), ms(4000))
-    orders = [played.order(f"j{n}", ("map", "book")[n % 2], ms(9000), "d0") for n in range(6)]
-    played.run(ms(200))
-    work = played.processes["d0"].work
+def test_an_orderly_stop_leaves_the_jobs_to_the_others() -> None:
+    world = make_world()
+    world.lasts = (ms(4000), ms(4000))
+    orders = [world.order(f"j{n}", ("map", "book")[n % 2], ms(9000), "d0") for n in range(6)]
+    world.run(ms(200))
+    work = world.processes["d0"].work
 
     def leave(node: Any, now: int) -> None:
         node.carry_out(work.machine.leave(now))
-        node.carry_out(played.processes["d0"].members.leave(now))
+        node.carry_out(world.processes["d0"].members.leave(now))
 
-    played.net.order("d0", leave)
-    played.run(ms(100))
-    played.kill("d0")
-    played.run(ms(9000))
+    world.net.order("d0", leave)
+    world.run(ms(100))
+    world.kill("d0")
+    world.run(ms(9000))
     assert [a and a.verdict for o in orders for a in o.heard] == [Verdict.SERVED] * 6
-    assert all(played.workers.starts[f"j{n}"] == 1 for n in (1, 3, 5)) and not played.broken(UNSAFE)
+    assert all(world.workers.starts[f"j{n}"] == 1 for n in (1, 3, 5)) and not world.broken(UNSAFE)
 
 
 # Which rules may be broken where, so that a random play ends in one verdict; more seeds by
 # python -m ironbarrow.lab.fleet.random_work FIRST LAST [KIND]
 @pytest.mark.parametrize(("kind", "seed"), [(kind, seed) for kind in KINDS for seed in (1, 2)])
-def test_random_load_keeps_the_rules(kind: str, seed: int) -> None:
-    played = play(seed, KINDS[kind], jobs=60)
-    assert not played.broken(UNSAFE), (
+def test_invariants_hold_under_random_load_and_faults(kind: str, seed: int) -> None:
+    world = play(seed, KINDS[kind], jobs=60)
+    assert not world.broken(UNSAFE), (
         f"replay: python -m ironbarrow.lab.fleet.random_work {seed} {seed} {kind}"
     )
-    assert played.ends()["served"] > 20 and played.workers.unheard == 0
+    assert world.ends()["served"] > 20 and world.workers.unheard == 0
 
 
-# Mutants: each invariant catches the fault that it is there for
+# Mutants: each invariant detects the fault that it guards against
 
 
-def _sent_before_kept(self: Takeover, now: int, call: Any, job_id: str, worker: str) -> list[Any]:
-    return [*_BEGIN_ATTEMPT(self, now, call, job_id, worker), AttemptDecision(call, True)]
+def _send_before_commit(self: Takeover, now: int, attempt: Any, job_id: str, worker: str) -> list[Any]:
+    return [*_BEGIN_ATTEMPT(self, now, attempt, job_id, worker), AttemptDecision(attempt, True)]
 
 
-def _any_number(self: Takeover, now: int, call: Any, job_id: str, worker: str) -> list[Any]:
-    held = self.owned[job_id]
-    held.record = _with(
-        **{n: getattr(held.record, n) for n in held.record.__struct_fields__} | {"attempts": 3}
+def _ignore_attempt_limit(self: Takeover, now: int, attempt: Any, job_id: str, worker: str) -> list[Any]:
+    owned = self.owned[job_id]
+    owned.record = _with(
+        **{n: getattr(owned.record, n) for n in owned.record.__struct_fields__} | {"attempts": 3}
     )
     self.rules = replace(self.rules, most_attempts=9)
-    actions = _BEGIN_ATTEMPT(self, now, call, job_id, worker)
+    actions = _BEGIN_ATTEMPT(self, now, attempt, job_id, worker)
     self.rules = replace(self.rules, most_attempts=3)
     return actions
 
 
-def _kept_are_sent(record: JobRecord, **rules: Any) -> RecoveryAction:
-    what = _CHOOSE_ACTION(record, **rules)
-    return RecoveryAction.RETRY if what is RecoveryAction.AWAIT_CALL_BACK else what
+def _send_awaited_jobs(record: JobRecord, **rules: Any) -> RecoveryAction:
+    action = _CHOOSE_ACTION(record, **rules)
+    return RecoveryAction.RETRY if action is RecoveryAction.AWAIT_CALL_BACK else action
 
 
-def _tells_twice(self: Takeover, *told: Any) -> list[Any]:
-    return [action for action in _REPLY_ALL(self, *told) for _ in range(2)]
+def _reply_twice(self: Takeover, *args: Any) -> list[Any]:
+    return [action for action in _REPLY_ALL(self, *args) for _ in range(2)]
 
 
-def _has_it_twice(self: Takeover, now: int, news: Any) -> list[Any]:
-    self.taken_over |= {opened.incarnation: True for opened in self.open_ledgers.values()}
-    return _ON_EVENT(self, now, news)
+def _claim_again(self: Takeover, now: int, event: Any) -> list[Any]:
+    self.taken_over |= {ledger.incarnation: True for ledger in self.open_ledgers.values()}
+    return _ON_EVENT(self, now, event)
 
 
 _BEGIN_ATTEMPT, _CHOOSE_ACTION, _REPLY_ALL, _ON_EVENT = (
@@ -322,34 +323,34 @@
     Takeover.on_event,
 )
 MUTANTS = {
-    "intent before send": (Takeover, "begin_attempt", _sent_before_kept),
-    "at most three attempts": (Takeover, "begin_attempt", _any_number),
-    "unsafe never sent twice": (recovery, "choose_action", _kept_are_sent),
-    "one answer": (Takeover, "_reply_all", _tells_twice),
-    "one holder": (Takeover, "on_event", _has_it_twice),
+    "intent before send": (Takeover, "begin_attempt", _send_before_commit),
+    "at most three attempts": (Takeover, "begin_attempt", _ignore_attempt_limit),
+    "unsafe never sent twice": (recovery, "choose_action", _send_awaited_jobs),
+    "one answer": (Takeover, "_reply_all", _reply_twice),
+    "one holder": (Takeover, "on_event", _claim_again),
 }
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_an_invariant_catches_its_mutant(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_invariant_detects_its_mutant(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     target, attribute, mutant = MUTANTS[name]
     monkeypatch.setattr(target, attribute, mutant)
     with pytest.raises(InvariantError, match=name):
-        played = world()
-        played.lasts = (ms(3000), ms(3000))
+        world = make_world()
+        world.lasts = (ms(3000), ms(3000))
         for n in range(6):
-            played.order(f"j{n}", ("map", "book")[n % 2], ms(9000), "d0")
-        played.run(ms(300))
-        played.kill("d0")
-        played.run(ms(4000))
+            world.order(f"j{n}", ("map", "book")[n % 2], ms(9000), "d0")
+        world.run(ms(300))
+        world.kill("d0")
+        world.run(ms(4000))
 
 
 # The program itself
 
 
-class Three(Stage):
-    """Three dispatchers of a fleet in one thread; ``c*`` talk to the first, ``n*`` to the second, ``m*``
-    to the third."""
+class ThreeDispatchers(Stage):
+    """Three dispatchers of a fleet in one thread. Peers ``c*`` talk to the first one, ``n*`` to the second,
+    ``m*`` to the third."""
 
     def __init__(self, folder: Path) -> None:
         listeners = {name: listen(("127.0.0.1", 0)) for name in ("n1", "n2", "n3")}
@@ -359,10 +360,10 @@
             seeds = [f"{other}={address}" for other, address in at.items() if other != name]
             (folder / f"{name}.toml").write_text(f"listen = {at[name]!r}\nseeds = {seeds!r}\n")
         super().__init__(fleet=folder / "n1.toml")
-        self.more: dict[str, Dispatcher] = {}
+        self.others: dict[str, Dispatcher] = {}
         for letter, name in (("n", "n2"), ("m", "n3")):
             config = replace(self.config, name=name, fleet=folder / f"{name}.toml")
-            self.more[letter] = Dispatcher(config, listen(("127.0.0.1", 0)))
+            self.others[letter] = Dispatcher(config, listen(("127.0.0.1", 0)))
         self.dead = False
 
     def step(self, line: str) -> None:
@@ -376,20 +377,20 @@
             work = self.dispatcher.fleet.adapter
             self.until(line, lambda: "members=3" in work.readiness() and not work.machine.no_majority)
         elif line == "taken over":
-            self.until(line, lambda: any(other.fleet.adapter.owed for other in self.more.values()))
-        elif letter in self.more and line.split()[0] not in self.peers:
-            old, self.address = self.address, self.more[letter].listener.getsockname()
+            self.until(line, lambda: any(other.fleet.adapter.owed for other in self.others.values()))
+        elif letter in self.others and line.split()[0] not in self.peers:
+            old, self.address = self.address, self.others[letter].listener.getsockname()
             super().step(line)
             self.address = old
         else:
             super().step(line)
 
     def pass_time(self, seconds: float) -> None:
-        parts = [*self.more.values(), *([] if self.dead else [self.dispatcher])]
-        for part in parts:
-            if not part.loop.stopped:
-                part.loop.call_at(part.loop.now() + int(seconds * 1e9 / 8), lambda: None)
-                part.loop.turn()
+        running = [*self.others.values(), *([] if self.dead else [self.dispatcher])]
+        for dispatcher in running:
+            if not dispatcher.loop.stopped:
+                dispatcher.loop.call_at(dispatcher.loop.now() + int(seconds * 1e9 / 8), lambda: None)
+                dispatcher.loop.turn()
         for peer in self.peers.values():
             peer.look()
 
@@ -398,42 +399,42 @@
         if self.dead:
             self.dispatcher.close = lambda: None  # type: ignore[method-assign]
         super().close()
-        for other in self.more.values():
+        for other in self.others.values():
             other.close()
 
 
-AGAIN = "X-Retried: 1\\r\\n"
+RETRIED = "X-Retried: 1\\r\\n"
 BOOKED = f"""known
         c1 send {job("j1", "book/x")}
         p1 expect X-Request-ID: j1
         p1 send {answer(202)}
         """
-PLAYS = {
-    "a booking outlives its dispatcher: its repeat, here and there, and its call-back, there": f"""
+SCENARIOS = {
+    "a booking survives its dispatcher: retries and the call-back arrive at different members": f"""
         {BOOKED}
         dies
-        n1 send {job("j1", "book/x", more=AGAIN)}
+        n1 send {job("j1", "book/x", more=RETRIED)}
         taken over
         m1 send {call_back("done", result="out")}
         m1 expect HTTP/1.1 204
         n1 expect HTTP/1.1 200 .*out$
-        m2 send {job("j1", "book/x", more=AGAIN)}
+        m2 send {job("j1", "book/x", more=RETRIED)}
         m2 expect HTTP/1.1 200 .*out$
-        m3 send {job("j1", "book/other", more=AGAIN)}
+        m3 send {job("j1", "book/other", more=RETRIED)}
         m3 expect HTTP/1.1 409
         """,
-    "an orderly stop hands a booking over": f"""
+    "after an orderly stop another member answers a booking": f"""
         {BOOKED}
         stop
         exits
         dies
         c1 ended
-        n1 send {job("j1", "book/x", more=AGAIN)}
+        n1 send {job("j1", "book/x", more=RETRIED)}
         taken over
         n2 send {call_back("done", result="out")}
         n1 expect HTTP/1.1 200 .*out$
         """,
-    "readiness says who answers for whom": """
+    "readiness shows the state of the fleet": """
         known
         c1 send GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n
         c1 expect 200 .*X-Fleet: majority; turned-away=-; members=3; taking-over=0; lost=0
@@ -441,12 +442,12 @@
 }
 
 
-@pytest.mark.parametrize("name", PLAYS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_the_program_in_a_fleet(tmp_path: Path, name: str) -> None:
-    Three(tmp_path).play(PLAYS[name])
+    ThreeDispatchers(tmp_path).play(SCENARIOS[name])
 
 
-def test_a_wrong_fleet_file_ends_the_start_in_one_line(tmp_path: Path) -> None:
+def test_an_invalid_fleet_file_ends_the_start_with_one_line(tmp_path: Path) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text('listen = "127.0.0.1:0"\nkeepers = 3\n')
     with pytest.raises(ConfigError, match=r"fleet\.toml: .*keepers"):
@@ -458,7 +459,7 @@
         Stage(fleet=path, sockets=200)
 
 
-def test_without_a_fleet_file_nothing_of_it_is_imported() -> None:
+def test_without_a_fleet_file_no_fleet_module_is_imported() -> None:
     code = (
         "from tests.scenario import Stage; import sys; Stage().close(); "
         "print([m for m in sys.modules if m.startswith('ironbarrow.fleet') or m == 'msgspec'])"
