--- a/tests/test_fleet_base.py
+++ b/tests/test_fleet_base.py
@@ -1,4 +1,4 @@
-"""What all parts of a fleet stand on: the codec, the fleet file, the simulated network."""
+"""The basis of all parts of a fleet: the codec, the fleet file, the simulated network."""
 
 import msgspec
 import pytest
@@ -18,8 +18,8 @@
     text: str
 
 
-class NoteLater(Message, frozen=True, array_like=True):
-    """The same message in a later version of the program."""
+class NewerNote(Message, frozen=True, array_like=True):
+    """The same message in a newer version of the program."""
 
     KIND = 120
     text: str
@@ -34,7 +34,7 @@
 
 
 @given(st.lists(st.text(max_size=50), max_size=8), st.integers(1, 40))
-def test_frames_survive_any_cut_of_the_stream(texts: list[str], step: int) -> None:
+def test_frames_are_split_from_a_stream_cut_anywhere(texts: list[str], step: int) -> None:
     codec, splitter = Codec([Note]), FrameSplitter()
     stream = b"".join(codec.encode(ME, 0, Note(text)) for text in texts)
     frames = [f for i in range(0, len(stream), step) for f in splitter.feed(stream[i : i + step])]
@@ -42,15 +42,15 @@
 
 
 @given(st.binary(max_size=80))
-def test_foreign_bytes_are_counted_and_dropped(data: bytes) -> None:
+def test_malformed_frames_are_counted_and_dropped(data: bytes) -> None:
     codec = Codec([Note])
     assert codec.decode(data) is not None or codec.dropped.total() == 1
 
 
-def test_two_versions_side_by_side() -> None:
-    old, new = Codec([Note]), Codec([NoteLater, Unknown])
-    assert old.decode(new.encode(ME, 3, NoteLater("x", 5))[4:]) == (ME, 3, Note("x"))
-    assert new.decode(old.encode(ME, 3, Note("x"))[4:]) == (ME, 3, NoteLater("x", 0))
+def test_two_versions_read_each_others_frames() -> None:
+    old, new = Codec([Note]), Codec([NewerNote, Unknown])
+    assert old.decode(new.encode(ME, 3, NewerNote("x", 5))[4:]) == (ME, 3, Note("x"))
+    assert new.decode(old.encode(ME, 3, Note("x"))[4:]) == (ME, 3, NewerNote("x", 0))
     assert old.decode(new.encode(ME, 0, Unknown())[4:]) is None
     newer = msgspec.msgpack.encode([2, 120, ME, 0, ["x"]])
     assert old.decode(newer) is None
@@ -75,22 +75,22 @@
         ('listen = "h:1"\n[members]\nperiod = "100 ms"', "members.timeout"),
     ],
 )
-def test_a_wrong_fleet_file_is_named(text: str, expected: str) -> None:
+def test_an_error_in_a_fleet_file_names_key_and_value(text: str, expected: str) -> None:
     with pytest.raises(FleetError, match=r"^fleet\.toml: ") as error:
         parse(text.encode(), "fleet.toml", "me")
     assert expected in str(error.value)
 
 
-class Echo:
-    """Sends a count to the other one and back, every 10 ms."""
+class PeriodicSender:
+    """Sends the time to the other member every 10 ms, and records the texts that it receives."""
 
     handles = (Note,)
 
     def __init__(self, other: str) -> None:
-        self.other, self.due, self.heard = other, 0, []
+        self.other, self.due, self.received_texts = other, 0, []
 
     def received(self, now: int, sender: Incarnation, message: Note) -> list[Send]:
-        self.heard.append(message.text)
+        self.received_texts.append(message.text)
         return []
 
     def ticked(self, now: int) -> list[Send]:
@@ -101,42 +101,43 @@
         return self.due
 
 
-def test_the_simulated_network_loses_cuts_pauses_and_crashes() -> None:
+def test_faults_of_the_simulated_network_lose_the_expected_messages() -> None:
     runs = []
     for _ in range(2):
         net = SimulatedNet(SimulatedClock(), Codec([Note]), seed=3)
         seen: dict[str, list[int]] = {"a": [], "b": []}
-        echoes: dict[str, Echo] = {}
+        senders: dict[str, PeriodicSender] = {}
 
-        def build(seat, node, echoes=echoes):
-            echoes[seat.name] = Echo("b" if seat.name == "a" else "a")
-            node.add([echoes[seat.name]])
+        def build(seat, node, senders=senders):
+            senders[seat.name] = PeriodicSender("b" if seat.name == "a" else "a")
+            node.add([senders[seat.name]])
 
         for name in "ab":
             net.add(name, "x", build)
             net.start(name)
 
-        def heard(step, net=net, echoes=echoes, seen=seen):
-            before = {name: len(echoes[name].heard) for name in "ab"}
+        def received_during(step, net=net, senders=senders, seen=seen):
+            before = {name: len(senders[name].received_texts) for name in "ab"}
             step()
             net.run(1000 * MS)
             for name in "ab":
-                seen[name].append(len(echoes[name].heard) - before[name])
+                seen[name].append(len(senders[name].received_texts) - before[name])
 
-        heard(lambda: None)
-        heard(lambda net=net: net.cut("a", "b", both=False))
-        heard(lambda net=net: (net.mend(), net.pause("b")))
-        heard(lambda net=net: net.resume("b"))
-        heard(lambda net=net: net.crash("a"))
+        received_during(lambda: None)
+        received_during(lambda net=net: net.cut("a", "b", both=False))
+        received_during(lambda net=net: (net.mend(), net.pause("b")))
+        received_during(lambda net=net: net.resume("b"))
+        received_during(lambda net=net: net.crash("a"))
         net.ways["b", "a"] = Way(lost=0.5, doubled=0.5)
         net.start("a")
         net.run(1000 * MS)
-        runs.append((seen, len(echoes["a"].heard), net.lost))
-        wanted = {
+        runs.append((seen, len(senders["a"].received_texts), net.lost))
+        # b gets 200 after its pause: those of the pause are delivered then
+        expected = {
             "a": (100, 100, 0, 100, 0),
             "b": (100, 0, 0, 200, 0),
-        }  # b: all that came while it was stopped
+        }
         for name in "ab":
-            assert all(abs(n - want) <= 2 for n, want in zip(seen[name], wanted[name], strict=True)), seen
-        assert 50 < len(echoes["a"].heard) < 105
+            assert all(abs(n - count) <= 2 for n, count in zip(seen[name], expected[name], strict=True)), seen
+        assert 50 < len(senders["a"].received_texts) < 105
     assert runs[0] == runs[1]
