--- a/tests/test_fleet_frames.py
+++ b/tests/test_fleet_frames.py
@@ -1,4 +1,4 @@
-"""The bytes that processes of a fleet exchange: a rolling restart mixes versions, so they must not change."""
+"""The frames that members exchange: a rolling restart mixes versions, so they must not change."""
 
 import pytest
 
@@ -47,7 +47,7 @@
     takeover.TakeoverNotice(OTHER, False),
 ]
 
-# the frames of the version before the first change of these classes' names, by kind
+# by kind: frames recorded before the first renaming of these classes
 FRAMES = {
     1: (
         "000000dc95010192ac646973706174636865722d31cf17979cfe362a0001cf17979cfe362a00029501020301929692ac"
@@ -152,13 +152,13 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: str(message.KIND))
-def test_frames_are_those_of_the_former_version_both_ways(message: Message) -> None:
+def test_frames_equal_those_of_the_earlier_version_in_both_directions(message: Message) -> None:
     frame = bytes.fromhex(FRAMES[message.KIND])
     assert _codec().encode(SENDER, OTHER.start, message) == frame
     assert _codec().decode(frame[4:]) == (SENDER, OTHER.start, message)
 
 
-def test_every_message_of_these_parts_has_its_frame() -> None:
+def test_every_message_of_these_parts_has_a_recorded_frame() -> None:
     kinds = {
         kind.KIND
         for part in (members, ledgers, takeover)
