--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -1,4 +1,4 @@
-"""Rollouts and verdicts over real dispatchers' processes, with faults between them."""
+"""Rollouts and starvation verdicts with real dispatcher processes and faults between them."""
 
 import multiprocessing
 from collections.abc import Callable, Iterator
@@ -69,18 +69,18 @@
 sight = "8 s"
 hold_most = "3 s"
 """
-OVER = ("done", "stopped")
+FINAL_STAGES = ("done", "stopped")
 
 
 def stages(run: RolloutRun) -> list[dict[str, Any]]:
-    """What all logs say of the rollout, in order of time."""
+    """The log lines of all dispatchers about the rollout, in order of time."""
     lines = [line for instance in run.instances for line in lines_of(instance.log_path)]
     found = [line for line in lines if line.get("event") == "rollout"]
     return sorted(found, key=lambda line: str(line["timestamp"]))
 
 
 def coordinator(run: LiveRun) -> int:
-    """Who leads now: the last that has told of a stage, by the logs."""
+    """Index of the present coordinator: the dispatcher that was the last to log a stage."""
     found = [
         (str(line["timestamp"]), n)
         for n, instance in enumerate(run.instances)
@@ -90,16 +90,16 @@
     return max(found)[1] if found else 0
 
 
-def killed(run: RolloutRun) -> None:
+def kill_coordinator(run: RolloutRun) -> None:
     run.kill(coordinator(run), 500 * MS)
 
 
-def stopped(run: RolloutRun) -> None:
+def stop_coordinator(run: RolloutRun) -> None:
     run.pause(coordinator(run), 3 * SECOND)
 
 
-def cut(run: RolloutRun) -> None:
-    """From all others, for 3 s; the agents still hear it."""
+def cut_off_coordinator(run: RolloutRun) -> None:
+    """Cuts the coordinator off from all other dispatchers for 3 s; the agents still reach it."""
     one = f"d{coordinator(run)}"
     others = [f"d{n}" for n in range(len(run.instances)) if f"d{n}" != one]
     pairs = [pair for other in others for pair in ((one, other), (other, one))]
@@ -109,40 +109,40 @@
 
 CASES: dict[str, Callable[[RolloutRun], None] | None] = {
     "calm": None,
-    "killed": killed,
-    "stopped": stopped,
-    "cut": cut,
+    "killed": kill_coordinator,
+    "stopped": stop_coordinator,
+    "cut": cut_off_coordinator,
     "bad": None,
 }
 
 
-def play(name: str, folder: Path) -> dict[str, Any]:
-    """Plays a case, in a process of its own."""
+def run_case(name: str, folder: Path) -> dict[str, Any]:
+    """Runs a case; called in a process of its own."""
     text, plan = WORLD, PLAN
     if name == "bad":
         text, plan = (
             text.replace("rate = 25.0", "rate = 60.0"),
             plan.replace('soak = "500 ms"', 'soak = "8 s"'),
         )
-    if name == "bad":  # a doubt lasts longer than it takes to stop for it
+    if name == "bad":  # a hold lasts longer than it takes to stop the rollout for it
         plan = plan.replace('clear_for = "500 ms"', 'clear_for = "6 s"')
     world = convert(msgspec.toml.decode(text), World, name)
     run = RolloutRun(world, 1, folder, plan, failing={"2.0": 0.6} if name == "bad" else {})
     fault = CASES[name]
     if fault is not None:
 
-        def strike() -> None:
-            """Once the second target is on its way."""
+        def inject_fault() -> None:
+            """Injects the fault once the second target has started with the new runtime."""
             if sum(run.starts("2.0").values()) >= 2:
                 fault(run)
             else:
-                run.loop.call_at(run.loop.now() + 20 * MS, strike)
+                run.loop.call_at(run.loop.now() + 20 * MS, inject_fault)
 
-        run.loop.call_at(run.loop.now() + SECOND, strike)
+        run.loop.call_at(run.loop.now() + SECOND, inject_fault)
 
     def end_when_over() -> None:
         found = stages(run)
-        if found and found[-1]["stage"] in OVER:
+        if found and found[-1]["stage"] in FINAL_STAGES:
             run.workload.end()
         run.loop.call_at(run.loop.now() + 500 * MS, end_when_over)
 
@@ -171,36 +171,39 @@
 
 
 @pytest.fixture(scope="module")
-def played(
-    pool: ProcessPoolExecutor, starved: object, tmp_path_factory: pytest.TempPathFactory
+def rollouts(
+    pool: ProcessPoolExecutor, starvation_runs: object, tmp_path_factory: pytest.TempPathFactory
 ) -> dict[str, Future[dict[str, Any]]]:
-    """All rollouts, some at a time."""
-    return {name: pool.submit(play, name, tmp_path_factory.mktemp("rolled")) for name in CASES}
+    """The results of all cases, run a few at a time."""
+    return {name: pool.submit(run_case, name, tmp_path_factory.mktemp("rolled")) for name in CASES}
 
 
 @pytest.fixture(scope="module")
-def starved(
+def starvation_runs(
     pool: ProcessPoolExecutor, tmp_path_factory: pytest.TempPathFactory
 ) -> dict[str, Future[dict[str, Any]]]:
-    return {who: pool.submit(starve, who, tmp_path_factory.mktemp("starved")) for who in ("1", "nobody")}
+    return {
+        who: pool.submit(run_starvation, who, tmp_path_factory.mktemp("starved")) for who in ("1", "nobody")
+    }
 
 
 @pytest.mark.parametrize("name", ["calm", "killed", "stopped", "cut"])
-def test_each_target_is_replaced_once_whoever_leads(name: str, played: Any) -> None:
-    found = played[name].result(60)
+def test_each_target_is_replaced_once_through_faults_of_the_coordinator(name: str, rollouts: Any) -> None:
+    found = rollouts[name].result(60)
     assert found["starts"] == {f"p-{n}": 1 for n in range(6)}, found["stages"]
     assert found["stages"][-1][0] == "done"
     assert min(found["low"].values()) >= 20
     assert found["broken"] == {} and found["crashes"] == 0
-    # each fault was played; whether a stop or cut of 3 s changes who leads is a matter of the members' time
-    played_out = {"killed": found["ends"], "stopped": found["stops"], "cut": found["cut off"]}
-    assert [fault for fault, count in played_out.items() if count] == ([name] if name != "calm" else [])
+    # each fault took place; whether a stop or cut of 3 s changes the coordinator depends on timing
+    observed = {"killed": found["ends"], "stopped": found["stops"], "cut": found["cut off"]}
+    assert [fault for fault, count in observed.items() if count] == ([name] if name != "calm" else [])
     assert found["epochs"] > 0 or name != "killed"
 
 
-def test_a_bad_runtime_is_paused_before_another_target_has_it(played: Any) -> None:
-    """With one machine of it the fault may be the machine's: held, then stopped once that lasts."""
-    found = played["bad"].result(60)
+def test_a_bad_runtime_stops_the_rollout_at_its_first_target(rollouts: Any) -> None:
+    """While a single machine has the new runtime the fault may be that machine's: the rollout is held first,
+    and stopped when the errors last."""
+    found = rollouts["bad"].result(60)
     assert sum(found["starts"].values()) == 1, found["stages"]
     (held, rule, figures), (stopped, *_) = [stage for stage in found["stages"] if stage[0] != "running"]
     assert (held, rule, stopped) == ("held", "errors", "stopped")
@@ -208,7 +211,8 @@
     assert found["broken"] == {} and found["crashes"] == 0
 
 
-# Verdicts: three dispatchers with a tenant each for a third of their jobs; links lose a fifth
+# Starvation verdicts: three dispatchers; each of three tenants has a third of the jobs; links lose a fifth of
+# the messages
 
 STARVED = (
     """
@@ -257,11 +261,11 @@
 slots = 10
 """
 )
-LATE = 2500 * MS
+START_DELAY = 2500 * MS
 
 
-class PutsBack:
-    """A worker as one dispatcher's door sees it: a tenant's jobs start late."""
+class DelayedStarts:
+    """A worker that starts the jobs of one tenant late if they come from one dispatcher."""
 
     def __init__(self, worker: Worker, loop: Loop, late: Callable[[str], bool]) -> None:
         self._worker, self._loop, self._late = worker, loop, late
@@ -274,7 +278,7 @@
         if not self._late(job_id):
             return self._worker.arrive(job_id, need, tell)
         self._waiting.add(job_id)
-        self._loop.call_at(self._loop.now() + LATE, self._now, job_id, need, tell)
+        self._loop.call_at(self._loop.now() + START_DELAY, self._now, job_id, need, tell)
         return Reply.TAKEN
 
     def _now(self, job_id: str, need: Need, tell: Tell) -> None:
@@ -291,7 +295,7 @@
 
 
 class StarvingRun(LiveRun):
-    """Workers leave the jobs of tenant 1 for last, where they come from d0."""
+    """Workers start the jobs of tenant ``who`` late if they come from d0."""
 
     def __init__(self, world: World, folder: Path, who: str) -> None:
         self.who, self.tenants = who, {}
@@ -308,17 +312,17 @@
     def _open(self, worker: Worker) -> None:
         super()._open(worker)
         door = self._doors[worker.name][0]
-        door._worker = PutsBack(worker, self.loop, lambda job: self.tenants.get(job) == self.who)
+        door._worker = DelayedStarts(worker, self.loop, lambda job: self.tenants.get(job) == self.who)
 
 
-def starve(who: str, folder: Path) -> dict[str, Any]:
-    """Plays it, in a process of its own."""
+def run_starvation(who: str, folder: Path) -> dict[str, Any]:
+    """Runs it; called in a process of its own."""
     run = StarvingRun(convert(msgspec.toml.decode(STARVED), World, "starved"), folder, who)
     names = [f"d{n}" for n in range(3)]
     ways = [(a, b) for a in names for b in names if a != b]
     run.loop.call_at(run.loop.now() + SECOND, run.links.set, ways, Trouble(lost=0.2))
 
-    def began() -> list[dict[str, Any]]:
+    def verdicts() -> list[dict[str, Any]]:
         return [
             {**line, "at": f"d{number}"}
             for number, instance in enumerate(run.instances)
@@ -326,17 +330,17 @@
             if line.get("event") == "a tenant starves here"
         ]
 
-    def end_when_told() -> None:
-        if began():
+    def end_when_detected() -> None:
+        if verdicts():
             run.workload.end()
-        run.loop.call_at(run.loop.now() + SECOND, end_when_told)
+        run.loop.call_at(run.loop.now() + SECOND, end_when_detected)
 
-    run.loop.call_at(run.loop.now() + 5 * SECOND, end_when_told)
+    run.loop.call_at(run.loop.now() + 5 * SECOND, end_when_detected)
     if who == "nobody":
         run.loop.call_at(run.loop.now() + 16 * SECOND, run.workload.end)
     result = run.run()
     return {
-        "began": began(),
+        "began": verdicts(),
         "broken": result.notes["fleet"]["broken_invariants"],
         "lost": result.notes["fleet"]["frames"].get("lost", 0),
         "crashes": result.notes["crashes"],
@@ -344,8 +348,8 @@
     }
 
 
-def test_a_tenant_that_starves_behind_one_dispatcher_is_told_there_alone(starved: Any) -> None:
-    found = starved["1"].result(60)
+def test_a_tenant_starving_at_one_dispatcher_is_reported_there_only(starvation_runs: Any) -> None:
+    found = starvation_runs["1"].result(60)
     assert {(line["tenant"], line["at"]) for line in found["began"]} == {("1", "d0")}
     line = found["began"][0]
     assert line["job_class"] in ("", "map") and line["jobs"] >= 10 and line["seen"] >= 0.6
@@ -353,16 +357,17 @@
     assert found["lost"] > 100 and found["broken"] == {} and found["crashes"] == 0
 
 
-def test_where_nobody_starves_nothing_is_told(starved: Any) -> None:
-    found = starved["nobody"].result(60)
+def test_without_starvation_none_is_reported(starvation_runs: Any) -> None:
+    found = starvation_runs["nobody"].result(60)
     assert found["began"] == [] and found["lost"] > 100 and found["broken"] == {}
 
 
 # Files
 
 
-def test_a_wrong_plan_is_refused_at_the_start(tmp_path: Path) -> None:
-    """With the workers that are known then, in one line, and with exit status 2."""
+def test_an_invalid_plan_ends_the_start(tmp_path: Path) -> None:
+    """The plan is checked against the workers known at the start; the process exits with status 2 and logs
+    one line."""
     world = convert(msgspec.toml.decode(WORLD), World, "w")
     for old, new, expected in (
         ('"south"]', '"east"]', "sites: expected some of ['north', 'south'], got 'east'"),
