--- a/ironbarrow/fleet/records.py
+++ b/ironbarrow/fleet/records.py
@@ -50,7 +50,7 @@
     tenant: str | None = None
     slots: float = 1.0
     memory: float = 0.0
-    digest: bytes = b""  # of method, target and body: tells another request under the same id apart
+    digest: bytes = b""  # of method, target and body: identifies another request under the same id
     idempotency_key: str = ""
     tried: tuple[str, ...] = ()  # workers of all attempts by all owners, which may still call back
 
--- a/ironbarrow/fleet/rollout_participant.py
+++ b/ironbarrow/fleet/rollout_participant.py
@@ -102,8 +102,8 @@
     def _start_rollout(self) -> None:
         """Starts the rollout once workers are listed and another member is known.
 
-        A process that restarts must not begin a rollout again that is running or done. The ledger that its
-        coordinator announces in its card, which all members remember, tells that there is one."""
+        A process that restarts must not begin a rollout again that is running or done. It knows of that from
+        the card of the rollout's coordinator, which announces the ledger and which all members remember."""
         if self._plan is None:
             return
         if not self._targets or len(self._service.members.alive()) < 2:
--- a/ironbarrow/fleet/takeover/machine.py
+++ b/ironbarrow/fleet/takeover/machine.py
@@ -179,8 +179,8 @@
         self.no_majority = False  # no majority of the own ledger's replicas answers
         self.committed_seq = 0  # appends up to this number are stored at a majority
         self.leaving = False
-        self.owned: dict[str, OwnedJob] = {}
-        self.lookups: dict[str, JobLookup] = {}
+        self.owned: dict[str, OwnedJob] = {}  # by job id
+        self.lookups: dict[str, JobLookup] = {}  # by job id
         self.answers = AnswerCache(rules.answer_retention, rules.max_answers)
         self.disclaimed = DisclaimedIds(rules.answer_retention)
         self.open_ledgers: dict[Incarnation, _OpenLedger] = {}
@@ -189,14 +189,14 @@
         self.taken_over: OrderedDict[Incarnation, bool] = OrderedDict()
         self.counts: Counter[str] = Counter()
         self._changes: dict[str, Change] = {}
-        self._pending: list[_PendingCommit] = []
-        self._commits: deque[tuple[int, list[_PendingCommit]]] = deque()
-        self._attempt_commits: dict[object, _PendingCommit] = {}
+        self._pending: list[_PendingCommit] = []  # of changes that are not appended yet
+        self._commits: deque[tuple[int, list[_PendingCommit]]] = deque()  # of appends, by number
+        self._attempt_commits: dict[object, _PendingCommit] = {}  # of intents, by attempt
         self.cancelling: set[str] = set()  # ids of jobs being cancelled as their clients have disconnected
         self._next_majority_check = now
         self._majority_gone_since = NEVER
-        self._answer_expiries: deque[tuple[int, str]] = deque()
-        self._notices: list[tuple[int, Incarnation, bool]] = []
+        self._answer_expiries: deque[tuple[int, str]] = deque()  # when (ns) to drop which job's answer
+        self._notices: list[tuple[int, Incarnation, bool]] = []  # to repeat: when (ns), of whom, whole
         # incarnations whose ledgers were lost, and until when (ns) a retry may be for a job of theirs
         self._lost_until: dict[Incarnation, int] = {}
 
@@ -634,7 +634,7 @@
         return [action for commit in commits for action in self._fail(now, commit)]
 
     def supersede(self, now: int) -> list[Action]:
-        """Ends this incarnation when another process uses its name, as if its ledger had been sealed."""
+        """Ends this incarnation as if its ledger had been sealed, since a newer one of its name exists."""
         return [action for action in self._fence(now) if not isinstance(action, Superseded)]
 
     def _end_if_replicas_lost(self, now: int) -> list[Action]:
@@ -935,8 +935,8 @@
                 return []
             self.counts["ledgers lost"] += 1
             if open_ledger.incarnation in self.taken_over:
-                # Another member has adopted what it could read of this ledger. Only its notice keeps this
-                # member from running the same jobs too, so the notice has to be respected.
+                # Another member has adopted what it could read of this ledger. A partial reading excludes no
+                # second reader: only the first one's notice prevents two members from running the same jobs.
                 del self.open_ledgers[open_ledger.incarnation]
                 return []
             return self._on_claimed(now, event.ledger, event.partial, whole=False)
@@ -1013,8 +1013,8 @@
             other = _incarnation_of(at.ledger)
             if other is None or other == self.me:
                 continue
-            # The incarnation taken over here had won the claim of this ledger, so it was remembered as taken
-            # over, but ended before adopting it. If it stayed so, the claim's key would be lost.
+            # The incarnation taken over here had won the claim of this ledger, so the ledger was remembered as
+            # taken over. It ended before it adopted the ledger, or the claim's key would have been removed.
             self.taken_over.pop(other, None)
             known = self.open_ledgers.get(other)
             if known is None:
