--- a/ironbarrow/fleet/takeover/machine.py
+++ b/ironbarrow/fleet/takeover/machine.py
@@ -1013,8 +1013,8 @@
             other = _incarnation_of(at.ledger)
             if other is None or other == self.me:
                 continue
-            # The incarnation taken over here had won the claim of this ledger, so the ledger was remembered as
-            # taken over. It ended before it adopted the ledger, or the claim's key would have been removed.
+            # The incarnation taken over here had won the claim of this ledger, so the ledger was remembered
+            # as taken over. It ended before it adopted the ledger, or the claim's key would have been removed.
             self.taken_over.pop(other, None)
             known = self.open_ledgers.get(other)
             if known is None:
