--- a/ironbarrow/fleet/ledgers/proposal.py
+++ b/ironbarrow/fleet/ledgers/proposal.py
@@ -11,7 +11,17 @@
 import enum
 from collections.abc import Iterable
 
-from ironbarrow.fleet.api import NEVER, Action, Ballot, Change, Decision, Incarnation, LedgerAt, Send, rank
+from ironbarrow.fleet.api import (
+    NEVER,
+    Action,
+    Ballot,
+    Change,
+    Decision,
+    Incarnation,
+    LedgerLocation,
+    Send,
+    rank,
+)
 from ironbarrow.fleet.file import LedgerRules
 from ironbarrow.fleet.invariants import check
 from ironbarrow.fleet.ledgers.messages import Accept, Accepted, Learn, Page, Promise, Read, ReplyStatus, Seal
@@ -42,7 +52,7 @@
     def __init__(
         self,
         me: Incarnation,
-        at: LedgerAt,
+        at: LedgerLocation,
         rules: LedgerRules,
         writer: Incarnation | None = None,
         read_table: bool = True,
--- a/ironbarrow/fleet/links/links.py
+++ b/ironbarrow/fleet/links/links.py
@@ -15,7 +15,7 @@
 import structlog
 
 from ironbarrow.fleet.api import Incarnation, Message, Send
-from ironbarrow.fleet.codec import Codec, FrameError, Splitter
+from ironbarrow.fleet.codec import Codec, FrameError, FrameSplitter
 from ironbarrow.fleet.file import LinkRules
 from ironbarrow.fleet.links.queue import Budget, SendQueue, category_of
 from ironbarrow.runtime import sockets
@@ -58,7 +58,7 @@
 
     sock: socket.socket
     used_at: int
-    splitter: Splitter = field(default_factory=Splitter)
+    splitter: FrameSplitter = field(default_factory=FrameSplitter)
     task: Task | None = None
 
 
@@ -313,7 +313,7 @@
         try:
             while True:
                 timeout = (
-                    self._rules.idle * 3 if frame_seen and not incoming.splitter.waiting else _FRAME_TIMEOUT
+                    self._rules.idle * 3 if frame_seen and not incoming.splitter.buffered else _FRAME_TIMEOUT
                 )
                 if not (yield Wait(sock.fileno(), READ, now() + timeout)):
                     return
@@ -331,7 +331,7 @@
                     self._handle_frame(frame)
                     if incoming not in self._incoming:
                         return  # the message's handler has closed the links
-                self._set_partial(incoming, incoming.splitter.waiting)
+                self._set_partial(incoming, incoming.splitter.buffered)
                 while self._partial_bytes > self._budget.limit and len(self._partial_frames) > 1:
                     oldest = next(
                         candidate for candidate in self._partial_frames if candidate is not incoming
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from ironbarrow.fleet.api import Health, Incarnation, MemberChanged, Message, News, Send
-from ironbarrow.fleet.codec import FRAME_MOST, Codec
+from ironbarrow.fleet.api import FleetEvent, Health, Incarnation, MemberChanged, Message, Send
+from ironbarrow.fleet.codec import MAX_FRAME_BYTES, Codec
 from ironbarrow.fleet.file import Fleet, FleetError, parse
 from ironbarrow.fleet.invariants import INVARIANTS
 from ironbarrow.fleet.links.queue import Budget, Category, SendQueue, category_of
@@ -63,7 +63,7 @@
         self.host = self.network.party(0)[0]
         self.services: list[FleetService] = []
         self.sinks: dict[str, Sink] = {}
-        self.events: dict[str, list[News]] = {}
+        self.events: dict[str, list[FleetEvent]] = {}
 
     def start(self, name: str, *seeds: FleetService, extra: str = "", port: int = 0) -> FleetService:
         listed = ", ".join(f'"{s.name}={s.address}"' for s in seeds)
@@ -73,7 +73,7 @@
         self.sinks[name] = Sink()
         self.events[name] = []
         service.add(self.sinks[name])
-        service.on_news(self.events[name].append)
+        service.subscribe(self.events[name].append)
         self.services.append(service)
         return service
 
@@ -133,7 +133,7 @@
     c = bench.start("c", a, port=int(c.address.rpartition(":")[2]))
     bench.until(bench.joined)
     b.leave()
-    bench.until(lambda: b.sent, 1)
+    bench.until(lambda: b.all_sent, 1)
     bench.stop(b)
     bench.until(lambda: {s.members.health(b.incarnation) for s in (a, c)} == {Health.LEFT}, 2)
     changes = [
@@ -163,12 +163,12 @@
 def test_a_renewed_member_is_a_new_incarnation_and_the_old_one_is_dead(bench: Bench) -> None:
     a, b = pair(bench)
     before, sink = b.incarnation, Sink()
-    b.on_renewed(lambda service: service.add(sink))
-    b.renew()
+    b.on_new_incarnation(lambda service: service.add(sink))
+    b.start_new_incarnation()
     assert b.incarnation.name == "b" and b.incarnation.start > before.start
     bench.until(lambda: a.members.health(b.incarnation) is Health.ALIVE)
     assert a.members.health(before) is Health.DEAD
-    a.order([Send(before, Bulk(b"old")), Send(b.incarnation, Bulk(b"new"))])
+    a.carry_out([Send(before, Bulk(b"old")), Send(b.incarnation, Bulk(b"new"))])
     bench.until(lambda: bool(sink.messages))
     assert sink.messages == [(a.incarnation, b"new")]
     assert bench.sinks["b"].messages == []
@@ -258,12 +258,12 @@
         a.fleet.routes["stuck"] = f"127.0.0.1:{stuck.getsockname()[1]}"
         data = bytes(60_000)
         for _ in range(200):
-            a.order([Send(Incarnation("stuck"), Bulk(data)), Send(Incarnation("stuck"), Table(data))])
+            a.carry_out([Send(Incarnation("stuck"), Bulk(data)), Send(Incarnation("stuck"), Table(data))])
             bench.run(0.002)
             assert a.links._budget.used <= 1100 << 10
         assert a.links.dropped["starvation"] > 100
         assert a.links.dropped["ledger"] > 50
-        a.order([Send(b.incarnation, Bulk(b"on"))])
+        a.carry_out([Send(b.incarnation, Bulk(b"on"))])
         bench.until(lambda: bench.sinks["b"].messages == [(a.incarnation, b"on")])
         bench.until(lambda: not a.links._budget.used)  # the write times out and the queue is dropped
         assert bench.joined()
@@ -277,7 +277,7 @@
         assert a.links.metrics["evicted"] >= 24
         for i in range(40):
             a.fleet.routes[f"n{i}"] = b.address
-            a.order([Send(Incarnation(f"n{i}"), Bulk(b"x"))])
+            a.carry_out([Send(Incarnation(f"n{i}"), Bulk(b"x"))])
             bench.run(0.01)
         assert a.links.open_connections <= 32
         assert len(socks) == 40
@@ -290,7 +290,7 @@
         a.fleet.routes["closer"] = f"127.0.0.1:{closer.getsockname()[1]}"
         end, accepted = bench.loop.now() + SECOND, 0
         while bench.loop.now() < end:
-            a.order([Send(Incarnation("closer"), Bulk(b"x"))])
+            a.carry_out([Send(Incarnation("closer"), Bulk(b"x"))])
             bench.run(0.005)
             while (sock := accept(closer)) is not None:
                 accepted += 1
@@ -305,7 +305,7 @@
         for _ in range(8):
             sock = stack.enter_context(socket.create_connection((bench.host, a.links.port)))
             sock.setblocking(False)
-            left = memoryview(FRAME_MOST.to_bytes(4, "big") + bytes(FRAME_MOST - 100_000))
+            left = memoryview(MAX_FRAME_BYTES.to_bytes(4, "big") + bytes(MAX_FRAME_BYTES - 100_000))
             while left:
                 with contextlib.suppress(BlockingIOError):
                     left = left[sock.send(left) :]
