--- a/ironbarrow/fleet/ledgers/messages.py
+++ b/ironbarrow/fleet/ledgers/messages.py
@@ -1,4 +1,8 @@
-"""What writers, replicas and claimants of ledgers tell each other: kinds 20 to 39."""
+"""The messages between the writers, the replicas and the recoveries of ledgers: kinds 20 to 39.
+
+The changes of a segment are numbered from 1; the first ones are the segment's snapshot, which is the table
+that the ledger held when the segment was opened.
+"""
 
 import enum
 from typing import ClassVar
@@ -6,43 +10,45 @@
 from ironbarrow.fleet.api import Ballot, Change, Decision, Incarnation, Message
 
 
-class Answer(enum.IntEnum):
-    """What a replica makes of a question."""
+class ReplyStatus(enum.IntEnum):
+    """The result of a request, as a replica reports it."""
 
-    DONE = 0
-    GAP = 1  # changes before these are missing: they are to be sent again from ``n`` + 1
-    SEALED = 2  # a higher ballot is promised
-    FULL = 3  # there is no room for it
-    UNKNOWN = 4  # the segment is not here, or no longer
+    OK = 0
+    GAP = 1  # earlier changes are missing: resend from ``last_index`` + 1
+    SEALED = 2  # a higher ballot has been promised
+    FULL = 3  # the memory limit is reached
+    UNKNOWN = 4  # the replica does not have the segment, or has deleted it
 
 
 class Append(Message, frozen=True, array_like=True):
-    """The writer's changes ``first``, ``first`` + 1 ... of a segment. The first ``base`` ones of a segment
-    are its opening table; a replica that has not heard of the segment opens it."""
+    """The writer appends consecutive changes to a segment, starting at ``first_index``. The first
+    ``snapshot_size`` changes of a segment are its snapshot. A replica that does not know the segment creates
+    it."""
 
     KIND: ClassVar[int] = 20
     ledger: str
     segment: int
-    base: int
-    first: int
+    snapshot_size: int
+    first_index: int
     changes: tuple[Change, ...] = ()
 
 
-class Appended(Message, frozen=True, array_like=True):
-    """The replica has all changes up to and with ``n``, and no more."""
+class AppendReply(Message, frozen=True, array_like=True):
+    """A replica's reply to ``Append``: it has applied the changes up to and including ``last_index``."""
 
     KIND: ClassVar[int] = 21
     ledger: str
     segment: int
-    n: int
-    answer: Answer = Answer.DONE
-    promised: Ballot | None = None  # SEALED: to whom
-    decision: Decision | None = None  # SEALED: the fate, where the replica knows it
+    last_index: int
+    status: ReplyStatus = ReplyStatus.OK
+    promised: Ballot | None = None  # SEALED: the highest ballot promised
+    decision: Decision | None = None  # SEALED: the decided fate, if the replica knows it
 
 
 class Seal(Message, frozen=True, array_like=True):
-    """Asks for the promise to take nothing under a lower ballot. ``writer``: who opens the segment, where a
-    decided MOVED says that it exists; then a replica that has never heard of it creates it sealed and empty.
+    """Requests the promise to accept nothing under a lower ballot (phase 1 of the vote). ``writer``: the
+    segment's writer, if a decided MOVED proves that the segment exists; a replica that has never seen the
+    segment then creates it, sealed and empty.
     """
 
     KIND: ClassVar[int] = 22
@@ -53,27 +59,28 @@
 
 
 class Promise(Message, frozen=True, array_like=True):
-    """A replica's answer to ``Seal``. ``base`` -1: it never had the opening. ``table``: the whole of it, or
-    None if it is too large for this message and is to be read by pages."""
+    """A replica's reply to ``Seal``. ``snapshot_size`` is -1 if the replica never received the snapshot.
+    ``table``: the segment's complete table, or None if it is too large for one message and has to be read in
+    pages."""
 
     KIND: ClassVar[int] = 23
     ledger: str
     segment: int
-    ballot: Ballot  # that was asked
-    answer: Answer  # DONE, SEALED (``promised`` is higher), UNKNOWN
+    ballot: Ballot  # of the request
+    status: ReplyStatus  # OK, SEALED (``promised`` is higher) or UNKNOWN
     promised: Ballot | None = None
     writer: Incarnation | None = None
-    n: int = 0
-    base: int = -1
+    last_index: int = 0
+    snapshot_size: int = -1
     accepted: Ballot | None = None
-    decision: Decision | None = None  # accepted under that ballot
-    decided: bool = False  # ... and known to be so by a majority
-    released: bool = False  # the table is gone, since others have all of it
+    decision: Decision | None = None  # the one accepted under that ballot
+    decided: bool = False  # the replica knows that a majority has accepted it
+    released: bool = False  # the table has been deleted, because other members hold all of it
     table: tuple[Change, ...] | None = None
 
 
-class Decide(Message, frozen=True, array_like=True):
-    """Asks to accept a fate."""
+class Accept(Message, frozen=True, array_like=True):
+    """Requests that a segment's fate be accepted under a ballot (phase 2 of the vote)."""
 
     KIND: ClassVar[int] = 24
     ledger: str
@@ -83,18 +90,18 @@
 
 
 class Accepted(Message, frozen=True, array_like=True):
-    """A replica's answer to ``Decide``."""
+    """A replica's reply to ``Accept``."""
 
     KIND: ClassVar[int] = 25
     ledger: str
     segment: int
     ballot: Ballot
-    answer: Answer  # DONE, SEALED, UNKNOWN
+    status: ReplyStatus  # OK, SEALED or UNKNOWN
     promised: Ballot | None = None
 
 
 class Read(Message, frozen=True, array_like=True):
-    """Asks for a page of a sealed table: the keys after that one."""
+    """Requests a page of a sealed segment's table: the keys after ``after``."""
 
     KIND: ClassVar[int] = 26
     ledger: str
@@ -103,7 +110,7 @@
 
 
 class Page(Message, frozen=True, array_like=True):
-    """The next keys of a table in order. ``last``: none are left."""
+    """The reply to ``Read``: the next entries in the order of their keys. ``last``: no entries follow."""
 
     KIND: ClassVar[int] = 27
     ledger: str
@@ -114,18 +121,19 @@
 
 
 class Learn(Message, frozen=True, array_like=True):
-    """A segment's fate is decided. ``release``: others have all of its table, which may go."""
+    """Announces the decided fate of a segment. ``release``: other members hold all of the segment's table,
+    which may be deleted."""
 
     KIND: ClassVar[int] = 28
     ledger: str
     segment: int
-    ballot: Ballot  # under which it is known to be decided
+    ballot: Ballot  # under which the fate was decided
     decision: Decision
     release: bool = False
 
 
-class Learned(Message, frozen=True, array_like=True):
-    """``Learn`` or ``Close`` has come: ``release`` as there; True for ``Close``."""
+class LearnAck(Message, frozen=True, array_like=True):
+    """Acknowledges ``Learn`` (with the same ``release``) or ``Close`` (``release`` is True)."""
 
     KIND: ClassVar[int] = 29
     ledger: str
@@ -134,32 +142,33 @@
 
 
 class Close(Message, frozen=True, array_like=True):
-    """The writer is owed nothing more by this ledger."""
+    """The writer no longer needs the ledger: its replicas may delete the segment."""
 
     KIND: ClassVar[int] = 30
     ledger: str
     segment: int
 
 
-TO_REPLICA = (Append, Seal, Decide, Read, Learn, Close)
-TO_WRITER = (Appended, Promise, Accepted, Page, Learned)
+REQUESTS = (Append, Seal, Accept, Read, Learn, Close)
+REPLIES = (AppendReply, Promise, Accepted, Page, LearnAck)
 
-PAGE = 256 << 10  # bytes of changes in one message, at most, unless a single one is larger
-CHANGE_MOST = 768 << 10  # bytes of one change
+MAX_BATCH_BYTES = 256 << 10  # of the changes in one message; a larger single change is sent alone
+MAX_CHANGE_BYTES = 768 << 10  # of one change: key and value
 
 
-def size_of(key: str, value: bytes) -> int:
-    """What a key costs where it is kept, bytes: its text, its value and the table's own share."""
+def entry_size(key: str, value: bytes) -> int:
+    """The memory that an entry of a table takes, in bytes: key, value and a fixed overhead."""
     return len(key) + len(value) + 120
 
 
-def within(changes: "list[Change]", start: int, most: int = PAGE) -> tuple[Change, ...]:
-    """As many changes from ``start`` on as go into one message; at least one if there is any."""
+def next_batch(changes: "list[Change]", start: int, max_bytes: int = MAX_BATCH_BYTES) -> tuple[Change, ...]:
+    """The changes from ``start`` on that fit into one message of ``max_bytes``; at least one, if there are
+    any."""
     size, end = 0, start
     while end < len(changes):
         change = changes[end]
-        size += size_of(change.key, change.value or b"")
-        if size > most and end > start:
+        size += entry_size(change.key, change.value or b"")
+        if size > max_bytes and end > start:
             break
         end += 1
     return tuple(changes[start:end])
