--- a/heathway/state.py
+++ b/heathway/state.py
@@ -25,7 +25,7 @@
     peer_slots: float = 0.0  # slots used by other dispatchers' jobs at load_observed_at
     load_observed_at: int = 0  # time of the last known load; 0: unknown
     memory: float | None = None  # estimated free memory; None: unknown
-    size: float = 0.0  # most slots ever seen on it
+    size: float = 0.0  # most slots ever seen on it; 0: unknown
     attempts: int = 0  # own attempts in flight
     slots_in_flight: float = 0.0  # their slots
     alive_at: int = 0  # last sign of life
@@ -152,7 +152,7 @@
     worker: Worker
     sent_at: int
     in_flight: bool = True
-    never_ran: bool = False
+    never_ran: bool = False  # proven by its outcome
     started_at: int = 0  # when the worker reported the start; 0: not yet
     start_overdue: bool = False  # not started in time; counted in Worker.overdue_starts
     room_expected: bool = False  # sent to a warm worker that seemed to have room
@@ -174,7 +174,7 @@
     session: SessionName
     slots: float
     memory: float
-    aim_at: int
+    aim_at: int  # its target time: an answer by then has its full worth
     deadline: int
     ring_start: float  # where first fit starts, as a part of the ring, from 0 to below 1
     attempts: list[Attempt] = field(default_factory=list)
@@ -198,8 +198,8 @@
         target is known needs no such margin.
         """
         cls = self.cls
-        sure = cls.effect is api.Effect.SAFE and not cls.late_worth and not self.target_known
-        return self.aim_at - int(mean * (max(1.0, cls.stretch) if sure else 1.0))
+        as_shortest = cls.effect is api.Effect.SAFE and not cls.late_worth and not self.target_known
+        return self.aim_at - int(mean * (max(1.0, cls.stretch) if as_shortest else 1.0))
 
     def too_late(self, now: int, mean: float) -> bool:
         """Whether an answer would be worth nothing if the job started after ``now``."""
