--- a/heathway/state.py
+++ b/heathway/state.py
@@ -231,37 +231,37 @@
     """The admitted sessions, in order of their last job."""
 
     def __init__(self) -> None:
-        self._all: dict[SessionName, Session] = {}
+        self._by_name: dict[SessionName, Session] = {}
 
     def __len__(self) -> int:
-        return len(self._all)
+        return len(self._by_name)
 
     def __contains__(self, name: SessionName) -> bool:
-        return name in self._all
+        return name in self._by_name
 
     def job_arrived(self, name: SessionName, now: int) -> None:
         """Counts a job, and opens its session if it is new."""
-        session = self._all.pop(name, None) or Session()
+        session = self._by_name.pop(name, None) or Session()
         session.open_jobs += 1
         session.last_job_at = now
-        self._all[name] = session
+        self._by_name[name] = session
 
     def job_over(self, name: SessionName) -> None:
         """Counts the end of a job."""
-        session = self._all.get(name)
+        session = self._by_name.get(name)
         if session is not None:
             session.open_jobs = max(0, session.open_jobs - 1)
 
     def close_idle(self, idle_since: int, now: int) -> None:
         """Closes the sessions without a job since then; one with open jobs stays and counts as used now."""
-        for name in list(self._all):
-            session = self._all[name]
+        for name in list(self._by_name):
+            session = self._by_name[name]
             if session.last_job_at > idle_since:
                 break
-            del self._all[name]
+            del self._by_name[name]
             if session.open_jobs:
                 session.last_job_at = now
-                self._all[name] = session
+                self._by_name[name] = session
 
 
 class Quota:
@@ -306,7 +306,7 @@
     ``by_work``: a class's worth counts for each unit of work, not for each job.
     """
 
-    # at least this part of a class is admitted, in relation to what would be if all were shed alike
+    # a class gets at least this part of the admissions that it would get if all classes were shed alike
     MIN_ADMITTED_SHARE = 0.5
     RECENT_JOBS = 64  # at this number of jobs of a class, its counts are halved
 
@@ -316,7 +316,7 @@
         self._admitted: Counter[str] = Counter()  # of these, the admitted ones
         self._worth = self._work = 0.0
 
-    def _of(self, cls: api.JobClass, mean: float) -> float:
+    def _worth_of(self, cls: api.JobClass, mean: float) -> float:
         return cls.worth * mean if self._by_work else cls.worth
 
     def job_arrived(self, cls: api.JobClass, mean: float) -> None:
@@ -325,7 +325,7 @@
             self._arrived[cls.name] //= 2
             self._admitted[cls.name] //= 2
         self._arrived[cls.name] += 1
-        self._worth += self._of(cls, mean)
+        self._worth += self._worth_of(cls, mean)
         self._work += mean
 
     def job_admitted(self, cls: api.JobClass) -> None:
@@ -345,7 +345,7 @@
 
         False while no job is counted.
         """
-        return self._of(cls, mean) * self._work > self._worth * mean
+        return self._worth_of(cls, mean) * self._work > self._worth * mean
 
 
 class RoomAccuracy:
@@ -405,7 +405,7 @@
         """``own_start``: the dispatcher's own place on the ring, from 0 to below 1."""
         self._own_start = own_start
         self._jobs: dict[int, int] = {}
-        self._all = 0
+        self._total = 0
         self._max_count = max_count
 
     def start(self, key: int | None) -> float:
@@ -421,12 +421,12 @@
 
     def count(self, key: int) -> float:
         """Counts a job and returns the key's share of the jobs."""
-        if self._all >= self._max_count:
+        if self._total >= self._max_count:
             self._jobs = {key: jobs // 2 for key, jobs in self._jobs.items() if jobs > 1}
-            self._all = sum(self._jobs.values())
+            self._total = sum(self._jobs.values())
         self._jobs[key] = self._jobs.get(key, 0) + 1
-        self._all += 1
-        return self._jobs[key] / self._all
+        self._total += 1
+        return self._jobs[key] / self._total
 
 
 class TimerQueue:
@@ -471,10 +471,10 @@
     def update_idle_weight(self, entry: api.WorkerEntry) -> float:
         """Notes the entry's weight; returns that of an idle worker of its kind: the largest ever listed."""
         # an implausible weight counts as 0: it would spoil the mean of all kinds
-        self._idle_weights[entry.kind] = full = max(
+        self._idle_weights[entry.kind] = idle_weight = max(
             _plausible(entry.weight) or 0.0, self._idle_weights.get(entry.kind, 0.0)
         )
-        return full
+        return idle_weight
 
     def relative_weight(self, entry: api.WorkerEntry) -> float:
         """The idle weight of the entry's kind in relation to the mean of all workers; 1: nothing is known.
@@ -482,8 +482,8 @@
         Where kinds differ fourfold, one size for all is too much for the slow ones and leaves the fast ones
         idle.
         """
-        full = self._idle_weights.get(entry.kind, 0.0)
-        return full / self._mean_idle_weight if full and self._mean_idle_weight else 1.0
+        idle_weight = self._idle_weights.get(entry.kind, 0.0)
+        return idle_weight / self._mean_idle_weight if idle_weight and self._mean_idle_weight else 1.0
 
     def size_when_warm(self, worker: Worker, typical_size: float, live: bool) -> float:
         """The slots, at mean speed, that a cold worker will have; ``live``: weights depend on load, too."""
