--- a/ironbarrow/config/__init__.py
+++ b/ironbarrow/config/__init__.py
@@ -1,5 +1,5 @@
 """What the program is told, checked before anything runs."""
 
-from ironbarrow.config.platform import Config, ConfigError, load
+from ironbarrow.config.loader import Config, ConfigError, load
 
 __all__ = ["Config", "ConfigError", "load"]
--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -14,7 +14,7 @@
 
 from heathway import api
 from ironbarrow.backs.invoker import HttpInvoker
-from ironbarrow.config.platform import Config, ConfigError
+from ironbarrow.config.loader import Config, ConfigError
 from ironbarrow.core.host import Host
 from ironbarrow.discovery.client import Discovery
 from ironbarrow.fronts.clients import Clients
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -35,7 +35,7 @@
 from typing import Any
 
 from heathway.settings import ReportReader, read_settings
-from ironbarrow.config.platform import Config
+from ironbarrow.config.loader import Config
 from ironbarrow.daemon.dispatcher import Dispatcher
 from ironbarrow.runtime.sockets import listen, parse_address, stream_socket
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from ironbarrow.config.platform import ConfigError, load
+from ironbarrow.config.loader import ConfigError, load
 from ironbarrow.runtime.sockets import listen
 from tests.scenario import SETTINGS
 
