--- a/ironbarrow/cli/serve.py
+++ b/ironbarrow/cli/serve.py
@@ -31,7 +31,7 @@
     # danger: an order to stop or to reload during the start must neither end the program, with connections
     # that the listener has taken in, nor be forgotten
     signal.pthread_sigmask(signal.SIG_BLOCK, _SIGNALS)
-    structlog = _structlog()
+    structlog = _import_structlog()
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -58,7 +58,7 @@
     except OSError as error:
         return _failed(f"cannot listen on {config.listen[0]}:{config.listen[1]}: {error}")
     dispatcher.stop_on_signals()
-    dispatcher.reload_on_signal(partial(load, os.environ, replaced=True))
+    dispatcher.reload_on_signal(partial(load, os.environ, prefer_file=True))
     dispatcher.run()
     # danger: Python takes its handlers away before it is done, and a second order to stop would end it with
     # another status than 0
@@ -66,7 +66,7 @@
     return 0
 
 
-def _structlog() -> ModuleType:
+def _import_structlog() -> ModuleType:
     """structlog without what JSON lines have no use for.
 
     Danger: it takes in rich for its coloured console wherever that is installed, 8 MB, and asyncio with ssl
--- a/ironbarrow/config/loader.py
+++ b/ironbarrow/config/loader.py
@@ -43,10 +43,10 @@
     traced: bool = False  # each event and action of the decisions is logged
 
 
-def load(environment: Mapping[str, str], *, replaced: bool = False) -> Config:
+def load(environment: Mapping[str, str], *, prefer_file: bool = False) -> Config:
     """Reads the environment and the file it names.
 
-    ``replaced``: the file is newer than the environment, which the program was started with, and so
+    ``prefer_file``: the file is newer than the environment, which the program was started with, and so
     its own words for name and addresses come first.
     """
     path = environment.get("BALANCER_CONFIG")
@@ -61,7 +61,7 @@
     if not isinstance(raw, dict):
         raise ConfigError(f"{path}: not an object")
     try:
-        return _config(raw, _Texts(raw, environment, replaced))
+        return _config(raw, _Texts(raw, environment, prefer_file))
     except (ValueError, TypeError, OverflowError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -38,17 +38,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class ShutdownTimes:
     """The times of an orderly end, ns from the order to stop."""
 
-    still_coming: int  # idle connections are kept for so long
-    last_answer: int  # what has come since has its answer by then
-    gone: int  # connections that others keep open are not waited for any more
-    leaving: int  # a fleet takes over what is still owed from then on
-    leave_limit: int  # for telling it so, after that
+    idle_close_delay: int  # idle connections are kept for so long
+    answer_limit: int  # what has come since has its answer by then
+    connection_limit: int  # connections that others keep open are not waited for any more
+    leave_delay: int  # a fleet takes over what is still owed from then on
+    leave_timeout: int  # for telling it so, after that
 
     @staticmethod
-    def of(settings: api.Settings) -> "Pace":
+    def of(settings: api.Settings) -> "ShutdownTimes":
         """SIGKILL may come 0.7 s after the longest deadline, 3 s counting for a longer one, and whoever came
         more than 0.7 s after SIGTERM must have its answer by then; 0.2 to 0.4 s long new ones are still sent.
 
@@ -57,15 +57,15 @@
         finds its end in SIGKILL.
         """
         longest = min(_LONGEST_COUNTED, max(cls.deadline for cls in settings.classes))
-        last_answer = longest + _KILLED_AFTER - max(150 * MS, min(500 * MS, longest // 2))
-        leave_limit = min(700 * MS, last_answer // 2)
+        answer_limit = longest + _KILLED_AFTER - max(150 * MS, min(500 * MS, longest // 2))
+        leave_timeout = min(700 * MS, answer_limit // 2)
         killed = longest + _KILLED_AFTER
-        return Pace(
-            still_coming=max(500 * MS, min(1500 * MS, last_answer // 2)),
-            last_answer=last_answer,
-            gone=last_answer + (killed - last_answer) // 3,
-            leaving=last_answer - leave_limit,
-            leave_limit=leave_limit,
+        return ShutdownTimes(
+            idle_close_delay=max(500 * MS, min(1500 * MS, answer_limit // 2)),
+            answer_limit=answer_limit,
+            connection_limit=answer_limit + (killed - answer_limit) // 3,
+            leave_delay=answer_limit - leave_timeout,
+            leave_timeout=leave_timeout,
         )
 
 
@@ -78,7 +78,7 @@
         self._stopping = False
         self._gone_at = 0  # ns, once it is told to stop
         self._signals = False  # they write to the loop
-        self.pace = Pace.of(config.settings)
+        self.shutdown_times = ShutdownTimes.of(config.settings)
         self._config = config
         self.listener = listener or until_it_goes(
             lambda: listen(config.listen, shared=config.admin is not None)
@@ -93,11 +93,13 @@
             self._operations = Operations(self.loop, self.host, config.folder, config.name)
         asks = config.settings.asks_for_list
         self.discovery = Discovery(
-            self.loop, config.discovery, self._listed, on_request=asks, seed=config.seed
+            self.loop, config.discovery, self._on_worker_list, on_request=asks, seed=config.seed
         )
         if asks:
             self.host.follow = self.discovery.ask
-        spare = _descriptors(config.sockets) - _RESERVED - (_DOOR if config.admin is not None else 0)
+        spare = (
+            _available_descriptors(config.sockets) - _RESERVED - (_DOOR if config.admin is not None else 0)
+        )
         if config.fleet is not None:
             spare = _without_links(config, config.fleet, spare)
         self.invoker = HttpInvoker(
@@ -127,7 +129,7 @@
         self._upgrade: Any = None
         self.fleet: Any = None
         if config.fleet is not None:
-            self._join(config, config.fleet)
+            self._join_fleet(config, config.fleet)
         if config.admin is not None:
             from ironbarrow.admin.door import Door
 
@@ -138,7 +140,7 @@
             self.admin = until_it_goes(lambda: listen(admin))
             Door(self.loop, self.admin, self._operations)
 
-    def _join(self, config: Config, path: Path) -> None:
+    def _join_fleet(self, config: Config, path: Path) -> None:
         """What this process takes and owes is known to its fleet from here on."""
         try:
             from ironbarrow.fleet.file import FleetError
@@ -182,7 +184,7 @@
         elif self._upgrade is not None:
             self._upgrade.stray(raw)
 
-    def _listed(self, news: api.WorkerList) -> None:
+    def _on_worker_list(self, news: api.WorkerList) -> None:
         self.host.workers_listed(news if self._operations is None else self._operations.listed(news))
 
     def run(self) -> None:
@@ -290,16 +292,16 @@
             return
         self._stopping = True
         now = self.loop.now()
-        self._gone_at = now + self.pace.gone
+        self._gone_at = now + self.shutdown_times.connection_limit
         if self._hands_over():
             # the next process serves already, and takes what still comes here
             self.loop.call_at(now + _HANDING_OVER, self._close_idle)
         else:
             if self.fleet is not None:
-                self.loop.call_at(now + self.pace.leaving, self._leave)
+                self.loop.call_at(now + self.shutdown_times.leave_delay, self._leave)
             else:
-                self.host.end_by = now + self.pace.last_answer
-            self.loop.call_at(now + self.pace.still_coming, self._close_idle)
+                self.host.end_by = now + self.shutdown_times.answer_limit
+            self.loop.call_at(now + self.shutdown_times.idle_close_delay, self._close_idle)
         if self._operations is not None:
             self._operations.stopping = True
         log.info("stopping", owed=self.host.owed)
@@ -315,7 +317,7 @@
     def _leave(self) -> None:
         """What is still owed goes to the others; its clients come again there. Danger: nothing of it may be
         sent, answered or called off here from now on."""
-        self.fleet.leave(self.loop.now() + self.pace.leave_limit)
+        self.fleet.leave(self.loop.now() + self.shutdown_times.leave_timeout)
         self._stop_when_left()
 
     def _stop_when_left(self) -> None:
@@ -345,11 +347,11 @@
         elif self.fleet is None:
             self._end()
         elif not self.fleet.has_left:
-            self.fleet.leave(self.loop.now() + self.pace.leave_limit)
+            self.fleet.leave(self.loop.now() + self.shutdown_times.leave_timeout)
             self._stop_when_left()
 
 
-def _descriptors(configured: int) -> int:
+def _available_descriptors(configured: int) -> int:
     """How many there are. Danger: counted on beyond what the system gives, the last ones are never there, and
     the discovery service and workers would get none while clients take all."""
     try:
--- a/ironbarrow/lab/scale/hollow_dispatchers.py
+++ b/ironbarrow/lab/scale/hollow_dispatchers.py
@@ -136,7 +136,7 @@
         self._counts, self._name = counts, config.name
         super().__init__(config)
 
-    def _join(self, config: Config, path: Path) -> None:
+    def _join_fleet(self, config: Config, path: Path) -> None:
         self.fleet = FleetParticipant(
             self.loop,
             self.host,
@@ -149,8 +149,8 @@
         )
         self.clients.shared = self.fleet.adapter
 
-    def _listed(self, news: api.WorkerList) -> None:
-        super()._listed(news)
+    def _on_worker_list(self, news: api.WorkerList) -> None:
+        super()._on_worker_list(news)
         self._counts.list_news.append(ListNews(time.monotonic_ns(), self._name, news.version))
 
     def add_states(self, states: States) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ironbarrow.daemon.dispatcher import _descriptors
+from ironbarrow.daemon.dispatcher import _available_descriptors
 from ironbarrow.lab.live.ports import LoopbackNetwork
 from ironbarrow.runtime.sockets import listen
 from tests.scenario import Stage, job
@@ -36,7 +36,7 @@
         return given, ENDLESS
 
     monkeypatch.setattr(resource, "getrlimit", getrlimit)
-    assert _descriptors(configured) == counted
+    assert _available_descriptors(configured) == counted
 
 
 @pytest.mark.parametrize("idle", [READY, job()[:40], ""])
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -19,7 +19,7 @@
 import pytest
 
 from heathway.settings import read_settings
-from ironbarrow.daemon.dispatcher import Pace
+from ironbarrow.daemon.dispatcher import ShutdownTimes
 from ironbarrow.fronts.clients import Clients
 from ironbarrow.runtime.loop import MS, SECOND
 from tests.scenario import SETTINGS, Peer, Stage, answer, call_back, job
@@ -31,7 +31,9 @@
 
 def paced(**times: int) -> Stage:
     stage = Stage()
-    stage.dispatcher.pace = replace(stage.dispatcher.pace, **{name: ms * MS for name, ms in times.items()})
+    stage.dispatcher.shutdown_times = replace(
+        stage.dispatcher.shutdown_times, **{name: ms * MS for name, ms in times.items()}
+    )
     return stage
 
 
@@ -176,7 +178,7 @@
 
 @pytest.mark.parametrize("name", MOMENTS)
 def test_what_was_taken_before_the_closing_is_answered_before_the_end(name: str) -> None:
-    stage = paced(still_coming=60_000, last_answer=120_000)
+    stage = paced(idle_close_delay=60_000, answer_limit=120_000)
     try:
         stage.step("stop")
         for line in MOMENTS[name].strip().splitlines():
@@ -197,7 +199,7 @@
 
 
 def test_stopping_finishes_what_was_taken_and_serves_what_still_comes() -> None:
-    paced(still_coming=500, last_answer=60_000).play(
+    paced(idle_close_delay=500, answer_limit=60_000).play(
         f"""
         c1 send {job()}
         p1 expect in$
@@ -224,14 +226,14 @@
 
 def test_a_job_that_comes_while_stopping_is_answered_before_the_end() -> None:
     # danger: killed with it unanswered, the dispatcher loses a job that it took after the order to stop
-    stage = paced(last_answer=600)
+    stage = paced(answer_limit=600)
     idle = f"c1 send {READY}\nc1 expect 200\nstop\nwait 50\nc1 silent 50\n"
     booking = f"c1 send {job(path='book/x', ms=25000)}\np1 expect in$\np1 send {ACCEPTED}\n"
     stage.play(f"{idle}{booking}c1 expect ^HTTP/1.1 500")
 
 
 def test_who_connects_before_the_last_look_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage = paced(still_coming=0)
+    stage = paced(idle_close_delay=0)
     real = Clients.busy
     sent = iter((f"c1 send {job()}",))
 
@@ -247,7 +249,7 @@
 
 def test_who_connects_after_the_last_look_is_refused_and_not_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: taken in by the kernel and then reset, the request has no answer; refused, it goes elsewhere
-    stage = paced(still_coming=0)
+    stage = paced(idle_close_delay=0)
     loop = stage.dispatcher.loop
     found: list[int] = []
 
@@ -266,7 +268,7 @@
     part: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # danger: a second order to stop changes nothing, and SIGKILL finds what it may
-    stage = paced(still_coming=20)
+    stage = paced(idle_close_delay=20)
 
     def fail(*args: Any, **more: Any) -> bool:
         raise BrokenPipeError
@@ -298,12 +300,12 @@
     # danger: with short deadlines SIGKILL comes sooner, and what came just before it would have no answer
     made = SETTINGS["requestClasses"][0]
     classes = [{**made, "name": str(ms), "promise": ms * MS, "giveUp": ms * MS} for ms in deadlines]
-    pace = Pace.of(read_settings({**SETTINGS, "requestClasses": classes}))
-    assert (pace.still_coming, pace.last_answer) == (still_coming * MS, last_answer * MS)
+    pace = ShutdownTimes.of(read_settings({**SETTINGS, "requestClasses": classes}))
+    assert (pace.idle_close_delay, pace.answer_limit) == (still_coming * MS, last_answer * MS)
     killed = min(max(deadlines), 3000) * MS + 700 * MS
-    assert 400 * MS < pace.still_coming < pace.last_answer <= killed - 150 * MS
-    assert pace.leaving + pace.leave_limit == pace.last_answer
-    assert 0 < pace.leave_limit <= 700 * MS < SECOND
+    assert 400 * MS < pace.idle_close_delay < pace.answer_limit <= killed - 150 * MS
+    assert pace.leave_delay + pace.leave_timeout == pace.answer_limit
+    assert 0 < pace.leave_timeout <= 700 * MS < SECOND
 
 
 # The program, with real signals
@@ -386,9 +388,9 @@
 _IN_RELOAD = """
 from ironbarrow import config
 real = config.load
-def load(*args, replaced=False):
-    found = real(*args, replaced=replaced)
-    if replaced:
+def load(*args, prefer_file=False):
+    found = real(*args, prefer_file=prefer_file)
+    if prefer_file:
         os.kill(os.getpid(), signal.SIGTERM)
     return found
 config.load = load
@@ -450,9 +452,9 @@
 @pytest.mark.parametrize("deadline_ms", [50, 300, 600, 1000, 2000, 3000, 60_000])
 def test_the_end_comes_after_the_last_answer_and_before_the_earliest_kill(deadline_ms: int) -> None:
     classes = tuple(replace(cls, deadline=deadline_ms * MS) for cls in read_settings(SETTINGS).classes)
-    pace = Pace.of(replace(read_settings(SETTINGS), classes=classes))
+    pace = ShutdownTimes.of(replace(read_settings(SETTINGS), classes=classes))
     earliest_kill = min(deadline_ms, 3000) * MS + 700 * MS
-    assert pace.last_answer < pace.gone <= earliest_kill - 100 * MS
+    assert pace.answer_limit < pace.connection_limit <= earliest_kill - 100 * MS
 
 
 @pytest.mark.parametrize("deadline_ms", [600, 1000, 3000])
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -17,7 +17,7 @@
 _MODULES = """
 import json, sys
 from ironbarrow.cli import serve
-serve._structlog()
+serve._import_structlog()
 from ironbarrow.daemon.dispatcher import Dispatcher
 Dispatcher.run = lambda self: print(json.dumps(sorted(sys.modules)))
 """
