--- a/ironbarrow/daemon/__init__.py
+++ b/ironbarrow/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The program as an object, for the command line and for whoever embeds it."""
+"""The program as an object, for the command line and for programs that embed it."""
 
 from ironbarrow.daemon.dispatcher import Dispatcher
 
--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -1,4 +1,9 @@
-"""The whole program as an object: for the command line and for whoever embeds it."""
+"""The whole program as an object, for the command line and for programs that embed it.
+
+The class connects the parts: listener and clients, the discovery service, workers, the decisions, and where
+they are configured the operators' address, the hand-over to a new process and the fleet. It also runs
+the orderly shutdown.
+"""
 
 import resource
 import signal
@@ -24,42 +29,45 @@
 
 log = structlog.get_logger()
 
-_LONGEST_COUNTED = 3 * SECOND
-_KILLED_AFTER = 700 * MS
-_HANDING_OVER = 300 * MS  # clients and workers that are just connecting still find this one
-_DONE_CHECKED = 10 * MS
+_MAX_COUNTED_DEADLINE = 3 * SECOND  # a longer deadline does not delay SIGKILL any further
+_KILL_MARGIN = 700 * MS  # from the end of the longest deadline to SIGKILL
+_HAND_OVER_DELAY = 300 * MS  # clients and workers that are still connecting reach this process
+_DONE_CHECK_INTERVAL = 10 * MS
 _MB = 1 << 20
-_PROGRAM_MB = 28  # the program itself, as measured on a calm day
-_DOOR = 32  # descriptors for the operators' listener, its connections and the file of bans
-_LEAST = 8  # so that no part of what is spare comes to nothing
-_LEAST_SPARE = 32  # that clients and workers need beside a fleet's links
-# for the program itself, the listener, epoll and the discovery service; calls may take half of them
-_RESERVED = 32
+_PROGRAM_MB = 28  # memory of the program itself under low load
+_ADMIN_DESCRIPTORS = 32  # for the operators' listener, its connections and the file of bans
+_MIN_SPARE = 8  # descriptors; with fewer, the share of clients or workers would round down to 0
+_MIN_SPARE_IN_FLEET = 32  # descriptors that clients and workers need beside the fleet's links
+# descriptors for the program itself, the listener, epoll and the discovery service; connections to workers
+# may use half of them
+_RESERVED_DESCRIPTORS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownTimes:
-    """The times of an orderly end, ns from the order to stop."""
+    """The times of an orderly shutdown: ns from the order to stop, unless a field says otherwise."""
 
-    idle_close_delay: int  # idle connections are kept for so long
-    answer_limit: int  # what has come since has its answer by then
-    connection_limit: int  # connections that others keep open are not waited for any more
-    leave_delay: int  # a fleet takes over what is still owed from then on
-    leave_timeout: int  # for telling it so, after that
+    idle_close_delay: int  # idle client connections are closed
+    answer_limit: int  # jobs that arrive after the order to stop are answered by this time
+    connection_limit: int  # connections that clients have not closed no longer delay the exit
+    leave_delay: int  # in a fleet: the other members are told to take over the jobs that are still owed
+    leave_timeout: int  # ns from ``leave_delay``: the replicas are waited for this long
 
     @staticmethod
     def of(settings: api.Settings) -> "ShutdownTimes":
-        """SIGKILL may come 0.7 s after the longest deadline, 3 s counting for a longer one, and whoever came
-        more than 0.7 s after SIGTERM must have its answer by then; 0.2 to 0.4 s long new ones are still sent.
+        """The times for the longest deadline of these settings.
+
+        SIGKILL may come 0.7 s after the longest deadline, of which at most 3 s count. Jobs that arrive more
+        than 0.7 s after SIGTERM must be answered before it. Clients go on sending for 0.2 to 0.4 s.
 
-        Danger: closed at once, connections bring nothing more, but while another dispatcher is starting again
-        their clients have nowhere to go. Kept for as long where deadlines are short, they would bring what
-        finds its end in SIGKILL.
+        Danger: if idle connections were closed at once, their clients would have no dispatcher to connect to
+        while another one restarts. If they were kept as long where deadlines are short, they would bring
+        jobs that SIGKILL interrupts.
         """
-        longest = min(_LONGEST_COUNTED, max(cls.deadline for cls in settings.classes))
-        answer_limit = longest + _KILLED_AFTER - max(150 * MS, min(500 * MS, longest // 2))
+        longest = min(_MAX_COUNTED_DEADLINE, max(cls.deadline for cls in settings.classes))
+        answer_limit = longest + _KILL_MARGIN - max(150 * MS, min(500 * MS, longest // 2))
         leave_timeout = min(700 * MS, answer_limit // 2)
-        killed = longest + _KILLED_AFTER
+        killed = longest + _KILL_MARGIN
         return ShutdownTimes(
             idle_close_delay=max(500 * MS, min(1500 * MS, answer_limit // 2)),
             answer_limit=answer_limit,
@@ -70,14 +78,19 @@
 
 
 class Dispatcher:
-    """Listens, serves and stops."""
+    """One dispatcher: listens from its construction on, serves in ``run``, and ends after ``stop``.
+
+    ``listener``: a listening socket to use instead of the configured address. Raises a ConfigError if a file
+    that the configuration names can't be used, and an OSError if an address can't be listened on.
+    """
 
     def __init__(self, config: Config, listener: socket.socket | None = None) -> None:
-        # danger: a start that fails for a moment's lack of something is a crash to whoever waits for it
-        self.loop = until_it_goes(lambda: Loop(_task_failed))
+        # danger: to whoever started this process, a start that fails on a brief shortage of descriptors or
+        # memory is a crash
+        self.loop = until_it_goes(lambda: Loop(_log_task_failure))
         self._stopping = False
-        self._gone_at = 0  # ns, once it is told to stop
-        self._signals = False  # they write to the loop
+        self._connections_until = 0  # ns; set by stop
+        self._wakes_on_signals = False  # the wakeup descriptor of signals is the loop's
         self.shutdown_times = ShutdownTimes.of(config.settings)
         self._config = config
         self.listener = listener or until_it_goes(
@@ -87,21 +100,23 @@
         self._operations: Any = None
         self.admin: socket.socket | None = None
         if config.admin is not None:
-            # only who has such an address pays for what is behind it
+            # imported here, so that a start without an operators' address does not load it
             from ironbarrow.admin.operations import Operations
 
             self._operations = Operations(self.loop, self.host, config.folder, config.name)
-        asks = config.settings.asks_for_list
+        list_on_request = config.settings.asks_for_list
         self.discovery = Discovery(
-            self.loop, config.discovery, self._on_worker_list, on_request=asks, seed=config.seed
+            self.loop, config.discovery, self._on_worker_list, on_request=list_on_request, seed=config.seed
         )
-        if asks:
+        if list_on_request:
             self.host.follow = self.discovery.ask
         spare = (
-            _available_descriptors(config.sockets) - _RESERVED - (_DOOR if config.admin is not None else 0)
+            _available_descriptors(config.sockets)
+            - _RESERVED_DESCRIPTORS
+            - (_ADMIN_DESCRIPTORS if config.admin is not None else 0)
         )
         if config.fleet is not None:
-            spare = _without_links(config, config.fleet, spare)
+            spare = _without_fleet_links(config, config.fleet, spare)
         self.invoker = HttpInvoker(
             self.loop,
             self.host,
@@ -110,21 +125,21 @@
             connect_timeout=config.connect_timeout,
             idle_limit=config.idle_limit,
             most_idle=spare // 4,
-            most=spare - spare * 5 // 8 + _RESERVED // 2,
+            most=spare - spare * 5 // 8 + _RESERVED_DESCRIPTORS // 2,
         )
         self.host.invoker = self.invoker
         self.clients = Clients(
             self.loop,
             self.host,
             self.listener,
-            self._called_back,
+            self._on_call_back,
             self.invoker.free_descriptors,
             most=spare * 5 // 8,
             most_buffered=max(1, config.memory_mb - _PROGRAM_MB) * _MB // 2,
         )
         self._router: Any = None
         if config.routes is not None:
-            self._route(self._read_routes(config))
+            self._set_routes(self._load_routes(config))
         self.discovery.start(config.known)
         self._upgrade: Any = None
         self.fleet: Any = None
@@ -134,34 +149,37 @@
             from ironbarrow.admin.door import Door
 
             if self.fleet is None:
-                # with a fleet, what a process leaves is taken over by the others
-                self._open_channel(config)
+                # in a fleet, the other members take over the jobs that a process leaves
+                self._open_hand_over(config)
             admin = config.admin
             self.admin = until_it_goes(lambda: listen(admin))
             Door(self.loop, self.admin, self._operations)
 
     def _join_fleet(self, config: Config, path: Path) -> None:
-        """What this process takes and owes is known to its fleet from here on."""
+        """Makes this process a member of the fleet that the file at ``path`` describes; from here on its
+        jobs are recorded in the fleet."""
         try:
             from ironbarrow.fleet.file import FleetError
             from ironbarrow.fleet.takeover.participant import FleetParticipant
         except ImportError as error:
             raise ConfigError(f"fleet: {path}: needs msgspec: {error}") from None
-        front = self.listener.getsockname()[:2]
+        address = self.listener.getsockname()[:2]
         try:
             self.fleet = FleetParticipant(
-                self.loop, self.host, self.invoker, path, config.name, config.settings.zone, front
+                self.loop, self.host, self.invoker, path, config.name, config.settings.zone, address
             )
         except (FleetError, ValueError) as error:
             raise ConfigError(str(error)) from None
         except OSError as error:
-            raise ConfigError(f"{path}: listen: can't listen there: {error}") from None
+            raise ConfigError(f"{path}: listen: cannot listen on this address: {error}") from None
         self.clients.shared = self.fleet.adapter
 
-    def _open_channel(self, config: Config) -> None:
-        """Where the process that replaces this one finds it."""
+    def _open_hand_over(self, config: Config) -> None:
+        """Opens the channel over which this process hands its jobs over to the one that replaces it.
+
+        Without a folder, or if the channel can't be opened, it logs a warning and serves without."""
         if config.folder is None:
-            log.warning("no hand-over to a next process: TMPDIR is not set")
+            log.warning("hand-over to a new process is off: TMPDIR is not set")
             return
         from ironbarrow.handover.upgrade import Upgrade
 
@@ -171,12 +189,12 @@
                 lambda: Upgrade(self.loop, self.host, self.clients, self.invoker, folder, config.name)
             )
         except OSError as error:
-            log.warning("no hand-over to a next process", folder=str(config.folder), error=str(error))
+            log.warning("hand-over to a new process is off", folder=str(config.folder), error=str(error))
             return
         self._operations.announced = self._upgrade.announce
         self._operations.kept = lambda: self._upgrade.owed
 
-    def _called_back(self, raw: Any) -> None:
+    def _on_call_back(self, raw: Any) -> None:
         if self.invoker.called_back(raw):
             return
         if self.fleet is not None:
@@ -184,50 +202,58 @@
         elif self._upgrade is not None:
             self._upgrade.stray(raw)
 
-    def _on_worker_list(self, news: api.WorkerList) -> None:
-        self.host.workers_listed(news if self._operations is None else self._operations.listed(news))
+    def _on_worker_list(self, worker_list: api.WorkerList) -> None:
+        self.host.workers_listed(
+            worker_list if self._operations is None else self._operations.listed(worker_list)
+        )
 
     def run(self) -> None:
-        """Serves until ``stop``, and then until all that was taken has its answer."""
+        """Serves until ``stop``, then until every accepted job is answered or the shutdown times run out."""
         log.info("serving", address="{}:{}".format(*self.listener.getsockname()[:2]))
         self.loop.run()
         self.close()
         log.info("stopped", events=self.host.events.totals())
 
     def stop_on_signals(self) -> None:
-        """SIGTERM and SIGINT mean ``stop``. For programs that are nothing else; main thread only."""
+        """Installs handlers of SIGTERM and SIGINT that call ``stop``. They replace the whole process's
+        handlers, so this is for programs that only serve; call it on the main thread."""
         self._wake_on_signals()
         for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._signalled)
-        # one may wait from before. Danger: the kernel takes connections in from the moment the address is
-        # bound, and a signal that ends the program during the start would reset them
+            signal.signal(number, self._on_signal)
+        # a signal that came during the start may be pending. Danger: the kernel accepts connections from the
+        # moment the socket listens, and a signal that ends the program during the start would reset them
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGTERM, signal.SIGINT])
 
     def reload_on_signal(self, read: Callable[[], Config]) -> None:
-        """SIGHUP means ``reload`` with what ``read`` brings; a ConfigError leaves all as it is.
+        """Installs a handler of SIGHUP that calls ``reload`` with the result of ``read``. If that raises a
+        ConfigError, it is logged and nothing changes.
 
-        Danger: unhandled, the signal ends the program and all it has taken.
+        Danger: without a handler, the signal ends the program and loses the jobs that it has accepted.
         """
         self._wake_on_signals()
         signal.signal(signal.SIGHUP, lambda number, frame: self.loop.soon(self._reload, read))
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # one may wait from before
+        # a signal that came during the start may be pending
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
 
     def _wake_on_signals(self) -> None:
         signal.set_wakeup_fd(self.loop.wake_fd, warn_on_full_buffer=False)
-        self._signals = True
+        self._wakes_on_signals = True
 
     def _reload(self, read: Callable[[], Config]) -> None:
         try:
             self.reload(read())
         except ConfigError as error:
-            log.error("configuration not taken, the running one stays", error=str(error))
+            log.error("reload failed; the running configuration stays", error=str(error))
 
     def reload(self, config: Config) -> None:
-        """Applies what may change while it serves: the discovery service's address and the operators' routes,
-        all of it or, with a ConfigError, nothing. Jobs, connections and the list of workers stay; what
-        else has changed is named in the log and waits for a start."""
-        table = self._read_routes(config)
-        self._route(table)
+        """Applies the changes that need no restart: the address of the discovery service and the operators'
+        routes, both of them or, with a ConfigError, neither.
+
+        Jobs, connections and the worker list stay. Other values that have changed are named in the log and
+        apply after a restart.
+        """
+        table = self._load_routes(config)
+        self._set_routes(table)
         self.discovery.move(config.discovery)
         fixed = (
             "name",
@@ -240,14 +266,14 @@
             "connect_timeout",
             "idle_limit",
         )
-        waits = [name for name in fixed if getattr(self._config, name) != getattr(config, name)]
-        log.info("reloaded", discovery="{}:{}".format(*config.discovery), waits_for_start=waits)
+        need_restart = [name for name in fixed if getattr(self._config, name) != getattr(config, name)]
+        log.info("reloaded", discovery="{}:{}".format(*config.discovery), waits_for_start=need_restart)
 
-    def _read_routes(self, config: Config) -> Any:
-        """The operators' routes, checked whole; None without a file."""
+    def _load_routes(self, config: Config) -> Any:
+        """The operators' routes, fully checked; None without a file. Raises a ConfigError."""
         if config.routes is None:
             return None
-        # only who has such a file pays for the libraries that read it
+        # imported here, so that a start without routes does not load the libraries that read them
         from ironbarrow.routing.file import RoutesError, load
         from ironbarrow.routing.table import Table
 
@@ -256,7 +282,7 @@
         except RoutesError as error:
             raise ConfigError(str(error)) from None
 
-    def _route(self, table: Any) -> None:
+    def _set_routes(self, table: Any) -> None:
         if table is None:
             self._router = None
         elif self._router is None:
@@ -268,10 +294,10 @@
         self.clients.router = self._router
 
     def close(self) -> None:
-        """Lets go of every connection and descriptor."""
-        if self._signals:
-            # danger: one that still comes would be written to whoever has the descriptor's number by then
-            self._signals = False
+        """Closes all connections and descriptors."""
+        if self._wakes_on_signals:
+            # danger: a later signal would be written to the descriptor that has reused this number by then
+            self._wakes_on_signals = False
             with suppress(ValueError):  # not on the main thread
                 signal.set_wakeup_fd(-1)
         self.loop.close()
@@ -283,22 +309,23 @@
         if self.admin is not None:
             self.admin.close()
 
-    def _signalled(self, number: int, frame: FrameType | None) -> None:
+    def _on_signal(self, number: int, frame: FrameType | None) -> None:
         self.loop.soon(self.stop)
 
     def stop(self) -> None:
-        """Takes what still comes for a short while, finishes what was taken, then ends ``run``."""
+        """Begins the orderly shutdown: accepts jobs for a short time more, finishes the accepted jobs and
+        then ends ``run``. Further calls have no effect."""
         if self._stopping:
             return
         self._stopping = True
         now = self.loop.now()
-        self._gone_at = now + self.shutdown_times.connection_limit
-        if self._hands_over():
-            # the next process serves already, and takes what still comes here
-            self.loop.call_at(now + _HANDING_OVER, self._close_idle)
+        self._connections_until = now + self.shutdown_times.connection_limit
+        if self._begin_hand_over():
+            # the new process serves already and takes over the jobs that still arrive here
+            self.loop.call_at(now + _HAND_OVER_DELAY, self._close_idle)
         else:
             if self.fleet is not None:
-                self.loop.call_at(now + self.shutdown_times.leave_delay, self._leave)
+                self.loop.call_at(now + self.shutdown_times.leave_delay, self._leave_fleet)
             else:
                 self.host.end_by = now + self.shutdown_times.answer_limit
             self.loop.call_at(now + self.shutdown_times.idle_close_delay, self._close_idle)
@@ -306,69 +333,75 @@
             self._operations.stopping = True
         log.info("stopping", owed=self.host.owed)
 
-    def _hands_over(self) -> bool:
-        """Danger: a channel that fails must not keep the program from its end: a second order is none."""
+    def _begin_hand_over(self) -> bool:
+        """Starts to hand jobs over to the new process; False if there is none or the channel fails.
+
+        Danger: an error here must not stop the shutdown, because a second call of ``stop`` does nothing."""
         try:
             return self._upgrade is not None and self._upgrade.hand_over()
         except OSError as error:
-            log.warning("no hand-over to a next process", error=str(error))
+            log.warning("hand-over to the new process failed", error=str(error))
             return False
 
-    def _leave(self) -> None:
-        """What is still owed goes to the others; its clients come again there. Danger: nothing of it may be
-        sent, answered or called off here from now on."""
+    def _leave_fleet(self) -> None:
+        """Leaves the jobs that are still owed to the other members, where their clients ask again.
+
+        Danger: from now on this process must not send, answer or cancel any of them."""
         self.fleet.leave(self.loop.now() + self.shutdown_times.leave_timeout)
-        self._stop_when_left()
+        self._finish_when_left()
 
-    def _stop_when_left(self) -> None:
+    def _finish_when_left(self) -> None:
         if self.fleet.has_left:
-            self._end()
+            self._finish()
         else:
-            self.loop.call_at(self.loop.now() + _DONE_CHECKED, self._stop_when_left)
+            self.loop.call_at(self.loop.now() + _DONE_CHECK_INTERVAL, self._finish_when_left)
 
-    def _end(self) -> None:
-        # danger: who connects from here on is refused and goes elsewhere; left to the end of this turn, the
-        # listener would take it in and drop it with no answer
+    def _finish(self) -> None:
+        # danger: from here on new connections are refused, so that clients go elsewhere; if the listener
+        # stayed open until this turn of the loop ends, they would be accepted and dropped without an answer
         self.listener.close()
         self.loop.stop()
 
     def _close_idle(self) -> None:
-        self.loop.soon(self._stop_when_done)  # danger: whatever fails here, the end has to come
+        self.loop.soon(self._finish_when_done)  # danger: the program must end even if the next line raises
         self.clients.close_idle()
 
-    def _stop_when_done(self) -> None:
-        # danger: the listener stays to the end, since call-backs come in through it
-        kept = self._upgrade.owed + self._upgrade.handed_over if self._upgrade is not None else 0
-        kept += self.fleet.adapter.owed if self.fleet is not None else 0
-        # danger: one whose peer never closes its side would hold up the end beyond SIGKILL
-        waited_for = self.clients.busy and self.loop.now() < self._gone_at
-        if self.host.owed or kept or waited_for:
-            self.loop.call_at(self.loop.now() + _DONE_CHECKED, self._stop_when_done)
+    def _finish_when_done(self) -> None:
+        # danger: the listener stays open to the end, because workers' call-backs arrive through it
+        other_owed = self._upgrade.owed + self._upgrade.handed_over if self._upgrade is not None else 0
+        other_owed += self.fleet.adapter.owed if self.fleet is not None else 0
+        # danger: a connection whose peer never closes its side would delay the end until SIGKILL
+        has_open_connections = self.clients.busy and self.loop.now() < self._connections_until
+        if self.host.owed or other_owed or has_open_connections:
+            self.loop.call_at(self.loop.now() + _DONE_CHECK_INTERVAL, self._finish_when_done)
         elif self.fleet is None:
-            self._end()
+            self._finish()
         elif not self.fleet.has_left:
             self.fleet.leave(self.loop.now() + self.shutdown_times.leave_timeout)
-            self._stop_when_left()
+            self._finish_when_left()
 
 
 def _available_descriptors(configured: int) -> int:
-    """How many there are. Danger: counted on beyond what the system gives, the last ones are never there, and
-    the discovery service and workers would get none while clients take all."""
+    """The descriptors that this process may use: the lower of limits.sockets and the system's limit.
+
+    Danger: with a number above the system's limit, clients could take all descriptors and leave none for the
+    discovery service and workers."""
     try:
-        given = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        system_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     except (OSError, ValueError):
         return configured
-    if given == resource.RLIM_INFINITY or given >= configured:
+    if system_limit == resource.RLIM_INFINITY or system_limit >= configured:
         return configured
-    log.warning("the system gives fewer descriptors than limits.sockets says", given=given, limit=configured)
-    return max(_RESERVED + _DOOR + _LEAST, given)
+    log.warning("the system's descriptor limit is below limits.sockets", given=system_limit, limit=configured)
+    return max(_RESERVED_DESCRIPTORS + _ADMIN_DESCRIPTORS + _MIN_SPARE, system_limit)
 
 
-def _without_links(config: Config, path: Path, spare: int) -> int:
-    """What is left of the descriptors beside the links of a fleet. A ConfigError for a file that can't be
-    used, or where too few are left.
+def _without_fleet_links(config: Config, path: Path, spare: int) -> int:
+    """The spare descriptors without those of the fleet's links. Raises a ConfigError if the fleet file can't
+    be used or too few are left.
 
-    Danger: taken by clients, none would be left for those who keep what this process owes.
+    Danger: if clients could take them, there would be none for the links to the members that store the
+    records of this process's jobs.
     """
     try:
         from ironbarrow.fleet.file import FleetError, load
@@ -378,13 +411,13 @@
         links = load(path, config.name).descriptors
     except FleetError as error:
         raise ConfigError(str(error)) from None
-    if spare - links < _LEAST_SPARE:
+    if spare - links < _MIN_SPARE_IN_FLEET:
         raise ConfigError(
             f"{path}: links: {links} descriptors leave {spare - links} of limits.sockets = {config.sockets}"
-            f" to clients and workers, expected {_LEAST_SPARE} or more"
+            f" to clients and workers, expected {_MIN_SPARE_IN_FLEET} or more"
         )
     return spare - links
 
 
-def _task_failed(error: Exception) -> None:
+def _log_task_failure(error: Exception) -> None:
     log.error("task failed", exc_info=error)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -209,7 +209,7 @@
     with serving(tmp_path, UNUSED) as process, listen(("127.0.0.1", 0)) as discovery:
         written(tmp_path, "{")
         process.send_signal(signal.SIGHUP)
-        assert "not JSON" in logged(process, "the running one stays")
+        assert "not JSON" in logged(process, "the running configuration stays")
         host, port = discovery.getsockname()
         written(tmp_path, {**UNUSED, "discovery": f"{host}:{port}", "name": "other"})
         process.send_signal(signal.SIGHUP)
