--- a/ironbarrow/config/__init__.py
+++ b/ironbarrow/config/__init__.py
@@ -1,4 +1,4 @@
-"""What the program is told, checked before anything runs."""
+"""The configuration of the program, checked before it starts to serve."""
 
 from ironbarrow.config.loader import Config, ConfigError, load
 
--- a/ironbarrow/config/loader.py
+++ b/ironbarrow/config/loader.py
@@ -1,4 +1,7 @@
-"""What the program is told at its start: BALANCER_* and the JSON file, checked before anything runs."""
+"""Loads the configuration from the BALANCER_* environment variables and the JSON file that they name.
+
+Everything is checked before the program starts to serve.
+"""
 
 import json
 from collections.abc import Mapping
@@ -11,19 +14,19 @@
 from ironbarrow.runtime.sockets import Address, parse_address
 
 _MS = 1_000_000
-_DESCRIPTORS = 1024  # where no limit is given
-_MEMORY_MB = 192  # likewise
-_LEAST_DESCRIPTORS = 64
-_DOOR_DESCRIPTORS = 32  # what an operators' address needs beside them
+_DEFAULT_DESCRIPTORS = 1024
+_DEFAULT_MEMORY_MB = 192
+_MIN_DESCRIPTORS = 64
+_ADMIN_DESCRIPTORS = 32  # needed in addition for an operators' address
 
 
 class ConfigError(Exception):
-    """A configuration that the program cannot run with; the text names what is wrong."""
+    """A configuration that the program cannot run with. The message names the key and what is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A checked configuration."""
+    """A checked configuration. Times are in ns."""
 
     name: str
     listen: Address
@@ -31,23 +34,23 @@
     seed: int
     settings: api.Settings
     reports: ReportReader
-    known: dict[str, Any]  # the list as this dispatcher had it last, in the discovery service's form
-    sockets: int = _DESCRIPTORS
-    memory_mb: int = _MEMORY_MB
+    known: dict[str, Any]  # the last worker list of this dispatcher, in the discovery service's format
+    sockets: int = _DEFAULT_DESCRIPTORS
+    memory_mb: int = _DEFAULT_MEMORY_MB
     connect_timeout: int = 250 * _MS
-    routes: Path | None = None  # an operators' file of routes and limits
-    idle_limit: int = 15_000 * _MS  # a worker closes a connection that was idle for so long
-    admin: Address | None = None  # the operators' own address
-    folder: Path | None = None  # for what is to outlast this process: TMPDIR
-    fleet: Path | None = None  # the fleet file; None: this dispatcher shares nothing with others
-    traced: bool = False  # each event and action of the decisions is logged
+    routes: Path | None = None  # the operators' file of routes and limits
+    idle_limit: int = 15_000 * _MS  # workers close connections that have been idle for this time
+    admin: Address | None = None  # listening address for operators
+    folder: Path | None = None  # for files that outlive this process: TMPDIR
+    fleet: Path | None = None  # the fleet file; None: this dispatcher is not in a fleet
+    traced: bool = False  # every event and action of the decisions is logged
 
 
 def load(environment: Mapping[str, str], *, prefer_file: bool = False) -> Config:
-    """Reads the environment and the file it names.
+    """Reads the environment and the file that BALANCER_CONFIG names. Raises a ConfigError.
 
-    ``prefer_file``: the file is newer than the environment, which the program was started with, and so
-    its own words for name and addresses come first.
+    ``prefer_file``: where both give a value, the file's counts. For a reload, when the file is newer than the
+    environment, which is that of the start.
     """
     path = environment.get("BALANCER_CONFIG")
     if not path:
@@ -57,102 +60,102 @@
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: cannot be read: {error}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: not JSON: {error}") from None
+        raise ConfigError(f"{path}: not valid JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError(f"{path}: not an object")
+        raise ConfigError(f"{path}: expected a JSON object")
     try:
-        return _config(raw, _Texts(raw, environment, prefer_file))
+        return _config(raw, _Sources(raw, environment, prefer_file))
     except (ValueError, TypeError, OverflowError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
 @dataclass(frozen=True, slots=True)
-class _Texts:
-    """What both the file and the environment may tell."""
+class _Sources:
+    """The values that both the file and the environment may give."""
 
     raw: dict[str, Any]
     environment: Mapping[str, str]
-    file_first: bool
+    prefer_file: bool
 
-    def told(self, name: str) -> str | None:
-        """What is told, or None; an empty text is nothing."""
+    def optional_text(self, name: str) -> str | None:
+        """The value, or None if neither source gives one; an empty string counts as absent."""
         value = self.raw.get(name)
         if value is not None and not isinstance(value, str):
-            raise ValueError(f"{name}: expected a text, got {str(value)[:40]!r}")
-        told = (self.environment.get(f"BALANCER_{name.upper()}"), value)
-        return next((v for v in (reversed(told) if self.file_first else told) if v), None)
+            raise ValueError(f"{name}: expected a string, got {str(value)[:40]!r}")
+        candidates = (self.environment.get(f"BALANCER_{name.upper()}"), value)
+        return next((v for v in (reversed(candidates) if self.prefer_file else candidates) if v), None)
 
-    def text(self, name: str) -> str:
-        value = self.told(name)
+    def required_text(self, name: str) -> str:
+        value = self.optional_text(name)
         if value is None:
             raise ValueError(f"{name}: missing, and BALANCER_{name.upper()} is not set")
         return value
 
     def path(self, name: str) -> Path | None:
-        """A file's path, or None: nobody has to have one."""
-        value = self.told(name)
+        """The path of an optional file, or None."""
+        value = self.optional_text(name)
         return None if value is None else Path(value)
 
-    def switch(self, variable: str) -> bool:
+    def flag(self, variable: str) -> bool:
         value = self.environment.get(variable, "")
         if value not in ("", "0", "1"):
-            raise ValueError(f"{variable}: neither 0 nor 1: {value[:40]!r}")
+            raise ValueError(f"{variable}: expected 0 or 1, got {value[:40]!r}")
         return value == "1"
 
     def address(self, name: str, least_port: int = 1) -> Address:
         try:
-            return parse_address(self.text(name), least_port)
+            return parse_address(self.required_text(name), least_port)
         except ValueError as error:
             raise ValueError(f"{name}: {error}") from None
 
 
-def _config(raw: dict[str, Any], texts: _Texts) -> Config:
+def _config(raw: dict[str, Any], sources: _Sources) -> Config:
     conf = _object(raw, "settings")
     limits = _object(raw, "limits")
     known = _object(raw, "known")
     if known and not isinstance(known.get("endpoints"), list):
-        raise ValueError("known: no object with endpoints")
-    settings = read_settings(conf)  # whose errors name the key
-    rules = _object(conf, "limits")
-    admin = texts.address("admin", least_port=0) if texts.told("admin") else None
-    sockets = _number(limits, "limits", "sockets", _DESCRIPTORS)
-    # danger: with all of them taken by the program itself, it would run and take no connection
-    least = _LEAST_DESCRIPTORS + (_DOOR_DESCRIPTORS if admin is not None else 0)
-    if sockets < least:
-        raise ValueError(f"limits.sockets: {sockets} is too few; {least} are needed")
+        raise ValueError("known: expected an object with a list of endpoints")
+    settings = read_settings(conf)  # its errors name the key
+    connection_limits = _object(conf, "limits")
+    admin = sources.address("admin", least_port=0) if sources.optional_text("admin") else None
+    sockets = _number(limits, "limits", "sockets", _DEFAULT_DESCRIPTORS)
+    # danger: with fewer, the program itself would use them all and could accept no connection
+    minimum = _MIN_DESCRIPTORS + (_ADMIN_DESCRIPTORS if admin is not None else 0)
+    if sockets < minimum:
+        raise ValueError(f"limits.sockets: {sockets} is too few; at least {minimum} are needed")
     return Config(
-        name=texts.text("name"),
-        listen=texts.address("listen", least_port=0),  # 0: any free one
-        discovery=texts.address("discovery"),
+        name=sources.required_text("name"),
+        listen=sources.address("listen", least_port=0),  # port 0: any free port
+        discovery=sources.address("discovery"),
         seed=_seed(raw.get("seed", 0)),
         settings=settings,
         reports=ReportReader(conf),
         known=known,
         sockets=sockets,
-        memory_mb=_number(limits, "limits", "memory_mb", _MEMORY_MB),
-        routes=texts.path("routes"),
-        fleet=texts.path("fleet"),
+        memory_mb=_number(limits, "limits", "memory_mb", _DEFAULT_MEMORY_MB),
+        routes=sources.path("routes"),
+        fleet=sources.path("fleet"),
         admin=admin,
-        folder=Path(folder) if (folder := texts.environment.get("TMPDIR")) else None,
-        traced=texts.switch("BALANCER_TRACE"),
-        connect_timeout=_number(rules, "settings.limits", "connectTimeout", 250 * _MS),
-        idle_limit=_number(rules, "settings.limits", "connIdle", 15_000 * _MS),
+        folder=Path(folder) if (folder := sources.environment.get("TMPDIR")) else None,
+        traced=sources.flag("BALANCER_TRACE"),
+        connect_timeout=_number(connection_limits, "settings.limits", "connectTimeout", 250 * _MS),
+        idle_limit=_number(connection_limits, "settings.limits", "connIdle", 15_000 * _MS),
     )
 
 
 def _object(raw: dict[str, Any], name: str) -> dict[str, Any]:
     value = raw.get(name)
     if value is not None and not isinstance(value, dict):
-        raise ValueError(f"{name}: not an object: {str(value)[:40]!r}")
+        raise ValueError(f"{name}: expected an object, got {str(value)[:40]!r}")
     return value or {}
 
 
-def _number(raw: dict[str, Any], place: str, name: str, default: int) -> int:
+def _number(raw: dict[str, Any], section: str, name: str, default: int) -> int:
     value = raw.get(name)
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, int | float) or not 1 <= value < 1e15:
-        raise ValueError(f"{place}.{name}: not a number from 1 to 1e15: {str(value)[:40]!r}")
+        raise ValueError(f"{section}.{name}: expected a number from 1 to 1e15, got {str(value)[:40]!r}")
     return int(value)
 
 
@@ -162,4 +165,6 @@
     try:
         return int(value, 16)
     except (TypeError, ValueError):
-        raise ValueError(f"seed: neither a number nor hexadecimal: {str(value)[:40]!r}") from None
+        raise ValueError(
+            f"seed: expected an integer or a hexadecimal string, got {str(value)[:40]!r}"
+        ) from None
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration and the command line."""
+"""The configuration, and the commands serve, check-config and version as processes."""
 
 import json
 import os
@@ -18,7 +18,7 @@
 from tests.scenario import SETTINGS
 
 ROOT = Path(__file__).parents[1]
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:9000",
     "discovery": "127.0.0.1:8500",
@@ -29,83 +29,104 @@
 }
 
 
-def written(tmp_path: Path, raw: object) -> dict[str, str]:
+def write_config(tmp_path: Path, raw: object) -> dict[str, str]:
     path = tmp_path / "config.json"
     path.write_text(raw if isinstance(raw, str) else json.dumps(raw))
     return {"BALANCER_CONFIG": str(path)}
 
 
-def test_the_environment_goes_before_the_file(tmp_path: Path) -> None:
-    environment = written(tmp_path, GOOD) | {"BALANCER_LISTEN": "127.0.0.1:9001"}
+def test_the_environment_takes_precedence_over_the_file(tmp_path: Path) -> None:
+    environment = write_config(tmp_path, VALID) | {"BALANCER_LISTEN": "127.0.0.1:9001"}
     config = load(environment)
     assert (config.name, config.listen, config.sockets) == ("n3", ("127.0.0.1", 9001), 1024)
     assert config.seed == 0x8C1F30D27A5BE964
 
 
-WRONG: dict[str, tuple[object, str]] = {
-    "not JSON": ("{", "not JSON"),
-    "no object": ([1], "not an object"),
-    "no settings": ({**GOOD, "settings": {}}, "requestClasses is missing"),
-    "classes of a wrong form": (
-        {**GOOD, "settings": {**SETTINGS, "requestClasses": 7}},
+INVALID: dict[str, tuple[object, str]] = {
+    "not JSON": ("{", "not valid JSON"),
+    "not an object": ([1], "expected a JSON object"),
+    "no settings": ({**VALID, "settings": {}}, "requestClasses is missing"),
+    "classes that are not a list": (
+        {**VALID, "settings": {**SETTINGS, "requestClasses": 7}},
         "requestClasses: expected a list of objects, got 7",
     ),
-    "a class without a name": ({**GOOD, "settings": {**SETTINGS, "requestClasses": [{}]}}, "settings: "),
+    "a class without a name": ({**VALID, "settings": {**SETTINGS, "requestClasses": [{}]}}, "settings: "),
     "settings out of range": (
-        {**GOOD, "settings": {**SETTINGS, "round": 0}},
+        {**VALID, "settings": {**SETTINGS, "round": 0}},
         "settings: round: expected a number from 1",
     ),
-    "no listening address": ({**GOOD, "listen": ""}, "listen: missing"),
-    "a listening address without a port": ({**GOOD, "listen": "127.0.0.1"}, "listen: not host:port"),
-    "a port out of range": ({**GOOD, "discovery": "127.0.0.1:70000"}, "discovery: not host:port"),
-    "limits of a wrong form": ({**GOOD, "limits": [1]}, "limits: not an object"),
-    "too few sockets": ({**GOOD, "limits": {"sockets": 8}}, "limits.sockets: 8 is too few"),
-    "sockets that are no number": ({**GOOD, "limits": {"sockets": "x"}}, "limits.sockets: not a number"),
-    "memory that is no number": ({**GOOD, "limits": {"memory_mb": -1}}, "limits.memory_mb: not a number"),
-    "nested without end": ("[" * 100_000, "not JSON"),
-    "a round without end": ('{"settings": {"requestClasses": [], "me": 1e999}}', "expected a number"),
-    "a seed that is no number": ({**GOOD, "seed": "xyz"}, "seed: neither"),
-    "a known list of a wrong form": ({**GOOD, "known": [1]}, "known: not an object"),
-    "a name that is no text": ({**GOOD, "name": 7}, "name: expected a text, got '7'"),
-    "an address that is no text": ({**GOOD, "listen": ["127.0.0.1", 9000]}, "listen: expected a text, got"),
-    "routes that are no path": ({**GOOD, "routes": {"file": "x"}}, "routes: expected a text, got"),
-    "settings of a wrong form": ({**GOOD, "settings": []}, r"settings: not an object: '\[\]'"),
-    "settings of no form": ({**GOOD, "settings": 0}, "settings: not an object: '0'"),
-    "limits of no form": ({**GOOD, "limits": False}, "limits: not an object: 'False'"),
-    "sockets without a figure": ({**GOOD, "limits": {"sockets": True}}, "limits.sockets: not a number"),
-    "sockets without end": ({**GOOD, "limits": {"sockets": float("inf")}}, "limits.sockets: not a number"),
-    "memory of less than one": ({**GOOD, "limits": {"memory_mb": 0.5}}, "memory_mb: not a number from 1"),
-    "memory that is none": ({**GOOD, "limits": {"memory_mb": float("nan")}}, "memory_mb: not a number"),
-    "too few sockets for a door": (
-        {**GOOD, "admin": "127.0.0.1:0", "limits": {"sockets": 95}},
-        "limits.sockets: 95 is too few; 96 are needed",
+    "no listening address": ({**VALID, "listen": ""}, "listen: missing"),
+    "a listening address without a port": ({**VALID, "listen": "127.0.0.1"}, "listen: not host:port"),
+    "a port out of range": ({**VALID, "discovery": "127.0.0.1:70000"}, "discovery: not host:port"),
+    "limits that are a list": ({**VALID, "limits": [1]}, "limits: expected an object"),
+    "too few sockets": ({**VALID, "limits": {"sockets": 8}}, "limits.sockets: 8 is too few"),
+    "sockets that are not a number": (
+        {**VALID, "limits": {"sockets": "x"}},
+        "limits.sockets: expected a number",
     ),
-    "a seed that is true": ({**GOOD, "seed": True}, "seed: neither a number nor hexadecimal: 'True'"),
-    "a time to connect that is none": (
-        {**GOOD, "settings": {**SETTINGS, "limits": {"connectTimeout": 0}}},
-        "settings.limits.connectTimeout: not a number from 1 to 1e15: '0'",
+    "negative memory": ({**VALID, "limits": {"memory_mb": -1}}, "limits.memory_mb: expected a number"),
+    "too deeply nested": ("[" * 100_000, "not valid JSON"),
+    "an infinite number": ('{"settings": {"requestClasses": [], "me": 1e999}}', "expected a number"),
+    "a seed that is not hexadecimal": (
+        {**VALID, "seed": "xyz"},
+        "seed: expected an integer or a hexadecimal string, got 'xyz'",
     ),
-    "an idle time that is text": (
-        {**GOOD, "settings": {**SETTINGS, "limits": {"connIdle": "15 s"}}},
-        "settings.limits.connIdle: not a number from 1 to 1e15: '15 s'",
+    "a known list that is not an object": ({**VALID, "known": [1]}, "known: expected an object"),
+    "a name that is not a string": ({**VALID, "name": 7}, "name: expected a string, got '7'"),
+    "an address that is not a string": (
+        {**VALID, "listen": ["127.0.0.1", 9000]},
+        "listen: expected a string, got",
     ),
-    "permissions of a wrong form": (
-        {**GOOD, "settings": {**SETTINGS, "limits": [1]}},
+    "routes that are not a path": ({**VALID, "routes": {"file": "x"}}, "routes: expected a string, got"),
+    "settings that are a list": ({**VALID, "settings": []}, r"settings: expected an object, got '\[\]'"),
+    "settings that are a number": ({**VALID, "settings": 0}, "settings: expected an object, got '0'"),
+    "limits that are a boolean": ({**VALID, "limits": False}, "limits: expected an object, got 'False'"),
+    "sockets that are a boolean": (
+        {**VALID, "limits": {"sockets": True}},
+        "limits.sockets: expected a number",
+    ),
+    "infinite sockets": ({**VALID, "limits": {"sockets": float("inf")}}, "limits.sockets: expected a number"),
+    "memory of less than one": (
+        {**VALID, "limits": {"memory_mb": 0.5}},
+        "memory_mb: expected a number from 1",
+    ),
+    "memory that is NaN": ({**VALID, "limits": {"memory_mb": float("nan")}}, "memory_mb: expected a number"),
+    "too few sockets for an operators' address": (
+        {**VALID, "admin": "127.0.0.1:0", "limits": {"sockets": 95}},
+        "limits.sockets: 95 is too few; at least 96 are needed",
+    ),
+    "a seed that is a boolean": (
+        {**VALID, "seed": True},
+        "seed: expected an integer or a hexadecimal string, got 'True'",
+    ),
+    "a connect timeout of 0": (
+        {**VALID, "settings": {**SETTINGS, "limits": {"connectTimeout": 0}}},
+        "settings.limits.connectTimeout: expected a number from 1 to 1e15, got '0'",
+    ),
+    "an idle time with a unit": (
+        {**VALID, "settings": {**SETTINGS, "limits": {"connIdle": "15 s"}}},
+        "settings.limits.connIdle: expected a number from 1 to 1e15, got '15 s'",
+    ),
+    "limits of the settings that are a list": (
+        {**VALID, "settings": {**SETTINGS, "limits": [1]}},
         r"settings: limits: expected an object, got \[1\]",
     ),
-    "a start capacity of none": (
-        {**GOOD, "settings": {**SETTINGS, "guarantees": {"startCapacity": 0}}},
+    "a start capacity of 0": (
+        {**VALID, "settings": {**SETTINGS, "guarantees": {"startCapacity": 0}}},
         "settings: guarantees.startCapacity: expected a number above 0 to 1, got 0",
     ),
-    "a known list without entries": ({**GOOD, "known": {"index": 4}}, "known: no object with endpoints"),
+    "a known list without entries": (
+        {**VALID, "known": {"index": 4}},
+        "known: expected an object with a list of endpoints",
+    ),
 }
 
 
-@pytest.mark.parametrize("name", WRONG)
-def test_a_wrong_configuration_is_named_plainly(name: str, tmp_path: Path) -> None:
-    raw, text = WRONG[name]
+@pytest.mark.parametrize("name", INVALID)
+def test_an_invalid_configuration_is_refused_with_a_message_that_names_it(name: str, tmp_path: Path) -> None:
+    raw, text = INVALID[name]
     with pytest.raises(ConfigError, match=text) as caught:
-        load(written(tmp_path, raw))
+        load(write_config(tmp_path, raw))
     assert str(caught.value).startswith(f"{tmp_path}/config.json: ")
     assert "\n" not in str(caught.value)
 
@@ -117,19 +138,21 @@
         ("BALANCER_LISTEN", "127.0.0.1:9\n", "listen: not host:port"),
         ("BALANCER_DISCOVERY", "127.0.0.1:0", "discovery: not host:port: '127.0.0.1:0'"),
         ("BALANCER_ADMIN", "localhost", "admin: not host:port: 'localhost'"),
-        ("BALANCER_TRACE", "yes", "BALANCER_TRACE: neither 0 nor 1: 'yes'"),
+        ("BALANCER_TRACE", "yes", "BALANCER_TRACE: expected 0 or 1, got 'yes'"),
     ],
 )
-def test_a_wrong_variable_is_named_plainly(variable: str, value: str, text: str, tmp_path: Path) -> None:
+def test_an_invalid_variable_is_refused_with_a_message_that_names_it(
+    variable: str, value: str, text: str, tmp_path: Path
+) -> None:
     with pytest.raises(ConfigError, match=text) as caught:
-        load({**written(tmp_path, GOOD), variable: value})
+        load({**write_config(tmp_path, VALID), variable: value})
     assert "\n" not in str(caught.value)
 
 
-def test_a_start_with_settings_that_cannot_be_used_is_refused_in_one_line(tmp_path: Path) -> None:
-    wrong = {**GOOD, "settings": {**SETTINGS, "limits": {**SETTINGS["limits"], "mostTries": 0}}}
+def test_invalid_settings_are_reported_in_one_line(tmp_path: Path) -> None:
+    invalid = {**VALID, "settings": {**SETTINGS, "limits": {**SETTINGS["limits"], "mostTries": 0}}}
     for command in ("serve", "check-config"):
-        done = run(command, **written(tmp_path, wrong))
+        done = run_command(command, **write_config(tmp_path, invalid))
         assert (done.returncode, done.stdout) == (2, "")
         assert done.stderr == (
             f"ironbarrow: {tmp_path}/config.json: settings: limits.mostTries: "
@@ -137,9 +160,9 @@
         )
 
 
-def run(*words: str, **environment: str) -> "subprocess.CompletedProcess[str]":
+def run_command(*arguments: str, **environment: str) -> "subprocess.CompletedProcess[str]":
     return subprocess.run(
-        [sys.executable, "-m", "ironbarrow", *words],
+        [sys.executable, "-m", "ironbarrow", *arguments],
         cwd=ROOT,
         env={"PATH": os.environ["PATH"], **environment},
         capture_output=True,
@@ -149,20 +172,20 @@
     )
 
 
-def test_the_command_line_says_what_is_wrong_and_exits_with_an_error(tmp_path: Path) -> None:
-    for words in (["serve"], ["check-config"]):
-        done = run(*words)
+def test_commands_report_a_configuration_error_and_exit_with_status_2(tmp_path: Path) -> None:
+    for arguments in (["serve"], ["check-config"]):
+        done = run_command(*arguments)
         assert (done.returncode, done.stdout) == (2, "")
         assert done.stderr == "ironbarrow: BALANCER_CONFIG is not set\n"
-    in_use = run("serve", **written(tmp_path, {**GOOD, "listen": "203.0.113.1:9"}))
+    in_use = run_command("serve", **write_config(tmp_path, {**VALID, "listen": "203.0.113.1:9"}))
     assert in_use.returncode == 2
     assert "cannot listen on 203.0.113.1:9" in in_use.stderr
     assert "Traceback" not in in_use.stderr
 
 
-def test_the_command_line_tells_version_and_configuration(tmp_path: Path) -> None:
-    assert run("version").stdout.startswith("ironbarrow ")
-    done = run("check-config", **written(tmp_path, GOOD))
+def test_version_and_check_config_print_a_summary(tmp_path: Path) -> None:
+    assert run_command("version").stdout.startswith("ironbarrow ")
+    done = run_command("check-config", **write_config(tmp_path, VALID))
     assert done.stdout == "n3: listens on 127.0.0.1:9000; classes: map, book\n"
 
 
@@ -171,12 +194,12 @@
     process = subprocess.Popen(
         [sys.executable, "-m", "ironbarrow", "serve"],
         cwd=ROOT,
-        env={"PATH": os.environ["PATH"], "BALANCER_DISCOVERY": "127.0.0.1:1", **written(tmp_path, raw)},
+        env={"PATH": os.environ["PATH"], "BALANCER_DISCOVERY": "127.0.0.1:1", **write_config(tmp_path, raw)},
         stderr=subprocess.PIPE,
         text=True,
     )
     try:
-        logged(process, '"serving"')
+        wait_for_log(process, '"serving"')
         yield process
     finally:
         process.kill()
@@ -185,35 +208,36 @@
         process.stderr.close()
 
 
-def logged(process: "subprocess.Popen[str]", text: str) -> str:
+def wait_for_log(process: "subprocess.Popen[str]", text: str) -> str:
     assert process.stderr is not None
     line = next((line for line in process.stderr if text in line), None)
-    assert line is not None, f"it ended without {text} in its log"
+    assert line is not None, f"the process ended without {text} in its log"
     return line
 
 
-UNUSED = {**GOOD, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}
+# listens on a free port; nothing answers at the address of the discovery service
+WITHOUT_DISCOVERY = {**VALID, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}
 
 
-def test_sigterm_ends_the_program_with_0(tmp_path: Path) -> None:
-    with serving(tmp_path, UNUSED) as process:
+def test_sigterm_ends_the_program_with_status_0(tmp_path: Path) -> None:
+    with serving(tmp_path, WITHOUT_DISCOVERY) as process:
         started = time.monotonic()
         process.send_signal(signal.SIGTERM)
         assert process.wait(60) == 0
-        assert time.monotonic() - started > 0.4  # it went on accepting for a while
+        assert time.monotonic() - started > 0.4  # it accepts connections for a while longer
 
 
-def test_sighup_takes_the_replaced_file_and_keeps_what_runs_if_it_cannot(tmp_path: Path) -> None:
-    # danger: unhandled, the signal ends the program; and the environment still names the old discovery
-    # service
-    with serving(tmp_path, UNUSED) as process, listen(("127.0.0.1", 0)) as discovery:
-        written(tmp_path, "{")
+def test_sighup_applies_the_new_file_or_keeps_the_running_configuration(tmp_path: Path) -> None:
+    # danger: without a handler, the signal ends the program. The environment still has the old address of the
+    # discovery service, so the file has to take precedence
+    with serving(tmp_path, WITHOUT_DISCOVERY) as process, listen(("127.0.0.1", 0)) as discovery:
+        write_config(tmp_path, "{")
         process.send_signal(signal.SIGHUP)
-        assert "not JSON" in logged(process, "the running configuration stays")
+        assert "not valid JSON" in wait_for_log(process, "the running configuration stays")
         host, port = discovery.getsockname()
-        written(tmp_path, {**UNUSED, "discovery": f"{host}:{port}", "name": "other"})
+        write_config(tmp_path, {**WITHOUT_DISCOVERY, "discovery": f"{host}:{port}", "name": "other"})
         process.send_signal(signal.SIGHUP)
-        assert '"waits_for_start": ["name"]' in logged(process, '"reloaded"')
+        assert '"waits_for_start": ["name"]' in wait_for_log(process, '"reloaded"')
         discovery.settimeout(20)
         with discovery.accept()[0] as connection:
             assert connection.recv(64).startswith(b"GET /api/targets HTTP")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -23,7 +23,7 @@
 from ironbarrow.fronts.clients import Clients
 from ironbarrow.runtime.loop import MS, SECOND
 from tests.scenario import SETTINGS, Peer, Stage, answer, call_back, job
-from tests.test_config import ROOT, UNUSED, logged, written
+from tests.test_config import ROOT, WITHOUT_DISCOVERY, wait_for_log, write_config
 
 ACCEPTED = answer(202)
 READY = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
@@ -311,7 +311,7 @@
 # The program, with real signals
 
 SHORT = {
-    **UNUSED,
+    **WITHOUT_DISCOVERY,
     "settings": {
         **SETTINGS,
         "requestClasses": [{**SETTINGS["requestClasses"][0], "promise": 400 * MS, "giveUp": 500 * MS}],
@@ -326,7 +326,11 @@
     process = subprocess.Popen(
         [sys.executable, "-c", "import os, signal\n" + before + _SERVE],
         cwd=ROOT,
-        env={"PATH": os.environ["PATH"], "BALANCER_DISCOVERY": "127.0.0.1:1", **written(tmp_path, SHORT)},
+        env={
+            "PATH": os.environ["PATH"],
+            "BALANCER_DISCOVERY": "127.0.0.1:1",
+            **write_config(tmp_path, SHORT),
+        },
         **{"stderr": subprocess.PIPE, "text": True, **more},
     )
     try:
@@ -368,7 +372,7 @@
     # danger: ended by Python's own handling, it would reset what its listener has taken in
     before = _AT_START.format(where=where, name=name, number=number)
     with program(tmp_path, before) as process:
-        host, port = logged(process, '"serving"').split('"address": "')[1].split('"')[0].split(":")
+        host, port = wait_for_log(process, '"serving"').split('"address": "')[1].split('"')[0].split(":")
         with socket.create_connection((host, int(port)), 20) as client:
             client.sendall(READY.replace("\\r\\n", "\r\n").encode())
             assert client.recv(100).startswith(b"HTTP/1.1 503 ")
@@ -377,9 +381,9 @@
 
 def test_further_signals_while_it_ends_change_nothing(tmp_path: Path) -> None:
     with program(tmp_path) as process:
-        logged(process, '"serving"')
+        wait_for_log(process, '"serving"')
         process.send_signal(signal.SIGTERM)
-        logged(process, '"stopping"')
+        wait_for_log(process, '"stopping"')
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGINT):
             process.send_signal(number)
         assert '"reloaded"' in rest(process)
@@ -399,7 +403,7 @@
 
 def test_an_order_to_stop_during_a_reload_waits_for_its_end(tmp_path: Path) -> None:
     with program(tmp_path, _IN_RELOAD) as process:
-        logged(process, '"serving"')
+        wait_for_log(process, '"serving"')
         process.send_signal(signal.SIGHUP)
         seen = rest(process)
         assert seen.index('"reloaded"') < seen.index('"stopping"')
@@ -434,14 +438,14 @@
 def test_a_signal_in_the_last_instants_does_not_change_the_end(moment: str, tmp_path: Path) -> None:
     # danger: a descriptor's number that is closed, or handlers that Python has taken away
     with program(tmp_path, _LATE[moment]) as process:
-        logged(process, '"serving"')
+        wait_for_log(process, '"serving"')
         process.send_signal(signal.SIGTERM)
         rest(process)
 
 
 def test_a_log_whose_reader_is_gone_does_not_change_the_end(tmp_path: Path) -> None:
     with program(tmp_path) as process:
-        logged(process, '"serving"')
+        wait_for_log(process, '"serving"')
         assert process.stderr is not None
         process.stderr.close()
         process.send_signal(signal.SIGHUP)
