--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a dispatcher: what can't be used is named, and what is taken can be run with."""
+"""The settings of a dispatcher: invalid ones are refused by name, and accepted ones can be run with."""
 
 import copy
 import json
@@ -14,7 +14,7 @@
 from heathway.settings import ReportReader, read_settings
 
 S = 1_000_000_000
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "clients": {"marksRetry": False},
     "deductions": {"crossZone": 0.02, "lateFail": 0.04, "probe": 0.004, "waste": 0.3},
     "discovery": "ask",
@@ -68,19 +68,19 @@
 }
 
 
-def changed(path: str, value: Any) -> dict[str, Any]:
-    """The good settings with one value changed; a path goes down by dots, into lists by numbers."""
-    made = copy.deepcopy(GOOD)
-    *way, last = path.split(".")
-    at: Any = made
-    for step in way:
-        at = at[int(step)] if step.isdigit() else at[step]
-    at[int(last) if last.isdigit() else last] = value
-    return made
+def with_value(path: str, value: Any) -> dict[str, Any]:
+    """The valid settings with one value changed. ``path``: keys and list indices, separated by dots."""
+    conf = copy.deepcopy(VALID)
+    *parents, last = path.split(".")
+    target: Any = conf
+    for step in parents:
+        target = target[int(step)] if step.isdigit() else target[step]
+    target[int(last) if last.isdigit() else last] = value
+    return conf
 
 
-def shown(path: str) -> str:
-    """A path as a message has it."""
+def message_path(path: str) -> str:
+    """A path as error messages show it."""
     text = ""
     for step in path.split("."):
         text += f"[{step}]" if step.isdigit() else f".{step}" if text else step
@@ -148,7 +148,7 @@
     "familyInfo.classKind",
     "familyInfo.classStretch",
 ]
-WRONG: list[tuple[str, Any, str]] = [
+INVALID: list[tuple[str, Any, str]] = [
     *((path, value, "expected a number") for path in NUMBERS for value in ("1", [], True, math.nan, {})),
     *((path, least - 1 if least >= 1 else -2, "expected a number") for path, (least, _) in NUMBERS.items()),
     *((path, over, "expected a number") for path, (_, over) in NUMBERS.items()),
@@ -156,22 +156,22 @@
     ("guarantees.fallMultiple", 0, "a number above 0, got 0"),
     ("limits.mostTries", 2.5, "expected a number from 1 to"),
     ("replicasOfMe", 2.5, "expected a number from 1 to"),
-    ("me", 3, "expected a number under replicasOfMe, which is 3, got 3"),
+    ("me", 3, "expected a number below replicasOfMe, which is 3, got 3"),
     *((path, value, "expected true or false") for path in FLAGS for value in (1, "true", [], math.nan)),
     *((path, value, "expected ") for path in TEXTS for value in (7, [], True, {})),
     *((path, value, "expected an object") for path in OBJECTS for value in (7, [], "x", True)),
     *((path, value, "expected a list of") for path in LISTS for value in (7, {}, "north", True)),
     ("zone", "east", "one of zones (['north', 'south']), got 'east'"),
-    ("zones", ["north", "north"], "none of them twice"),
-    ("kinds", ["big", "big"], "none of them twice"),
-    ("zones", [1, 2], "a list of texts"),
-    ("report.fields", ["x0", "x0"], "none of them twice"),
+    ("zones", ["north", "north"], "expected a list of strings without duplicates"),
+    ("kinds", ["big", "big"], "expected a list of strings without duplicates"),
+    ("zones", [1, 2], "expected a list of strings"),
+    ("report.fields", ["x0", "x0"], "expected a list of strings without duplicates"),
     ("discovery", "gossip", "expected one of push, ask, got 'gossip'"),
     ("valueBy", "hour", "expected one of request, work, got 'hour'"),
-    ("requestClasses", [], "expected a list of classes, one at least, got []"),
+    ("requestClasses", [], "expected a list of at least one class, got []"),
     ("requestClasses", [7], "expected a list of objects"),
-    ("requestClasses.1.name", "plain", "expected a name that no other one has, got 'plain'"),
-    ("requestClasses.0.name", "", "expected a text that is not empty, got ''"),
+    ("requestClasses.1.name", "plain", "expected a unique name, got 'plain'"),
+    ("requestClasses.0.name", "", "expected a string that is not empty, got ''"),
     ("requestClasses.0.effect", "odd", "expected one of pure, token, side_effect, got 'odd'"),
     ("requestClasses.1.group", "rack", "expected one of all, zone, cell, got 'rack'"),
     ("requestClasses.1.group", None, "is missing"),
@@ -180,7 +180,7 @@
     ("requestClasses.0.effect", None, "is missing"),
     ("requestClasses.0.name", None, "is missing"),
     ("realms.0.name", None, "is missing"),
-    ("realms.1.name", "one", "expected a name that no other one has, got 'one'"),
+    ("realms.1.name", "one", "expected a unique name, got 'one'"),
     ("familyInfo.classKind.1", 2, "expected a number from -1 to 1, got 2"),
     ("me", None, "is missing"),
     ("replicasOfMe", None, "is missing"),
@@ -188,13 +188,15 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "value", "text"), WRONG, ids=[f"{p}={str(v)[:12]}" for p, v, _ in WRONG])
-def test_what_cannot_be_used_is_named_with_its_value_and_what_was_expected(path, value, text):
+@pytest.mark.parametrize(
+    ("path", "value", "text"), INVALID, ids=[f"{p}={str(v)[:12]}" for p, v, _ in INVALID]
+)
+def test_an_invalid_value_is_refused_with_its_path_the_value_and_what_was_expected(path, value, text):
     with pytest.raises(ValueError) as caught:
-        read_settings(changed(path, value))
+        read_settings(with_value(path, value))
     message = str(caught.value)
     assert message.startswith("settings: ")
-    assert shown(path) in message
+    assert message_path(path) in message
     assert text in message
     assert "\n" not in message
     assert len(message) < 200
@@ -205,16 +207,16 @@
 @pytest.mark.parametrize(
     ("path", "value"),
     [
-        ("a key nobody knows", {"x": [1]}),
-        ("limits.a limit nobody knows", "x"),
-        ("requestClasses.0.group", "rack"),  # of no concern where repeats are free anyhow
+        ("an unknown key", {"x": [1]}),
+        ("limits.an unknown limit", "x"),
+        ("requestClasses.0.group", "rack"),  # not read for a class whose jobs may run any number of times
         ("requestClasses.0.window", "soon"),
         ("requestClasses.2.window", None),
         ("familyInfo.queueOrder", "sideways"),
         ("familyInfo.reportX1", "free lunch"),
         ("weightSource", "gossip"),
         ("report.how", "by post"),
-        ("report.fields", ["x0", "a field nobody knows"]),
+        ("report.fields", ["x0", "an unknown field"]),
         ("familyInfo.classKind", []),
         ("familyInfo.classKind", None),
         ("familyInfo.classStretch", [1]),
@@ -232,28 +234,28 @@
         ("tiers", None),
     ],
 )
-def test_what_nobody_needs_or_may_be_absent_is_passed_over(path, value):
-    assert read_settings(changed(path, value)).classes[1].group is api.Group.CELL
+def test_values_that_are_unused_or_optional_are_accepted(path, value):
+    assert read_settings(with_value(path, value)).classes[1].group is api.Group.CELL
 
 
-def test_a_kind_is_read_by_its_place():
-    assert [cls.worker_kind for cls in read_settings(GOOD).classes] == [None, "small", None]
+def test_a_class_names_its_worker_kind_by_index():
+    assert [cls.worker_kind for cls in read_settings(VALID).classes] == [None, "small", None]
 
 
-def places(value: Any, way: tuple[str, ...] = ()) -> list[str]:
-    """The paths of all values inside."""
+def paths(value: Any, parents: tuple[str, ...] = ()) -> list[str]:
+    """The paths of all values in ``value``."""
     items: Any = ()
     if isinstance(value, dict):
         items = value.items()
     elif isinstance(value, list):
         items = ((str(i), v) for i, v in enumerate(value))
-    found = [".".join(way)] if way else []
-    for name, one in items:
-        found += places(one, (*way, str(name)))
+    found = [".".join(parents)] if parents else []
+    for name, item in items:
+        found += paths(item, (*parents, str(name)))
     return found
 
 
-ODD = st.one_of(
+ARBITRARY_VALUES = st.one_of(
     st.sampled_from(
         [
             *(None, True, False, "", "x", "all", "ask", "\n", [], {}, [1], [None], [{}], {"name": "x"}),
@@ -267,7 +269,7 @@
 
 
 def exercise(settings: api.Settings, conf: dict[str, Any]) -> None:
-    """A list, jobs of every class, a tick, and ends of attempts with reports."""
+    """Runs a dispatcher: a worker list, jobs of every class, ends of attempts with reports, and ticks."""
     dispatcher = Dispatcher(settings, seed=1)
     reports = ReportReader(conf)
     workers = tuple(
@@ -297,20 +299,20 @@
         dispatcher.handle(now, [api.TimerFired("wake")])
 
 
-@given(st.lists(st.tuples(st.sampled_from(places(GOOD)), ODD), min_size=1, max_size=3))
-def test_changed_settings_are_refused_by_name_or_can_be_run_with(changes):
-    conf = copy.deepcopy(GOOD)
-    made = []
+@given(st.lists(st.tuples(st.sampled_from(paths(VALID)), ARBITRARY_VALUES), min_size=1, max_size=3))
+def test_arbitrary_changes_are_refused_by_name_or_can_be_run_with(changes):
+    conf = copy.deepcopy(VALID)
+    changed_paths = []
     for path, value in changes:
-        *way, last = path.split(".")
-        at: Any = conf
+        *parents, last = path.split(".")
+        target: Any = conf
         try:
-            for step in way:
-                at = at[int(step)] if isinstance(at, list) else at[step]
-            at[int(last) if isinstance(at, list) else last] = value
+            for step in parents:
+                target = target[int(step)] if isinstance(target, list) else target[step]
+            target[int(last) if isinstance(target, list) else last] = value
         except (KeyError, IndexError, TypeError, ValueError):
-            continue  # a change before it has taken that place away
-        made.append(path)
+            continue  # an earlier change has removed the object at this path
+        changed_paths.append(path)
     try:
         settings = read_settings(conf)
         ReportReader(conf)
@@ -318,12 +320,12 @@
         text = str(error)
         assert text.startswith("settings: ")
         assert "\n" not in text
-        steps = {step for path in made for step in path.split(".") if not step.isdigit()}
+        steps = {step for path in changed_paths for step in path.split(".") if not step.isdigit()}
         assert any(step in text for step in steps), text
     else:
         exercise(settings, conf)
 
 
-def test_good_settings_can_be_run_with():
-    exercise(read_settings(GOOD), GOOD)
-    assert json.loads(json.dumps(GOOD)) == GOOD
+def test_valid_settings_can_be_run_with():
+    exercise(read_settings(VALID), VALID)
+    assert json.loads(json.dumps(VALID)) == VALID
