--- a/heathway/simhost.py
+++ b/heathway/simhost.py
@@ -1,7 +1,9 @@
-"""Hosts many dispatchers behind the simulator's wire, on standard input and output.
+"""Hosts many dispatchers for the simulator, over its line protocol on standard input and output.
 
-The names of the wire's lines appear only here, those of its start-up object in
-``settings.py``. No decisions: each line becomes an event, each action a line.
+Each input line becomes an event and each action an output line; no decisions are made here. The protocol's
+names appear only in this module, those of a dispatcher's settings object only in ``settings.py``.
+
+Lines have tab-separated fields; ``-`` stands for an absent value. Times are in ns.
 """
 
 import base64
@@ -15,47 +17,51 @@
 from heathway.logic import Dispatcher
 from heathway.settings import ReportReader, read_settings
 
-_LISTS = {
+_LIST_KINDS = {
     "incr": api.ListKind.CHANGES,
     "total": api.ListKind.FULL,
     "warm_copy": api.ListKind.LAST_KNOWN,
     "lost": api.ListKind.LOST,
 }
-_STATES = {"U": api.WorkerState.UP, "L": api.WorkerState.DRAINING, "D": api.WorkerState.GONE}
-_REPEAT_MARK = 2
+_WORKER_STATES = {"U": api.WorkerState.UP, "L": api.WorkerState.DRAINING, "D": api.WorkerState.GONE}
+_REPEAT_MARK = 2  # in the bits of the field ``marks``
 
 
 class WireError(Exception):
-    """Text on the wire that is not well formed."""
+    """Malformed input. The message names the line and, where there is one, the field."""
 
 
 class _Line:
-    """One line of the wire, read value by value; errors name the line and the field."""
+    """One input line, read field by field from left to right. Errors name the line and the field."""
 
-    __slots__ = ("at", "number", "parts")
+    __slots__ = ("line_number", "parts", "position")
 
-    def __init__(self, number: int, text: str, limit: int = -1) -> None:
-        self.number = number
+    def __init__(self, line_number: int, text: str, limit: int = -1) -> None:
+        """``limit``: the maximum number of splits, as in ``str.split``."""
+        self.line_number = line_number
         self.parts = text.split("\t", limit)
-        self.at = 0
+        self.position = 0
 
-    def error(self, field: str, trouble: str) -> WireError:
-        return WireError(f"line {self.number}: {self.parts[0]}: field {field}: {trouble}")
+    def error(self, field: str, problem: str) -> WireError:
+        return WireError(f"line {self.line_number}: {self.parts[0]}: field {field}: {problem}")
 
     def text(self, field: str) -> str | None:
-        self.at += 1
-        if self.at >= len(self.parts):
+        """The next field, or None if it is absent."""
+        self.position += 1
+        if self.position >= len(self.parts):
             raise self.error(field, "missing")
-        value = self.parts[self.at]
+        value = self.parts[self.position]
         return None if value == "-" else value
 
-    def word(self, field: str) -> str:
+    def required_text(self, field: str) -> str:
+        """The next field, which must be present and not empty."""
         value = self.text(field)
         if not value:
             raise self.error(field, "absent")
         return value
 
     def integer(self, field: str, default: int | None = None) -> int:
+        """The next field as an integer. Without a default it must be present."""
         value = self.text(field)
         if value is None:
             if default is None:
@@ -64,9 +70,10 @@
         try:
             return int(value)
         except ValueError:
-            raise self.error(field, f"not a whole number: {value[:40]!r}") from None
+            raise self.error(field, f"not an integer: {value[:40]!r}") from None
 
-    def number_(self, field: str, default: float) -> float:
+    def number(self, field: str, default: float) -> float:
+        """The next field as a floating-point number."""
         value = self.text(field)
         try:
             return default if value is None else float(value)
@@ -74,12 +81,14 @@
             raise self.error(field, f"not a number: {value[:40] if value else ''!r}") from None
 
     def flag(self, field: str) -> bool:
+        """The next field, which must be 0 or 1."""
         value = self.text(field)
         if value not in ("0", "1"):
             raise self.error(field, f"not 0 or 1: {value!r}")
         return value == "1"
 
     def outcome(self, field: str) -> api.Outcome:
+        """The next field, which must be the code of an ``api.Outcome``."""
         code = self.integer(field)
         try:
             return api.Outcome(code)
@@ -88,7 +97,7 @@
 
 
 class Instance:
-    """One dispatcher as the wire sees it, with the reading of load reports that its settings name."""
+    """One hosted dispatcher, with the reader of load reports that its settings configure."""
 
     __slots__ = ("dispatcher", "reports")
 
@@ -97,6 +106,7 @@
         self.dispatcher = Dispatcher(read_settings(conf), seed)
 
     def report(self, line: _Line, field: str) -> api.LoadReport | None:
+        """The next field as a load report, ``name:value`` pairs with commas between; None if it is absent."""
         text = line.text(field)
         if text is None:
             return None
@@ -113,185 +123,188 @@
 
 
 class Host:
-    """Reads batches, hands each dispatcher its events and writes the actions."""
+    """Reads batches of lines, passes each dispatcher its events and writes the resulting actions.
+
+    A batch goes from a ``round`` line to an ``end`` line and is answered by actions and a ``next`` line.
+    """
 
     def __init__(self, source: BinaryIO, out: BinaryIO) -> None:
         self._source = source
         self._out = out
-        self._number = 0
+        self._line_number = 0
         self._instances: dict[int, Instance] = {}
-        self._replies: list[str] = []
+        self._output: list[str] = []
         self._pending: dict[int, list[api.Event]] = {}
         self._now = 0
 
     def run(self) -> None:
-        """Answers batches until the input ends."""
+        """Answers batches until the input ends. Raises a WireError on malformed input."""
         for _ in self._batches():
-            self._replies.append("next\n")
-            self._out.write("".join(self._replies).encode())
+            self._output.append("next\n")
+            self._out.write("".join(self._output).encode())
             self._out.flush()
-            self._replies.clear()
+            self._output.clear()
 
     def _batches(self) -> Iterator[None]:
-        while (text := self._read()) is not None:
-            line = _Line(self._number, text)
+        while (text := self._read_line()) is not None:
+            line = _Line(self._line_number, text)
             if line.parts[0] != "round":
-                raise WireError(f"line {self._number}: expected round, found {line.parts[0][:40]!r}")
+                raise WireError(f"line {self._line_number}: expected round, found {line.parts[0][:40]!r}")
             self._now = line.integer("now")
             while True:
-                text = self._read()
+                text = self._read_line()
                 if text is None:
-                    raise WireError(f"line {self._number}: the input ended inside a batch")
+                    raise WireError(f"line {self._line_number}: the input ended inside a batch")
                 if text == "end":
                     break
-                self._take(text)
-            for who in list(self._pending):
-                self._flush(who)
+                self._process_line(text)
+            for dispatcher_id in list(self._pending):
+                self._handle_pending(dispatcher_id)
             yield
 
-    def _read(self) -> str | None:
+    def _read_line(self) -> str | None:
         raw = self._source.readline()
         if not raw:
             return None
-        self._number += 1
+        self._line_number += 1
         try:
             return raw.decode().rstrip("\r\n")
         except UnicodeDecodeError:
-            raise WireError(f"line {self._number}: not UTF-8 text") from None
+            raise WireError(f"line {self._line_number}: not UTF-8 text") from None
 
-    def _take(self, text: str) -> None:
+    def _process_line(self, text: str) -> None:
         name = text.partition("\t")[0]
-        line = _Line(self._number, text, 3 if name == "create" else -1)
-        who = line.integer("who") if name in _READERS or name in ("create", "killed") else 0
+        line = _Line(self._line_number, text, 3 if name == "create" else -1)
+        dispatcher_id = line.integer("who") if name in _READERS or name in ("create", "killed") else 0
         if name == "create":
-            self._create(line, who)
+            self._create_dispatcher(line, dispatcher_id)
         elif name == "killed":
-            self._pending.pop(who, None)
-            self._instances.pop(who, None)
+            self._pending.pop(dispatcher_id, None)
+            self._instances.pop(dispatcher_id, None)
         elif name in _READERS:
-            instance = self._instances.get(who)
+            instance = self._instances.get(dispatcher_id)
             if name == "discovery":
-                event: api.Event = self._worker_list(line)
+                event: api.Event = self._read_worker_list(line)
             else:
                 event = _READERS[name](line, instance)
             if instance is not None:
-                self._pending.setdefault(who, []).append(event)
+                self._pending.setdefault(dispatcher_id, []).append(event)
         else:
-            raise WireError(f"line {self._number}: unknown message {name[:40]!r}")
+            raise WireError(f"line {self._line_number}: unknown message {name[:40]!r}")
 
-    def _create(self, line: _Line, who: int) -> None:
+    def _create_dispatcher(self, line: _Line, dispatcher_id: int) -> None:
         seed = line.integer("rngSeed")
-        text = line.word("conf")
+        text = line.required_text("conf")
         try:
             conf = json.loads(text)
         except ValueError:
             raise line.error("conf", "not JSON") from None
         if not isinstance(conf, dict):
             raise line.error("conf", "not an object")
-        self._pending[who] = []
+        self._pending[dispatcher_id] = []
         try:
-            self._instances[who] = Instance(conf, seed)
-        except Exception as error:  # noqa: BLE001 - whatever fails in a dispatcher ends the day with its text
-            self._instances.pop(who, None)
-            del self._pending[who]
-            self._replies.append(_broken(who, error))
-
-    def _worker_list(self, line: _Line) -> api.WorkerList:
-        how = line.word("how")
-        if how not in _LISTS:
+            self._instances[dispatcher_id] = Instance(conf, seed)
+        except Exception as error:  # noqa: BLE001 - the simulator ends its run and shows this error
+            self._instances.pop(dispatcher_id, None)
+            del self._pending[dispatcher_id]
+            self._output.append(_format_error(dispatcher_id, error))
+
+    def _read_worker_list(self, line: _Line) -> api.WorkerList:
+        how = line.required_text("how")
+        if how not in _LIST_KINDS:
             raise line.error("how", f"unknown: {how[:40]!r}")
         version = line.integer("index", 0)
         entries = []
         for _ in range(line.integer("elements", 0)):
-            text = self._read()
+            text = self._read_line()
             if text is None:
-                raise WireError(f"line {self._number}: the input ended inside a list")
-            row = _Line(self._number, text)
+                raise WireError(f"line {self._line_number}: the input ended inside a list")
+            row = _Line(self._line_number, text)
             if row.parts[0] != "row":
-                raise WireError(f"line {self._number}: expected row, found {row.parts[0][:40]!r}")
-            entries.append(_entry(row))
-        return api.WorkerList(_LISTS[how], tuple(entries), version)
+                raise WireError(f"line {self._line_number}: expected row, found {row.parts[0][:40]!r}")
+            entries.append(_read_worker_entry(row))
+        return api.WorkerList(_LIST_KINDS[how], tuple(entries), version)
 
-    def _flush(self, who: int) -> None:
-        events = self._pending.pop(who)
+    def _handle_pending(self, dispatcher_id: int) -> None:
+        events = self._pending.pop(dispatcher_id)
         if not events:
             return
         try:
-            actions = self._instances[who].dispatcher.handle(self._now, events)
-        except Exception as error:  # noqa: BLE001 - whatever fails in a dispatcher ends the day with its text
-            self._replies.append(_broken(who, error))
+            actions = self._instances[dispatcher_id].dispatcher.handle(self._now, events)
+        except Exception as error:  # noqa: BLE001 - the simulator ends its run and shows this error
+            self._output.append(_format_error(dispatcher_id, error))
             return
         for action in actions:
-            self._replies.append(_WRITERS[type(action)](who, action))
+            self._output.append(_WRITERS[type(action)](dispatcher_id, action))
 
 
-def _broken(who: int, error: Exception) -> str:
+def _format_error(dispatcher_id: int, error: Exception) -> str:
     text = " ".join(f"{type(error).__name__}: {error}".split())
-    trace = error.__traceback__
-    while trace is not None and trace.tb_next is not None:
-        trace = trace.tb_next
-    place = f" (line {trace.tb_lineno})" if trace is not None else ""
-    return f"broken\t{who}\t{text[:300]}{place}\n"
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    location = f" (line {traceback.tb_lineno})" if traceback is not None else ""
+    return f"broken\t{dispatcher_id}\t{text[:300]}{location}\n"
 
 
-def _entry(row: _Line) -> api.WorkerEntry:
-    weight = row.number_("weight", 1.0)
-    worker = row.word("worker")
+def _read_worker_entry(row: _Line) -> api.WorkerEntry:
+    weight = row.number("weight", 1.0)
+    worker = row.required_text("worker")
     cell = row.text("cohort")
-    site = row.text("site") or ""
-    since = row.integer("since", 0)
+    zone = row.text("site") or ""
+    started_at = row.integer("since", 0)
     kind = row.text("shape") or ""
     state = row.text("readiness") or ""
-    if state not in _STATES:
+    if state not in _WORKER_STATES:
         raise row.error("readiness", f"unknown: {state[:40]!r}")
     try:
-        number = None if cell is None else int(cell)
+        cell_index = None if cell is None else int(cell)
     except ValueError:
-        raise row.error("cohort", "not a whole number") from None
-    return api.WorkerEntry(worker, site, number, kind, weight, since, _STATES[state])
+        raise row.error("cohort", "not an integer") from None
+    return api.WorkerEntry(worker, zone, cell_index, kind, weight, started_at, _WORKER_STATES[state])
 
 
 def _read_arrival(line: _Line, _: Instance | None) -> api.Event:
     job = line.integer("ref")
-    job_class = line.word("lane")
+    job_class = line.required_text("lane")
     tenant = line.text("account")
     key = line.text("routeKey")
     try:
-        subject = None if key is None else int(key)
+        job_key = None if key is None else int(key)
     except ValueError:
-        raise line.error("routeKey", "not a whole number") from None
-    left = line.integer("left")
-    hint = line.integer("sizeHint", 0)
-    slots = line.number_("slots", 1.0)
-    memory = line.number_("memory", 0.0)
+        raise line.error("routeKey", "not an integer") from None
+    time_left = line.integer("left")
+    work_hint = line.integer("sizeHint", 0)
+    slots = line.number("slots", 1.0)
+    memory = line.number("memory", 0.0)
     marks = line.integer("marks", 0)
     return api.JobArrived(
         job,
         job_class,
         None if tenant == "0" else tenant,
-        subject,
-        left,
+        job_key,
+        time_left,
         slots,
         memory,
-        hint if marks & 1 else None,
+        work_hint if marks & 1 else None,
         bool(marks & _REPEAT_MARK),
     )
 
 
 def _read_alarm(line: _Line, _: Instance | None) -> api.Event:
-    return api.TimerFired(line.word("handle"))
+    return api.TimerFired(line.required_text("handle"))
 
 
 def _read_probe(line: _Line, instance: Instance | None) -> api.Event:
-    worker = line.word("worker")
+    worker = line.required_text("worker")
     outcome = line.outcome("rc")
     elapsed = line.integer("rtt", 0)
-    return api.ProbeEnded(worker, outcome, elapsed, _report(line, instance))
+    return api.ProbeEnded(worker, outcome, elapsed, _read_report(line, instance))
 
 
 def _read_accepted(line: _Line, _: Instance | None) -> api.Event:
     return api.StreamStarted(
-        line.integer("ref"), line.integer("copy"), line.word("worker"), line.integer("rtt", 0)
+        line.integer("ref"), line.integer("copy"), line.required_text("worker"), line.integer("rtt", 0)
     )
 
 
@@ -308,32 +321,32 @@
 
 
 def _read_note(line: _Line, _: Instance | None) -> api.Event:
-    job, attempt, worker = line.integer("ref"), line.integer("copy"), line.word("worker")
+    job, attempt, worker = line.integer("ref"), line.integer("copy"), line.required_text("worker")
     kind = line.integer("kind")
     if kind not in (1, 2):
         raise line.error("kind", f"unknown: {kind}")
-    return api.AttemptNote(job, attempt, worker, api.NoteKind(kind), line.number_("value", 0.0))
+    return api.AttemptNote(job, attempt, worker, api.NoteKind(kind), line.number("value", 0.0))
 
 
 def _read_reply(line: _Line, instance: Instance | None) -> api.Event:
-    job, attempt, worker = line.integer("ref"), line.integer("copy"), line.word("worker")
+    job, attempt, worker = line.integer("ref"), line.integer("copy"), line.required_text("worker")
     last = line.flag("last")
     line.text("note")
     elapsed = line.integer("rtt", 0)
     outcome = line.outcome("rc")
-    return api.AttemptEnded(job, attempt, worker, outcome, last, elapsed, _report(line, instance))
+    return api.AttemptEnded(job, attempt, worker, outcome, last, elapsed, _read_report(line, instance))
 
 
-def _report(line: _Line, instance: Instance | None) -> api.LoadReport | None:
+def _read_report(line: _Line, instance: Instance | None) -> api.LoadReport | None:
     return None if instance is None else instance.report(line, "stats")
 
 
-def _read_nothing(line: _Line, _: Instance | None) -> api.Event:
-    raise AssertionError("a list is read by the host")
+def _unreachable_reader(line: _Line, _: Instance | None) -> api.Event:
+    raise AssertionError("the host reads worker lists itself, as they have several lines")
 
 
 _READERS: dict[str, Callable[[_Line, Instance | None], api.Event]] = {
-    "discovery": _read_nothing,
+    "discovery": _unreachable_reader,
     "arrival": _read_arrival,
     "alarm": _read_alarm,
     "probe_result": _read_probe,
@@ -345,27 +358,37 @@
 }
 
 
-def _payload(data: bytes) -> str:
+def _encode_payload(data: bytes) -> str:
     return base64.b64encode(data).decode() or "-"
 
 
 _WRITERS: dict[type, Callable[[int, Any], str]] = {
-    api.Send: lambda who, a: f"transmit\t{who}\t{a.job}\t{a.timeout}\t{a.worker}\n",
-    api.Refuse: lambda who, a: f"reject\t{who}\t{a.job}\t{a.retry_after}\n",
-    api.Fail: lambda who, a: f"finish_error\t{who}\t{a.job}\n",
-    api.CancelAttempt: lambda who, a: f"drop_attempt\t{who}\t{a.job}\t{a.attempt}\n",
-    api.Probe: lambda who, a: f"health_check\t{who}\t{a.worker}\n",
-    api.CloseIdle: lambda who, a: f"drop_conns\t{who}\t{a.worker}\n",
-    api.Subscribe: lambda who, a: f"follow\t{who}\t{int(a.active)}\n",
-    api.FetchList: lambda who, a: f"lookup\t{who}\n",
-    api.Tell: lambda who, a: f"share\t{who}\t{-1 if a.to is None else a.to}\t{_payload(a.payload)}\n",
-    api.SetTimer: lambda who, a: f"notify_me\t{who}\t{a.delay}\t{a.name}\n",
-    api.Log: lambda who, a: f"log\t{who}\t{' '.join(a.text.split())}\n",
+    api.Send: lambda dispatcher_id, action: (
+        f"transmit\t{dispatcher_id}\t{action.job}\t{action.timeout}\t{action.worker}\n"
+    ),
+    api.Refuse: lambda dispatcher_id, action: (
+        f"reject\t{dispatcher_id}\t{action.job}\t{action.retry_after}\n"
+    ),
+    api.Fail: lambda dispatcher_id, action: f"finish_error\t{dispatcher_id}\t{action.job}\n",
+    api.CancelAttempt: lambda dispatcher_id, action: (
+        f"drop_attempt\t{dispatcher_id}\t{action.job}\t{action.attempt}\n"
+    ),
+    api.Probe: lambda dispatcher_id, action: f"health_check\t{dispatcher_id}\t{action.worker}\n",
+    api.CloseIdle: lambda dispatcher_id, action: f"drop_conns\t{dispatcher_id}\t{action.worker}\n",
+    api.Subscribe: lambda dispatcher_id, action: f"follow\t{dispatcher_id}\t{int(action.active)}\n",
+    api.FetchList: lambda dispatcher_id, action: f"lookup\t{dispatcher_id}\n",
+    api.Tell: lambda dispatcher_id, action: (
+        f"share\t{dispatcher_id}\t{-1 if action.to is None else action.to}\t{_encode_payload(action.payload)}\n"
+    ),
+    api.SetTimer: lambda dispatcher_id, action: (
+        f"notify_me\t{dispatcher_id}\t{action.delay}\t{action.name}\n"
+    ),
+    api.Log: lambda dispatcher_id, action: f"log\t{dispatcher_id}\t{' '.join(action.text.split())}\n",
 }
 
 
 def main() -> int:
-    """Runs the host on standard input and output; 1 on malformed input."""
+    """Runs the host on standard input and output. Returns the exit status: 1 on malformed input."""
     try:
         Host(sys.stdin.buffer, sys.stdout.buffer).run()
     except WireError as error:
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter: as a subprocess for what goes over the pipe, in process for how lines are read."""
+"""The simulator's host: as a subprocess where output and exit status count, in process for reading lines."""
 
 import io
 import json
@@ -22,7 +22,7 @@
     "kinds": ["std"],
     "round": 5_000_000,
     "discovery": "push",
-    "a key nobody knows": {"x": 1},
+    "an unknown key": {"x": 1},
     "requestClasses": [
         {"name": "plain", "effect": "pure", "promise": 400_000_000, "giveUp": 6_000_000_000, "worth": 1},
         {
@@ -57,7 +57,7 @@
 
 
 def script() -> str:
-    """Two dispatchers through a few hundred batches with every event of the wire."""
+    """Input of 300 batches for two dispatchers, with every kind of event that the protocol has."""
     text = [batch(1_000_000), batch(2_000_000, create(0), create(1))]
     now = 2_000_000
     for n in range(300):
@@ -98,8 +98,8 @@
     return out.getvalue().decode()
 
 
-def of(who: int, text: str) -> list[str]:
-    return [line for line in text.splitlines() if line.split("\t")[1:2] == [str(who)]]
+def lines_for(dispatcher: int, text: str) -> list[str]:
+    return [line for line in text.splitlines() if line.split("\t")[1:2] == [str(dispatcher)]]
 
 
 def test_the_same_events_give_the_same_actions_under_any_hash_seed():
@@ -109,33 +109,33 @@
     assert runs[0].stdout.count(b"transmit") > 10
 
 
-def test_a_dispatcher_acts_alike_alone_and_beside_another():
+def test_a_dispatcher_acts_the_same_alone_and_beside_another():
     together = run(script()).stdout.decode()
     lines = script().splitlines()
-    keep, mine = [], True
+    kept, is_kept = [], True
     for line in lines:
         parts = line.split("\t")
         if parts[0] not in ("round", "end", "row"):
-            mine = parts[1] == "0"
-        if parts[0] in ("round", "end") or mine:
-            keep.append(line)
-    alone = run("\n".join(keep) + "\n").stdout.decode()
-    assert of(0, alone) == of(0, together)
-    assert of(0, alone)
+            is_kept = parts[1] == "0"
+        if parts[0] in ("round", "end") or is_kept:
+            kept.append(line)
+    alone = run("\n".join(kept) + "\n").stdout.decode()
+    assert lines_for(0, alone) == lines_for(0, together)
+    assert lines_for(0, alone)
 
 
 def test_an_empty_batch_is_answered():
     assert answer(batch(5)) == "next\n"
 
 
-def test_a_job_goes_out_and_a_long_batch_is_one_reply():
+def test_a_batch_of_many_jobs_has_one_reply():
     text = answer(batch(1, create(0)) + batch(2, *(arrival(0, n) for n in range(500))))
     assert text.count("next\n") == 2
     assert text.count("transmit\t0\t") == 4
 
 
 @pytest.mark.parametrize(
-    ("lines", "line", "word"),
+    ("lines", "line", "expected"),
     [
         ("nonsense\n", 1, "round"),
         ("round\tsoon\n", 1, "now"),
@@ -159,17 +159,17 @@
         ("round\t5\n", 1, "ended"),
     ],
 )
-def test_malformed_text_names_line_and_field(lines, line, word):
+def test_the_error_for_a_malformed_line_names_the_line_and_the_field(lines, line, expected):
     done = run(batch(0) + lines)
     assert done.returncode not in (0, None)
     assert done.stdout == b"next\n"
     message = done.stderr.decode()
     assert message.count("\n") == 1
     assert f"line {line + 2}:" in message
-    assert word in message
+    assert expected in message
 
 
-def test_bytes_that_are_no_text_are_malformed():
+def test_bytes_that_are_not_utf8_are_malformed():
     done = run(b"round\t5\nlog\t\xff\n")
     assert done.returncode == 1
     assert b"line 2" in done.stderr
@@ -178,10 +178,10 @@
 @pytest.mark.parametrize(
     ("change", "key"),
     [
-        *[({"replicasOfMe": wrong}, "replicasOfMe") for wrong in (0, -1, "many", True, 1 << 40, None)],
+        *[({"replicasOfMe": invalid}, "replicasOfMe") for invalid in (0, -1, "many", True, 1 << 40, None)],
         *[
-            ({"requestClasses": [CONF["requestClasses"][0] | wrong]}, f"{next(iter(wrong))}")
-            for wrong in (
+            ({"requestClasses": [CONF["requestClasses"][0] | invalid]}, f"{next(iter(invalid))}")
+            for invalid in (
                 {"promise": 0},
                 {"promise": -1},
                 {"promise": "x"},
@@ -189,7 +189,7 @@
                 {"worth": float("nan")},
             )
         ],
-        ({"requestClasses": []}, "classes"),
+        ({"requestClasses": []}, "requestClasses"),
         ({"requestClasses": [{"name": "x"}]}, "effect"),
         ({"requestClasses": [{"name": "x", "effect": "odd"}]}, "effect"),
     ],
@@ -200,7 +200,7 @@
     assert key in text
 
 
-def test_a_missing_key_is_named():
+def test_a_missing_key_is_reported_by_name():
     without = {name: value for name, value in CONF.items() if name != "me"}
     assert "settings: me is missing" in answer(batch(1, create(0, without)))
 
@@ -215,7 +215,7 @@
     assert text.endswith("next\n")
 
 
-def test_settings_are_read_in_the_fields_words():
+def test_settings_are_read_into_the_fields_of_the_interface():
     settings = read_settings(CONF)
     plain, once = settings.classes
     assert (plain.effect, plain.stretch, plain.worker_kind) == (api.Effect.SAFE, 2.5, None)
@@ -225,7 +225,7 @@
     assert not settings.may_probe
 
 
-def test_every_action_has_a_line():
+def test_every_action_has_an_output_line():
     sample = [
         (api.Send(1, "w", 5), "transmit\t0\t1\t5\tw\n"),
         (api.Refuse(1, 5), "reject\t0\t1\t5\n"),
@@ -247,6 +247,6 @@
     assert len(sample) - 1 == len(_WRITERS)
 
 
-def test_a_list_cut_short_is_malformed():
+def test_a_worker_list_with_too_few_rows_is_malformed():
     with pytest.raises(WireError, match="line 4"):
         answer(batch(1, "discovery\t0\tincr\t1\t3\nrow\t1\tw\t0\tz\t-\tstd\tU"))
