--- a/heathway/simhost.py
+++ b/heathway/simhost.py
@@ -358,7 +358,7 @@
 }
 
 
-def _encode_payload(data: bytes) -> str:
+def _base64(data: bytes) -> str:
     return base64.b64encode(data).decode() or "-"
 
 
@@ -378,7 +378,7 @@
     api.Subscribe: lambda dispatcher_id, action: f"follow\t{dispatcher_id}\t{int(action.active)}\n",
     api.FetchList: lambda dispatcher_id, action: f"lookup\t{dispatcher_id}\n",
     api.Tell: lambda dispatcher_id, action: (
-        f"share\t{dispatcher_id}\t{-1 if action.to is None else action.to}\t{_encode_payload(action.payload)}\n"
+        f"share\t{dispatcher_id}\t{-1 if action.to is None else action.to}\t{_base64(action.payload)}\n"
     ),
     api.SetTimer: lambda dispatcher_id, action: (
         f"notify_me\t{dispatcher_id}\t{action.delay}\t{action.name}\n"
