--- a/ironbarrow/__init__.py
+++ b/ironbarrow/__init__.py
@@ -1,3 +1,3 @@
-"""ironbarrow: a dispatcher on real sockets round the decisions of heathway."""
+"""ironbarrow: a dispatcher on real sockets that runs the decisions of heathway."""
 
 __version__ = "0.2.0"
--- a/ironbarrow/__main__.py
+++ b/ironbarrow/__main__.py
@@ -1,10 +1,12 @@
+"""The entry point of the program: ``ironbarrow`` and ``python -m ironbarrow``."""
+
 import sys
 
 
 def main() -> None:
-    """The program, as ``ironbarrow`` and as ``python -m ironbarrow``."""
+    """Runs the command line. ``serve`` alone starts without the modules of the other commands."""
     if sys.argv[1:] == ["serve"]:
-        # danger: the limit on memory counts, and the rest of the command line takes a third more
+        # danger: the memory of a dispatcher is limited, and importing the other commands takes a third more
         from ironbarrow.cli.serve import serve
 
         sys.exit(serve())
--- a/ironbarrow/cli/main.py
+++ b/ironbarrow/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: the commands of every day. Each group of commands has a module beside this one."""
+"""The command line: its root and the commands without a group. Each group has a module of its own."""
 
 import os
 from typing import NoReturn
@@ -8,7 +8,7 @@
 from ironbarrow import __version__
 from ironbarrow.cli import config as config_commands
 from ironbarrow.cli import lab
-from ironbarrow.cli import serve as serving
+from ironbarrow.cli import serve as serve_command
 from ironbarrow.config import Config, ConfigError, load
 
 app = typer.Typer(
@@ -23,14 +23,14 @@
 
 @app.command()
 def serve() -> None:
-    """Serve as the environment says (BALANCER_NAME, _LISTEN, _DISCOVERY, _CONFIG), until SIGTERM."""
-    raise typer.Exit(serving.serve())
+    """Serve until SIGTERM, configured by BALANCER_CONFIG, _NAME, _LISTEN and _DISCOVERY."""
+    raise typer.Exit(serve_command.serve())
 
 
 @app.command("check-config")
 def check_config() -> None:
-    """Check the configuration that serve would use, and say in short what it holds."""
-    config = _config()
+    """Check the configuration that serve would use, and print a summary."""
+    config = _load_config()
     classes = ", ".join(cls.name for cls in config.settings.classes)
     typer.echo(f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}; classes: {classes}")
 
@@ -41,13 +41,13 @@
     typer.echo(f"ironbarrow {__version__}")
 
 
-def _config() -> Config:
+def _load_config() -> Config:
     try:
         return load(os.environ)
     except ConfigError as error:
-        _quit(str(error))
+        _exit_with_error(str(error))
 
 
-def _quit(text: str) -> NoReturn:
+def _exit_with_error(text: str) -> NoReturn:
     typer.echo(f"ironbarrow: {text}", err=True)
     raise typer.Exit(2)
--- a/ironbarrow/cli/serve.py
+++ b/ironbarrow/cli/serve.py
@@ -1,4 +1,4 @@
-"""``serve``: one dispatcher in the foreground, with as little in memory as it can start with."""
+"""``serve``: runs one dispatcher in the foreground. Imports are few and late, to save memory at the start."""
 
 import os
 import signal
@@ -10,9 +10,12 @@
 _SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-class _Log:
-    """Standard error, for the lines of the log. Danger: its reader may be gone, in the last instants above
-    all, and that must neither end the program nor show in its exit status."""
+class _StandardError:
+    """Standard error as a file for log lines.
+
+    Danger: whoever reads it may have ended, most likely during the shutdown. A failed write must neither end
+    the program nor change its exit status.
+    """
 
     def write(self, text: str) -> None:
         data = text.encode("utf-8", "backslashreplace")
@@ -27,9 +30,9 @@
 
 
 def serve() -> int:
-    """Serves as the environment says, until SIGTERM; the exit status."""
-    # danger: an order to stop or to reload during the start must neither end the program, with connections
-    # that the listener has taken in, nor be forgotten
+    """Serves until SIGTERM, configured by the environment. Returns the exit status."""
+    # danger: a signal to stop or to reload during the start must neither be lost nor end the program, which
+    # would reset the connections that the listener has accepted
     signal.pthread_sigmask(signal.SIG_BLOCK, _SIGNALS)
     structlog = _import_structlog()
     structlog.configure(
@@ -40,7 +43,7 @@
             structlog.processors.format_exc_info,
             structlog.processors.JSONRenderer(),
         ],
-        logger_factory=structlog.WriteLoggerFactory(file=cast(TextIO, _Log())),
+        logger_factory=structlog.WriteLoggerFactory(file=cast(TextIO, _StandardError())),
         cache_logger_on_first_use=True,
     )
     from ironbarrow.config import ConfigError, load
@@ -49,42 +52,42 @@
     try:
         config = load(os.environ)
     except ConfigError as error:
-        return _failed(str(error))
+        return _report_failure(str(error))
     structlog.contextvars.bind_contextvars(name=config.name)
     try:
         dispatcher = Dispatcher(config)
     except ConfigError as error:
-        return _failed(str(error))
+        return _report_failure(str(error))
     except OSError as error:
-        return _failed(f"cannot listen on {config.listen[0]}:{config.listen[1]}: {error}")
+        return _report_failure(f"cannot listen on {config.listen[0]}:{config.listen[1]}: {error}")
     dispatcher.stop_on_signals()
     dispatcher.reload_on_signal(partial(load, os.environ, prefer_file=True))
     dispatcher.run()
-    # danger: Python takes its handlers away before it is done, and a second order to stop would end it with
-    # another status than 0
+    # danger: Python removes its signal handlers before the process exits, and a second signal to stop would
+    # then end it with a status other than 0
     signal.pthread_sigmask(signal.SIG_BLOCK, _SIGNALS)
     return 0
 
 
 def _import_structlog() -> ModuleType:
-    """structlog without what JSON lines have no use for.
+    """Imports structlog without rich and asyncio, which JSON log lines do not need.
 
-    Danger: it takes in rich for its coloured console wherever that is installed, 8 MB, and asyncio with ssl
-    for methods that nobody awaits here, a sixth of the CPU time of a start, which hundreds may make at once.
-    A module of that name which is there already stays; else its place is taken for as long as this lasts.
+    Danger: structlog imports rich, if it is installed, for its coloured console (8 MB), and asyncio with ssl
+    for its async methods, which are not used here (a sixth of the CPU time of a start; hundreds of processes
+    may start at once). While structlog is imported, stubs stand in for them, unless they are loaded already.
     """
-    places: dict[str, ModuleType | None] = {"rich": None, "asyncio": ModuleType("asyncio")}
-    taken = [name for name in places if name not in sys.modules]
-    for name in taken:
-        sys.modules[name] = places[name]  # type: ignore[assignment]
+    stubs: dict[str, ModuleType | None] = {"rich": None, "asyncio": ModuleType("asyncio")}
+    stubbed = [name for name in stubs if name not in sys.modules]
+    for name in stubbed:
+        sys.modules[name] = stubs[name]  # type: ignore[assignment]
     try:
         import structlog
     finally:
-        for name in taken:
+        for name in stubbed:
             del sys.modules[name]
     return structlog
 
 
-def _failed(text: str) -> int:
+def _report_failure(text: str) -> int:
     print(f"ironbarrow: {text}", file=sys.stderr)
     return 2
--- a/ironbarrow/cli/serve_with_faults.py
+++ b/ironbarrow/cli/serve_with_faults.py
@@ -1,4 +1,4 @@
-"""``ironbarrow serve`` with the failures that ``IRONBARROW_FAULTS`` describes, a plan as JSON."""
+"""``ironbarrow serve`` with injected faults. ``IRONBARROW_FAULTS`` holds the fault plan as JSON."""
 
 import os
 import sys
@@ -8,14 +8,14 @@
 
 
 def main() -> int:
-    """Serves; the exit status."""
+    """Installs the faults and serves. Returns the exit status."""
     try:
         plan = FaultPlan.parse(os.environ.get(PLAN_VARIABLE, "{}"))
     except FaultPlanError as error:
         print(f"{PLAN_VARIABLE}: {error}", file=sys.stderr)
         return 2
     FaultInjector(plan).install()
-    # only now: what the program takes from these modules as it is loaded is the replaced calls
+    # imported after the installation, so that names that modules import are bound to the replaced calls
     from ironbarrow.cli.serve import serve
 
     return serve()
