--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""The rules, in virtual time and in rounds, under the settings of many customers."""
+"""The rules hold in any deployment: drawn settings and workers, virtual time, events only once a tick."""
 
 import random
 import subprocess
@@ -22,25 +22,26 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """What a customer's settings say, and where its workers are."""
+    """The settings and the workers of one customer."""
 
     settings: api.Settings
     workers: tuple[api.WorkerEntry, ...]
 
 
 class RoundWorld(World):
-    """A dispatcher that is told in rounds alone: timers and time-outs come with the first one that is due."""
+    """A world that calls its dispatcher only once a tick; timers and time-outs come at the next tick."""
 
     def advance(self, length: int) -> None:
+        """Lets ``length`` ns pass, in whole ticks and at least one."""
         tick = self.settings.tick
         until = self.now + max(1, length // tick) * tick
         while True:
             due = [t for t, _ in self.timers] + [self.jobs[job].deadline for job, _ in self.out()]
-            at = min(due, default=until + 1)
-            at = self.now + max(0, -(-(at - self.now) // tick)) * tick
-            if at > until:
+            next_due = min(due, default=until + 1)
+            next_due = self.now + max(0, -(-(next_due - self.now) // tick)) * tick
+            if next_due > until:
                 break
-            self.now = at
+            self.now = next_due
             for job, number in self.out():
                 if self.jobs[job].deadline <= self.now:
                     self.end(job, number, Outcome.TIMEOUT)
@@ -55,11 +56,11 @@
 
 @st.composite
 def job_classes(draw: st.DrawFn) -> tuple[api.JobClass, ...]:
-    made = []
+    classes = []
     for number in range(draw(st.integers(1, 4))):
         effect = draw(st.sampled_from(Effect))
         deadline = draw(st.sampled_from([300, 500, 1500, 2400, 10_000, 60_000])) * MS
-        made.append(
+        classes.append(
             api.JobClass(
                 f"class {number}",
                 effect,
@@ -74,7 +75,7 @@
                 priority=number,
             )
         )
-    return tuple(made)
+    return tuple(classes)
 
 
 @st.composite
@@ -84,7 +85,7 @@
     dispatchers = draw(st.sampled_from([1, 2, 3, 12, 200]))
     tenants = draw(st.sampled_from([0, 1, 3, 200]))
     reports = draw(st.sampled_from([(), ("x0",), ("held", "busy")]))
-    made = api.Settings(
+    drawn = api.Settings(
         me=draw(st.integers(0, dispatchers - 1)),
         dispatchers=dispatchers,
         zone=draw(st.sampled_from(zones)) if zones else "",
@@ -121,7 +122,7 @@
         )
         for n in range(WORKERS)
     )
-    return Deployment(made, workers)
+    return Deployment(drawn, workers)
 
 
 Step = tuple[str, int, object]
@@ -129,11 +130,11 @@
 
 
 def drawn_steps(seed: int, number: int) -> list[Step]:
-    """So many steps, of which a shorter draw with the same seed has the first ones."""
+    """``number`` random steps. With the same seed, a lower number gives the first of them."""
     draw = random.Random(seed)
-    quiet = draw.random() < 0.3  # nothing happens to the workers
+    stable_workers = draw.random() < 0.3
     names = ["arrive"] * 16 + ["end"] * 12 + ["start", "advance"] * 4 + ["probes", "withdraw"]
-    names += [] if quiet else ["listed", "restart", "full_list", "lost"]
+    names += [] if stable_workers else ["listed", "restart", "full_list", "lost"]
     steps: list[Step] = []
     for _ in range(number):
         what, one, two = draw.choice(names), draw.randrange(1000), draw.randrange(6)
@@ -147,17 +148,17 @@
     return steps
 
 
-class Play:
-    """Plays steps, each of them legal under any settings."""
+class StepRunner:
+    """Runs steps on a world; every step is possible under any settings."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.workers = deployment.workers
         self.world = RoundWorld(deployment.settings, deployment.workers, seed)
-        self.answered = 0  # probes
+        self.answered_probes = 0
 
     def step(self, what: str, one: int, two: object) -> None:
         getattr(self, what)(one, two)
-        self.world.advance(1)  # one round
+        self.world.advance(1)  # one tick
 
     def report(self, number: int) -> api.LoadReport | None:
         if not self.world.settings.report_fields:
@@ -167,11 +168,13 @@
         return api.LoadReport(held=float(number % 4), busy=number % 4 / 4)
 
     def arrive(self, one: int, two: int) -> None:
-        known = self.world.settings
-        cls = known.classes[one % len(known.classes)]
-        left = max(1, int(cls.deadline * (0.01, 0.1, 0.4, 1.0, 1.0, 1.0)[two]))
-        tenant = known.tenants[two % len(known.tenants)].name if known.tenants else None
-        self.world.arrive(cls.name, key=two or None, left=left, tenant=tenant, slots=(1.0, 1.0, 2.0)[one % 3])
+        conf = self.world.settings
+        cls = conf.classes[one % len(conf.classes)]
+        time_left = max(1, int(cls.deadline * (0.01, 0.1, 0.4, 1.0, 1.0, 1.0)[two]))
+        tenant = conf.tenants[two % len(conf.tenants)].name if conf.tenants else None
+        self.world.arrive(
+            cls.name, key=two or None, left=time_left, tenant=tenant, slots=(1.0, 1.0, 2.0)[one % 3]
+        )
 
     def end(self, one: int, outcome: Outcome) -> None:
         out = self.world.out()
@@ -189,9 +192,9 @@
         self.world.advance(one * MS)
 
     def withdraw(self, one: int, _: object) -> None:
-        live = [job for job, owed in self.world.jobs.items() if not owed.over]
-        if live:
-            self.world.withdraw(live[one % len(live)])
+        open_jobs = [job for job, owed in self.world.jobs.items() if not owed.over]
+        if open_jobs:
+            self.world.withdraw(open_jobs[one % len(open_jobs)])
 
     def listed(self, one: int, state: WorkerState) -> None:
         self.world.listed(ListKind.CHANGES, (replace(self.workers[one % WORKERS], state=state),))
@@ -210,18 +213,19 @@
 
     def probes(self, code: int, _: object) -> None:
         sent = [a.worker for a in self.world.actions if isinstance(a, api.Probe)]
-        for worker in sent[self.answered :]:
+        for worker in sent[self.answered_probes :]:
             report = self.report(code) if code == 0 else None
             self.world.batch(api.ProbeEnded(worker, Outcome(code), 2 * MS, report))
-        self.answered = len(sent)
+        self.answered_probes = len(sent)
 
 
 def play(deployment: Deployment, steps: list[Step], seed: int) -> World:
-    played = Play(deployment, seed)
+    """Runs the steps, and then time until every deadline is past."""
+    runner = StepRunner(deployment, seed)
     for what, one, two in steps:
-        played.step(what, one, two)
-    played.world.advance(max(cls.deadline for cls in deployment.settings.classes) + S)
-    return played.world
+        runner.step(what, one, two)
+    runner.world.advance(max(cls.deadline for cls in deployment.settings.classes) + S)
+    return runner.world
 
 
 @settings(max_examples=120)
@@ -231,32 +235,32 @@
     assert all(owed.over for owed in world.jobs.values())
 
 
-def sent_anywhere(self: Dispatcher, worker: Worker) -> None:
+def mark_as_warm(self: Dispatcher, worker: Worker) -> None:
     self.ring.mark(worker, True, cold=False)
 
 
 @pytest.mark.parametrize(
-    ("method", "instead", "rule"),
+    ("method", "replacement", "rule"),
     [
         ("_may_send_again", lambda *_: True, "an unsafe job sent again"),
         ("_may_refuse", lambda *_: True, "rule 2: refused"),
         ("_repeat_group", lambda *_: -1, "rule 2: (past the window|another)"),
-        ("_update_ring", sent_anywhere, "rule 3"),
+        ("_update_ring", mark_as_warm, "rule 3"),
     ],
 )
-def test_drawn_steps_catch_decisions_that_break_a_rule(method, instead, rule, monkeypatch):
-    monkeypatch.setattr(Dispatcher, method, instead)
+def test_drawn_steps_catch_decisions_that_break_a_rule(method, replacement, rule, monkeypatch):
+    monkeypatch.setattr(Dispatcher, method, replacement)
     classes = (
         api.JobClass("short", Effect.KEYED, S, 5 * S, group=Group.CELL, window=2 * S),
         api.JobClass("once", Effect.UNSAFE, S, 5 * S),
     )
-    known = api.Settings(
+    conf = api.Settings(
         me=0, dispatchers=1, zone="a", zones=("a",), classes=classes, tick=4 * MS, answer_slack=16 * MS
     )
     workers = tuple(api.WorkerEntry(f"w{n}", "a", n // 3, "std") for n in range(WORKERS))
     with pytest.raises(AssertionError, match=rule):
         for seed in range(50):
-            play(Deployment(known, workers), drawn_steps(seed, 80), seed)
+            play(Deployment(conf, workers), drawn_steps(seed, 80), seed)
 
 
 @settings(max_examples=120)
@@ -279,17 +283,17 @@
 @pytest.mark.parametrize("group", list(Group))
 def test_a_repeat_within_a_short_window_stays_in_its_group_or_is_not_made(group, window, outcome):
     cls = api.JobClass("short", Effect.KEYED, 200 * MS, 2 * S, group=group, window=window * MS)
-    known = api.Settings(
+    conf = api.Settings(
         me=0, dispatchers=1, zone="a", zones=("a", "b"), classes=(cls,), tick=4 * MS, answer_slack=16 * MS
     )
     workers = tuple(api.WorkerEntry(f"w{n}", "ab"[n % 2], n // 4, "std") for n in range(WORKERS))
-    world = RoundWorld(known, workers)
+    world = RoundWorld(conf, workers)
     job = world.arrive("short", left=2 * S)
     world.advance(60 * MS)
     world.end(job, 0, outcome)
-    repeated = window > 60
-    assert len(world.attempts(job)) == 1 + repeated  # the world checks its group
-    if repeated:
+    is_repeated = window > 60
+    assert len(world.attempts(job)) == 1 + is_repeated  # the world checks its group
+    if is_repeated:
         world.end(job, 1, outcome)
     world.advance(3 * S)
     assert [type(answer) for answer in world.answers(job)] == [api.Refuse if group is Group.ALL else api.Fail]
@@ -298,10 +302,10 @@
 SITES = Path(__file__).parents[1] / "deploy" / "sites"
 
 
-def test_our_own_deployments_differ_in_what_settings_tell():
+def test_our_own_deployments_differ_in_names_permissions_and_tenants():
     sites = [tomllib.loads(path.read_text()) for path in sorted(SITES.glob("*.toml"))]
     assert len(sites) == 2
-    for values in (
+    for values in (  # the names of classes, zones and kinds of workers
         lambda site: {cls["name"] for cls in site["class"]},
         lambda site: set(site["net"]["zones"]),
         lambda site: {kind["name"] for tier in site["tier"] for kind in tier["kind"]},
@@ -314,7 +318,7 @@
     assert sorted(bool(site.get("tenant")) for site in sites) == [False, True]
 
 
-def test_the_bench_names_are_named_where_they_are_missing(tmp_path):
+def test_lay_reports_the_file_that_is_missing(tmp_path):
     done = subprocess.run([SITES / "lay", tmp_path], capture_output=True, text=True, check=False)
     assert (done.returncode, done.stdout) == (2, "")
     assert done.stderr == (
