--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -231,6 +231,20 @@
     fleet.check()
 
 
+def test_a_dispatcher_restarted_at_the_moment_of_a_workers_start_does_not_spend_its_share_again():
+    # guards against a restart within the same clock reading as the worker's start: the new process takes the
+    # worker for one that has started after it, and spends its share a second time
+    fleet_rules = fleet_settings(
+        1, fall_multiple=6.0, fall_window=223 * MS, start_capacity=1.0, cold_time=1 * S
+    )
+    fleet = Fleet(fleet_rules, (50 * MS,), 1.0)
+    fleet.tell_all()
+    fleet.offer(fleet.dispatchers[0], Offer((0,)), most=40)
+    restart(fleet, [0])
+    fleet.offer(fleet.dispatchers[0], Offer((0,)), most=40)
+    fleet.check()
+
+
 def test_a_fleet_that_starts_with_cold_workers_serves_after_one_window():
     fleet = Fleet(fleet_settings(3), CLASS_MEANS[1:], 5.0)
     fleet.now += 5 * S
