--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -17,7 +17,7 @@
 from ironbarrow.config.platform import Config, ConfigError
 from ironbarrow.core.host import Host
 from ironbarrow.discovery.client import Discovery
-from ironbarrow.fronts.clients import Clients
+from ironbarrow.fronts.server import Clients
 from ironbarrow.runtime.loop import MS, SECOND, Loop
 from ironbarrow.runtime.retry import until_it_goes
 from ironbarrow.runtime.sockets import listen
--- a/ironbarrow/fronts/clients.py
+++ b/ironbarrow/fronts/server.py
@@ -12,7 +12,7 @@
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.core.host import Host
 from ironbarrow.core.jobs import Answer, Job, Payload, Terms
-from ironbarrow.fronts.places import FRESH, LINGER_LIMIT, Places
+from ironbarrow.fronts.connection_slots import FRESH, LINGER_LIMIT, Places
 from ironbarrow.fronts.requests import (
     JSON,
     BadRequestError,
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -12,7 +12,7 @@
 from heathway.settings import read_settings
 from ironbarrow.core.endings import Ending
 from ironbarrow.core.jobs import Attempt
-from ironbarrow.fronts import clients
+from ironbarrow.fronts import server
 from ironbarrow.runtime.loop import MS
 from ironbarrow.transport import http
 from ironbarrow.transport.http import Connection
@@ -213,8 +213,8 @@
     # danger: a close over unread bytes resets the connection, and with it goes the answer before it
     first, end = ENDS[name]
     if end is let_time_pass:
-        monkeypatch.setattr(clients, "_IDLE_LIMIT", 100 * MS)
-        monkeypatch.setattr(clients, "_FIRST_LIMIT", 100 * MS)
+        monkeypatch.setattr(server, "_IDLE_LIMIT", 100 * MS)
+        monkeypatch.setattr(server, "_FIRST_LIMIT", 100 * MS)
     stage = stages(sockets=38)  # room for three clients
     sent = Sent(stage)
     client = socket.create_connection(stage.address)
@@ -253,7 +253,7 @@
 def test_a_request_that_comes_in_the_turn_in_which_the_time_is_over_is_served(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch, limit: str
 ) -> None:
-    monkeypatch.setattr(clients, limit, 100 * MS)
+    monkeypatch.setattr(server, limit, 100 * MS)
     stage = stages()
     steps(stage, f"c1 send {READY}\nc1 expect 200\nwait 10" if limit == "_IDLE_LIMIT" else "c1 silent 10")
     found = stage.dispatcher.clients._places
@@ -290,7 +290,7 @@
 def test_one_that_always_has_another_in_is_ended_all_the_same(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "LINGER_LIMIT", 200 * MS)
+    monkeypatch.setattr(server, "LINGER_LIMIT", 200 * MS)
     stage = stages()
     steps(stage, f"c1 send {READY}\nc1 expect 200\nc1 fill {READY * 1000}")
     stage.dispatcher.clients.close_idle()
@@ -327,7 +327,7 @@
 def test_a_slow_reader_has_its_answer_up_to_its_time(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "_WRITE_LIMIT", 50 * MS)
+    monkeypatch.setattr(server, "_WRITE_LIMIT", 50 * MS)
     stage = stages()
     client = slow_reader(stage, 9000)
     stage.pass_time(0.3)
@@ -346,8 +346,8 @@
 def test_one_that_reads_nothing_holds_its_place_up_to_its_time(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "_WRITE_LIMIT", 50 * MS)
-    monkeypatch.setattr(clients, "_AFTER_DEADLINE", 100 * MS)
+    monkeypatch.setattr(server, "_WRITE_LIMIT", 50 * MS)
+    monkeypatch.setattr(server, "_AFTER_DEADLINE", 100 * MS)
     stage = stages()
     client = slow_reader(stage, 300)
     assert stage.dispatcher.clients.busy
@@ -374,7 +374,7 @@
 def test_a_later_request_that_stops_half_way_makes_room_too(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch, half: str
 ) -> None:
-    monkeypatch.setattr(clients, "_REQUEST_LIMIT", 60_000 * MS)
+    monkeypatch.setattr(server, "_REQUEST_LIMIT", 60_000 * MS)
     stage = stages(sockets=38)  # room for three clients
     steps(
         stage, "".join(f"c{n} send {READY}\nc{n} expect 200\nc{n} send {half}\nwait 5\n" for n in (1, 2, 3))
@@ -385,7 +385,7 @@
 def test_later_requests_that_stop_half_way_share_the_limit_on_memory(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "_REQUEST_LIMIT", 60_000 * MS)
+    monkeypatch.setattr(server, "_REQUEST_LIMIT", 60_000 * MS)
     stage = stages(sockets=1024, memory_mb=1)  # half a megabyte for all of them
     half = job().replace("Content-Length: 2", "Content-Length: 60000") + "x" * 50_000
     steps(
@@ -511,7 +511,7 @@
 def test_a_request_that_never_ends_is_answered_and_closed(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch, name: str, again: bool
 ) -> None:
-    monkeypatch.setattr(clients, "_REQUEST_LIMIT", 150 * MS)
+    monkeypatch.setattr(server, "_REQUEST_LIMIT", 150 * MS)
     stage = stages()
     sent = Sent(stage)
     steps(stage, f"c1 send {READY}\nc1 expect ready\n" if again else "c1 silent 1")
@@ -524,7 +524,7 @@
 def test_bytes_that_come_one_by_one_have_one_limit_together(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "_REQUEST_LIMIT", 200 * MS)
+    monkeypatch.setattr(server, "_REQUEST_LIMIT", 200 * MS)
     stage = stages()
     sent = Sent(stage)
     text = iter(job().replace("\\r", "\r").replace("\\n", "\n").encode())
@@ -600,14 +600,14 @@
 ) -> None:
     """Guards against a worker told more time than its client has, after accept has failed (bcef66)."""
     stage = stages(workers=1)
-    accept, until = clients.accept, time.monotonic() + 0.3
+    accept, until = server.accept, time.monotonic() + 0.3
 
     def failing(listener: socket.socket) -> Any:
         if time.monotonic() < until:
             raise OSError(errno.ENFILE, "for a moment")
         return accept(listener)
 
-    monkeypatch.setattr(clients, "accept", failing)
+    monkeypatch.setattr(server, "accept", failing)
     steps(stage, f"c1 send {job(ms=2000)}\np1 expect X-Timeout-Ms: 1[0-7][0-9][0-9]\\r.*in$")
     steps(stage, f"p1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}\nc1 expect x$")
     steps(stage, f"c1 send {job('j2', ms=2000)}\np1 expect X-Timeout-Ms: (2000|19[0-9][0-9])\\r.*in$")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -20,7 +20,7 @@
 
 from heathway.settings import read_settings
 from ironbarrow.daemon.dispatcher import Pace
-from ironbarrow.fronts.clients import Clients
+from ironbarrow.fronts.server import Clients
 from ironbarrow.runtime.loop import MS, SECOND
 from tests.scenario import SETTINGS, Peer, Stage, answer, call_back, job
 from tests.test_config import ROOT, UNUSED, logged, written
