--- a/ironbarrow/admin/door.py
+++ b/ironbarrow/admin/door.py
@@ -82,13 +82,13 @@
                 if connection is None:
                     break
                 self._open += 1
-                connection.used_at = self._loop.now()
+                connection.last_used_at = self._loop.now()
                 self._loop.spawn(self._serve(connection))
 
     def _make_room(self) -> bool:
         """Lets the caller go that has been silent for longest; one whose bytes are in is served."""
         for connection, task in self._waiting.items():
-            if connection.is_silent():
+            if connection.is_idle():
                 task.cancel()
                 return True
         return False
@@ -99,7 +99,9 @@
         self._waiting[connection] = task
         try:
             try:
-                request = yield from connection.read_message(connection.used_at + _CALL_LIMIT, _BODY_MOST)
+                request = yield from connection.read_message(
+                    connection.last_used_at + _CALL_LIMIT, _BODY_MOST
+                )
                 reply = self._answer(request)
             except ConnectionEndedError as error:
                 if error.ending not in (Ending.MALFORMED, Ending.TOO_LARGE, Ending.STALLED):
--- a/ironbarrow/backs/invoker.py
+++ b/ironbarrow/backs/invoker.py
@@ -16,7 +16,7 @@
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.core.host import Host
 from ironbarrow.core.jobs import Attempt
-from ironbarrow.discovery.client import Discovery
+from ironbarrow.discovery.client import DiscoveryClient
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine, Loop, Task, sleep
 from ironbarrow.runtime.sockets import Address
 from ironbarrow.transport.http import Connection, connect
@@ -55,7 +55,9 @@
     @property
     def has_unread_answer(self) -> bool:
         """Whether some of the worker's answer is in and was not looked at: it may be a 202."""
-        return self.connection is not None and (self.connection.started or not self.connection.is_silent())
+        return self.connection is not None and (
+            self.connection.message_started or not self.connection.is_idle()
+        )
 
 
 class HttpInvoker:
@@ -65,7 +67,7 @@
         self,
         loop: Loop,
         host: Host,
-        discovery: Discovery,
+        discovery: DiscoveryClient,
         reports: ReportReader,
         *,
         connect_timeout: int,
--- a/ironbarrow/backs/pool.py
+++ b/ironbarrow/backs/pool.py
@@ -44,7 +44,7 @@
                 continue
             pool.remove(idle)
             self._count -= 1
-            if now - idle.since < self._idle_limit and idle.connection.is_silent():
+            if now - idle.since < self._idle_limit and idle.connection.is_idle():
                 return idle.connection
             idle.connection.close()
         return None
@@ -88,7 +88,7 @@
         oldest = self._loop.now() - self._idle_limit
         for address in list(self._pools):
             pool = self._pools[address]
-            while pool and (pool[0].since < oldest or not pool[0].connection.is_silent()):
+            while pool and (pool[0].since < oldest or not pool[0].connection.is_idle()):
                 pool.popleft().connection.close()
                 self._count -= 1
             if not pool:
--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -16,8 +16,8 @@
 from ironbarrow.backs.invoker import HttpInvoker
 from ironbarrow.config.platform import Config, ConfigError
 from ironbarrow.core.host import Host
-from ironbarrow.discovery.client import Discovery
-from ironbarrow.fronts.server import Clients
+from ironbarrow.discovery.client import DiscoveryClient
+from ironbarrow.fronts.server import HttpServer
 from ironbarrow.runtime.loop import MS, SECOND, Loop
 from ironbarrow.runtime.retry import until_it_goes
 from ironbarrow.runtime.sockets import listen
@@ -92,11 +92,11 @@
 
             self._operations = Operations(self.loop, self.host, config.folder, config.name)
         asks = config.settings.asks_for_list
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             self.loop, config.discovery, self._listed, on_request=asks, seed=config.seed
         )
         if asks:
-            self.host.follow = self.discovery.ask
+            self.host.follow = self.discovery.subscribe
         spare = _descriptors(config.sockets) - _RESERVED - (_DOOR if config.admin is not None else 0)
         if config.fleet is not None:
             spare = _without_links(config, config.fleet, spare)
@@ -111,14 +111,14 @@
             most=spare - spare * 5 // 8 + _RESERVED // 2,
         )
         self.host.invoker = self.invoker
-        self.clients = Clients(
+        self.clients = HttpServer(
             self.loop,
             self.host,
             self.listener,
             self._called_back,
             self.invoker.free_descriptors,
-            most=spare * 5 // 8,
-            most_buffered=max(1, config.memory_mb - _PROGRAM_MB) * _MB // 2,
+            max_connections=spare * 5 // 8,
+            max_buffered_bytes=max(1, config.memory_mb - _PROGRAM_MB) * _MB // 2,
         )
         self._router: Any = None
         if config.routes is not None:
@@ -154,7 +154,7 @@
             raise ConfigError(str(error)) from None
         except OSError as error:
             raise ConfigError(f"{path}: listen: can't listen there: {error}") from None
-        self.clients.shared = self.fleet.work
+        self.clients.fleet_jobs = self.fleet.work
 
     def _open_channel(self, config: Config) -> None:
         """Where the process that replaces this one finds it."""
@@ -226,7 +226,7 @@
         else has changed is named in the log and waits for a start."""
         table = self._read_routes(config)
         self._route(table)
-        self.discovery.move(config.discovery)
+        self.discovery.switch_to(config.discovery)
         fixed = (
             "name",
             "listen",
@@ -339,7 +339,7 @@
         kept = self._upgrade.owed + self._upgrade.handed_over if self._upgrade is not None else 0
         kept += self.fleet.work.owed if self.fleet is not None else 0
         # danger: one whose peer never closes its side would hold up the end beyond SIGKILL
-        waited_for = self.clients.busy and self.loop.now() < self._gone_at
+        waited_for = self.clients.has_connections and self.loop.now() < self._gone_at
         if self.host.owed or kept or waited_for:
             self.loop.call_at(self.loop.now() + _DONE_CHECKED, self._stop_when_done)
         elif self.fleet is None:
--- a/ironbarrow/discovery/__init__.py
+++ b/ironbarrow/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The list of workers and the watch on it."""
+"""The list of workers and the watch for its changes."""
--- a/ironbarrow/fronts/__init__.py
+++ b/ironbarrow/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Where jobs come in and final answers go out."""
+"""The server that accepts jobs from clients and returns their final answers."""
--- a/ironbarrow/fronts/connection_slots.py
+++ b/ironbarrow/fronts/connection_slots.py
@@ -1,149 +1,161 @@
-"""Who has a place among the connections that come in, and how a connection gives it up.
+"""Limits on the connections of one listener: slots, buffered bytes, and the eviction of unused connections.
 
-A connection ends between requests in one way alone: the own side is shut, what crosses that is read away and
-never served, then it is closed. It has no place from the shutdown on.
+A connection that is ended between two requests is always ended in the same way: its sending side is shut
+down, input that still arrives is discarded and never served, then it is closed. Its slot is free from the
+shutdown on.
 """
 
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine, Loop, Task
 from ironbarrow.transport.http import Connection
 
-LINGER_LIMIT = 1 * SECOND
-FRESH = 200 * MS  # a new connection is left so long for its first request to come
-_RESERVED_SHARE = 8  # one place of so many is kept from jobs
-_ENDING_SHARE = 16  # so many places in one may end beside those that are taken
-_FEWEST = 8  # places that stay when descriptors run out
-_SHORT_FOR = 10 * SECOND  # from then until all of them may be taken again
+LINGER_TIMEOUT = 1 * SECOND
+NEW_CONNECTION_GRACE = 200 * MS  # a new connection is not evicted for so long
+_JOB_RESERVE_DIVISOR = 8  # one slot in so many is reserved for requests other than jobs
+_LINGERING_DIVISOR = 16  # one connection in so many may linger beside those that have a slot
+_MIN_SLOTS = 8  # slots that remain when descriptors run out
+_SHORTAGE_DURATION = 10 * SECOND  # from a shortage of descriptors until all slots may be used again
 
 
-class Places:
-    """All connections of one listener. ``most``: places; ``most_buffered``: bytes of unfinished requests, and
-    as many of the bodies of jobs."""
+class ConnectionSlots:
+    """Tracks all connections of one listener.
 
-    def __init__(self, loop: Loop, most: int, most_buffered: int) -> None:
+    ``max_connections``: connections with a slot. ``max_buffered_bytes``: limit on the bytes of incomplete
+    requests, and likewise on the bodies of jobs.
+    """
+
+    def __init__(self, loop: Loop, max_connections: int, max_buffered_bytes: int) -> None:
         self._loop = loop
-        self._given = most
-        self._most = most  # fewer while descriptors are short
-        self._most_ending = max(2, most // _ENDING_SHARE)
-        self._most_buffered = most_buffered
-        self._buffered = 0  # bytes of requests that are not whole yet, or not begun
-        self._open = 0
-        self.reading: dict[Connection, Task] = {}  # no whole request yet, the oldest first
+        self._configured_max = max_connections
+        self._max_open = max_connections  # lower than configured while descriptors are short
+        self._max_lingering = max(2, max_connections // _LINGERING_DIVISOR)
+        self._max_buffered_bytes = max_buffered_bytes
+        self._buffered_bytes = 0  # of requests that are incomplete or not being read yet
+        self._open_count = 0
+        self.reading: dict[Connection, Task] = {}  # without a complete request, the oldest first
         self.idle: dict[Connection, Task] = {}  # between requests, the longest idle first
-        self._jobs: dict[Connection, int] = {}  # from taking a job to its answer's last byte: the body's size
+        # body sizes in bytes, from accepting a job until its response is written
+        self._job_sizes: dict[Connection, int] = {}
         self._job_bytes = 0
-        self._ending: dict[Connection, Task] = {}  # shut, the longest so first
+        self._lingering: dict[Connection, Task] = {}  # after the shutdown, the oldest first
 
     @property
-    def taken(self) -> int:
-        """Connections that are not closed yet."""
-        return self._open + len(self._ending)
+    def in_use(self) -> int:
+        """Connections that are not closed yet, with or without a slot."""
+        return self._open_count + len(self._lingering)
 
     def has_room_for_job(self, size: int) -> bool:
-        """Whether one more may be taken. Danger: with jobs in all places, no call-back comes in any more and
-        none of the jobs would end; and hundreds with large bodies are more than the memory holds."""
-        most = max(1, self._most - max(1, self._most // _RESERVED_SHARE))
-        return len(self._jobs) < most and self._job_bytes + size <= self._most_buffered
+        """Whether another job with a body of ``size`` bytes may be accepted.
+
+        If jobs held all slots, no call-back could come in and none of the jobs would end. Hundreds of large
+        bodies would exceed the memory.
+        """
+        max_jobs = max(1, self._max_open - max(1, self._max_open // _JOB_RESERVE_DIVISOR))
+        return len(self._job_sizes) < max_jobs and self._job_bytes + size <= self._max_buffered_bytes
 
     def begin_job(self, connection: Connection, size: int) -> None:
-        self._jobs[connection] = size
+        """Counts a job with a body of ``size`` bytes until ``end_job``."""
+        self._job_sizes[connection] = size
         self._job_bytes += size
 
     def end_job(self, connection: Connection) -> None:
-        """Its answer is out, or never will be; not every request is a job."""
-        self._job_bytes -= self._jobs.pop(connection, 0)
-
-    def take(self, connection: Connection) -> None:
-        """It has a place, to be left by ``leave``."""
-        self._open += 1
-        connection.used_at = self._loop.now()
-        connection.grew = self._grew
-
-    def leave(self, connection: Connection) -> None:
-        """Its task ends here: closes it, or, once its own side is shut, reads out what still comes first."""
-        self._buffered -= connection.held
-        connection.size = 0
+        """Ends the count of a job; does nothing if the request was not a job."""
+        self._job_bytes -= self._job_sizes.pop(connection, 0)
+
+    def acquire(self, connection: Connection) -> None:
+        """Gives a new connection a slot, to be freed by ``release``."""
+        self._open_count += 1
+        connection.last_used_at = self._loop.now()
+        connection.on_buffered = self._on_buffered
+
+    def release(self, connection: Connection) -> None:
+        """Frees a connection's slot and closes it; after a shutdown of the sending side, lingers first."""
+        self._buffered_bytes -= connection.buffered_bytes
+        connection.message_bytes = 0
         self.reading.pop(connection, None)
         self.idle.pop(connection, None)
         self.end_job(connection)
-        connection.grew = None
-        self._open -= 1
-        if connection.shut:
-            self._ending[connection] = self._loop.spawn(self._read_out(connection))
+        connection.on_buffered = None
+        self._open_count -= 1
+        if connection.write_closed:
+            self._lingering[connection] = self._loop.spawn(self._linger(connection))
         else:
             connection.close()
 
-    def release(self, connection: Connection) -> None:
-        """What it has read is a whole request now."""
-        self._buffered -= connection.size
-        connection.size = 0
-
-    def drop(self, connection: Connection) -> bool:
-        """Ends one between requests; whether that could be."""
-        # danger: a request that has just come in was taken; closing now would lose it
-        if not connection.is_silent():
+    def request_complete(self, connection: Connection) -> None:
+        """The connection's buffered input became a complete request and no longer counts."""
+        self._buffered_bytes -= connection.message_bytes
+        connection.message_bytes = 0
+
+    def evict(self, connection: Connection) -> bool:
+        """Ends a connection without a complete request; False if it has unread input."""
+        # the unread input may be a whole request, which would be lost if the connection were closed now
+        if not connection.is_idle():
             return False
-        connection.shut_down()
+        connection.shutdown_write()
         (self.reading.pop(connection, None) or self.idle.pop(connection)).cancel()
         return True
 
     def make_room(self) -> bool:
-        """Whether a place is free for one more, or could be made free: by a connection that has brought no
-        whole request, else by the one that has been idle longest; its client opens another when it needs one.
+        """Frees a slot for a new connection if none is free; False if that is not possible.
 
-        Danger: hundreds that connect and say nothing would leave no place to the usual clients.
+        Evicts a connection without a complete request, or else the one that has been idle for longest, whose
+        client can open another. Otherwise hundreds of connections that send nothing would shut out others.
         """
-        if self._open >= self._most and not self._drop_one():
+        if self._open_count >= self._max_open and not self._evict_one():
             return False
-        if self.taken >= self._most + self._most_ending:
-            self._close_ending()
+        if self.in_use >= self._max_open + self._max_lingering:
+            self._close_lingering()
         return True
 
-    def free_descriptors(self) -> None:
-        """Gives a quarter of the places back for a while, those of connections that carry no request.
+    def release_descriptors(self) -> None:
+        """Lowers the number of slots to three quarters of those in use for _SHORTAGE_DURATION, and evicts
+        connections without a complete request down to that.
 
-        Danger: one that is freed alone is taken by the next connection that comes in, and the discovery
-        service and the workers never get any.
+        If only one descriptor was freed, the next incoming connection would take it, and the discovery client
+        and the connections to workers would never get one.
         """
-        self._most = min(self._most, max(_FEWEST, self.taken * 3 // 4))
-        while self._open > self._most and self._drop_one():
+        self._max_open = min(self._max_open, max(_MIN_SLOTS, self.in_use * 3 // 4))
+        while self._open_count > self._max_open and self._evict_one():
             pass
-        while self._ending:
-            self._close_ending()
-        self._loop.call_at(self._loop.now() + _SHORT_FOR, self._restore)
+        while self._lingering:
+            self._close_lingering()
+        self._loop.call_at(self._loop.now() + _SHORTAGE_DURATION, self._restore_max)
 
-    def _restore(self) -> None:
-        self._most = self._given
+    def _restore_max(self) -> None:
+        self._max_open = self._configured_max
 
-    def room_ahead(self) -> int:
-        """Bytes that may be kept of requests whose turn has not come."""
-        return max(0, self._most_buffered // 2 - self._buffered)
+    def read_ahead_budget(self) -> int:
+        """Bytes of input beyond the current requests that may still be buffered."""
+        return max(0, self._max_buffered_bytes // 2 - self._buffered_bytes)
 
-    def _drop_one(self) -> bool:
-        fresh_since = self._loop.now() - FRESH
+    def _evict_one(self) -> bool:
+        grace_start = self._loop.now() - NEW_CONNECTION_GRACE
         for connection in self.reading:
-            if connection.used_at > fresh_since:
+            if connection.last_used_at > grace_start:
                 break
-            if self.drop(connection):
+            if self.evict(connection):
                 return True
-        return any(self.drop(connection) for connection in list(self.idle))
-
-    def _close_ending(self) -> None:
-        """Danger: peers that never close their side would keep the descriptors of those who ask."""
-        for connection in self._ending:
-            self._ending.pop(connection).cancel()
-            connection.close()  # a task that has not begun runs none of its lines
+        return any(self.evict(connection) for connection in list(self.idle))
+
+    def _close_lingering(self) -> None:
+        """Closes the connection that has lingered for longest. Otherwise peers that never close their side
+        would hold descriptors that new connections need."""
+        for connection in self._lingering:
+            self._lingering.pop(connection).cancel()
+            connection.close()  # a task that is cancelled before it starts doesn't run its finally
             return
 
-    def _grew(self, connection: Connection, size: int) -> None:
-        """Danger: many requests that stop half-way would together hold more memory than there is."""
-        self._buffered += size
-        for other in list(self.reading) if self._buffered > self._most_buffered else ():
-            if other is not connection and other.started and self.drop(other):
+    def _on_buffered(self, connection: Connection, size: int) -> None:
+        """Counts buffered input; above the limit, evicts another connection with an incomplete request.
+        Otherwise many requests that stop half-way would together exceed the memory."""
+        self._buffered_bytes += size
+        for other in list(self.reading) if self._buffered_bytes > self._max_buffered_bytes else ():
+            if other is not connection and other.message_started and self.evict(other):
                 return
 
-    def _read_out(self, connection: Connection) -> Coroutine[None]:
+    def _linger(self, connection: Connection) -> Coroutine[None]:
         try:
-            yield from connection.linger(self._loop.now() + LINGER_LIMIT)
+            yield from connection.linger(self._loop.now() + LINGER_TIMEOUT)
         finally:
-            self._ending.pop(connection, None)
+            self._lingering.pop(connection, None)
             connection.close()
--- a/ironbarrow/fronts/server.py
+++ b/ironbarrow/fronts/server.py
@@ -1,4 +1,4 @@
-"""The listener: jobs in and final answers out, call-backs of workers, readiness."""
+"""The HTTP server of a dispatcher: jobs and final answers, call-backs of workers, readiness."""
 
 import json
 import socket
@@ -12,19 +12,19 @@
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.core.host import Host
 from ironbarrow.core.jobs import Answer, Job, Payload, Terms
-from ironbarrow.fronts.connection_slots import FRESH, LINGER_LIMIT, Places
+from ironbarrow.fronts.connection_slots import LINGER_TIMEOUT, NEW_CONNECTION_GRACE, ConnectionSlots
 from ironbarrow.fronts.requests import (
-    JSON,
-    BadRequestError,
-    class_in,
-    cookie_key,
+    JSON_HEADER,
+    RequestRejectedError,
+    can_start_request,
+    class_from_path,
     error_body,
-    expect_method,
-    final_answer,
-    key_number,
-    may_follow,
-    read_job,
-    retry_after,
+    final_response,
+    hash_key,
+    key_from_cookie,
+    parse_job,
+    require_method,
+    retry_after_headers,
 )
 from ironbarrow.runtime import sockets
 from ironbarrow.runtime.loop import HANGUP, MS, READ, SECOND, Coroutine, Loop, Task, Wait, sleep
@@ -35,316 +35,334 @@
 
 
 class Router(Protocol):
-    """An operators' routes. Kept as a protocol: whoever has no routes does not import them."""
+    """The operators' routes. A protocol, so that a dispatcher without routes doesn't import their package."""
 
     def admit(self, request: Any, now: int) -> Any:
-        """The ticket of an admitted request, or how it is turned away."""
+        """The ticket of an admitted request, or the rejection."""
 
 
-class Shared(Protocol):
-    """Where jobs go where several processes answer for each other's."""
+class FleetJobs(Protocol):
+    """Takes the jobs of a dispatcher in a fleet, whose members take over each other's jobs."""
 
     def take(
-        self, payload: Payload, answered: "Callable[[Answer | None], None]", **placed: Any
+        self, payload: Payload, answered: "Callable[[Answer | None], None]", **placement: Any
     ) -> Callable[[], None]:
-        """As ``Host.take``; ``answered`` may be told None: another request is under that id. Gives back what
-        is called when the client leaves, or has its answer."""
+        """As ``Host.take``, but ``answered`` is called with None if another request has the same id. Returns
+        the function to call when the client disconnects or has its answer."""
 
     def readiness(self) -> str:
-        """One line of text: who answers for whom at present."""
+        """The state of the fleet as one line of text, for the header X-Fleet."""
 
 
-_IDLE_LIMIT = 120 * SECOND
-_FIRST_LIMIT = 2 * SECOND  # from accepting a connection to the first byte on it
-_REQUEST_LIMIT = 2500 * MS  # from a request's first byte, or from accepting, to its last byte
-_WRITE_LIMIT = 5 * SECOND
-_AFTER_DEADLINE = 500 * MS  # an answer is due so long after the time of its request
-_UNREAD_LIMIT = 120 * SECOND  # and no longer than this: one that reads nothing holds a place
-_PAUSE = 20 * MS  # before accepting again when no descriptor is left
-_FLOOD_PAUSE = 1 * MS  # between two reads from one that sends without end while its job is out
-# danger: a burst of connections would keep call-backs and the discovery service waiting
-_ACCEPTS_AT_ONCE = 16
-_REQUESTS_AT_ONCE = 32  # danger: in a turn that reads hundreds, their senders leave and are not noticed
-_FULL_ADVICE = 200 * MS  # for one that is turned away because all places have jobs
+_IDLE_TIMEOUT = 120 * SECOND
+_FIRST_BYTE_TIMEOUT = 2 * SECOND  # from accepting a connection to the first byte on it
+_REQUEST_TIMEOUT = 2500 * MS  # from a request's first byte, or from accepting, to its last byte
+_WRITE_TIMEOUT = 5 * SECOND
+_ANSWER_GRACE = 500 * MS  # after a job's deadline, its answer may still be written for so long
+_MAX_WRITE_TIMEOUT = 120 * SECOND  # a client that reads nothing holds its slot no longer than this
+_ACCEPT_RETRY_DELAY = 20 * MS  # when there is no slot or no descriptor left
+_FLOOD_READ_INTERVAL = 1 * MS  # between reads from a client that sends without end while its job is running
+# without a limit, a burst of connections would delay call-backs and the messages of the discovery service
+_ACCEPTS_PER_TURN = 16
+# in a turn that reads hundreds of requests, disconnects of their senders would go unnoticed
+_REQUESTS_PER_TURN = 32
+_FULL_RETRY_AFTER = 200 * MS  # for a job that is rejected because no slot is left for jobs
 
 
-class Clients:
-    """Serves every connection that comes in at the listening address."""
+class HttpServer:
+    """Serves the connections accepted from one listener."""
 
     def __init__(
         self,
         loop: Loop,
         host: Host,
         listener: socket.socket,
-        called_back: Callable[[Any], object],
-        free_descriptors: Callable[[], None],
+        on_call_back: Callable[[Any], object],
+        release_descriptors: Callable[[], None],
         *,
-        most: int,
-        most_buffered: int,
+        max_connections: int,
+        max_buffered_bytes: int,
     ) -> None:
         self._loop = loop
         self._host = host
         self._listener = listener
-        self._called_back = called_back
-        self._free_descriptors = free_descriptors
+        self._on_call_back = on_call_back
+        self._release_descriptors = release_descriptors
         self._classes = {cls.name for cls in host.settings.classes}
         self._tenants = {tenant.name for tenant in host.settings.tenants}
-        self._places = Places(loop, most, most_buffered)
-        self._read_now = 0  # requests in this turn of the loop
-        self._in_line: deque[Task] = deque()  # who has a request to be read in a later turn
-        self._next_planned = False  # their next ones are woken at this turn's end
-        self._not_accepted_since = 0  # ns; from then on connections have waited that could not be accepted
-        self._closing_at: int | None = None  # from when on no connection is kept
-        self.asking: dict[Job, tuple[Connection, Task]] = {}  # who waits for a job's answer
-        self.router: Router | None = (
-            None  # the operators' routes; without them the path's first part is the class
-        )
-        self.shared: Shared | None = None  # without it every job is the host's
-        loop.spawn(self._accept())
+        self._slots = ConnectionSlots(loop, max_connections, max_buffered_bytes)
+        self._reads_this_turn = 0  # requests read in this turn of the loop
+        self._read_queue: deque[Task] = deque()  # tasks whose request is read in a later turn
+        self._wake_scheduled = False  # ``_wake_readers`` is due at the end of this turn
+        self._accept_failing_since = 0  # ns; since when connections wait that can't be accepted; 0 if none
+        self._closing_since: int | None = None  # ns; from then on no connection is kept alive
+        self.awaiting_answer: dict[Job, tuple[Connection, Task]] = {}  # clients that wait
+        # the operators' routes; without them, the first segment of the path is the job's class
+        self.router: Router | None = None
+        self.fleet_jobs: FleetJobs | None = None  # without a fleet, jobs go to the host
+        loop.spawn(self._accept_loop())
 
     @property
-    def busy(self) -> bool:
+    def has_connections(self) -> bool:
         """Whether any connection is open or waits to be accepted."""
-        return self._places.taken > 0 or sockets.has_waiting(self._listener)
+        return self._slots.in_use > 0 or sockets.has_waiting(self._listener)
 
     def close_idle(self) -> None:
-        """From now on no connection is kept: the idle ones end at once, the others after their answer, and
-        new ones that bring no request soon."""
-        if self._closing_at is None:
-            self._closing_at = self._loop.now()
-            self._loop.call_at(self._closing_at + FRESH, self.close_idle)
-        # danger: on one that has just come up, the request is on its way
-        fresh_since = self._loop.now() - FRESH
-        silent = [c for c in self._places.reading if not c.started and c.used_at <= fresh_since]
-        for connection in silent + list(self._places.idle):
-            self._places.drop(connection)
+        """Stops keep-alive: closes idle connections now, new ones that send no request soon, and the others
+        after their next response."""
+        if self._closing_since is None:
+            self._closing_since = self._loop.now()
+            self._loop.call_at(self._closing_since + NEW_CONNECTION_GRACE, self.close_idle)
+        # the first request on a new connection may be on its way
+        grace_start = self._loop.now() - NEW_CONNECTION_GRACE
+        unused = [c for c in self._slots.reading if not c.message_started and c.last_used_at <= grace_start]
+        for connection in unused + list(self._slots.idle):
+            self._slots.evict(connection)
 
     # Connections
 
-    def _accept(self) -> Coroutine[None]:
+    def _accept_loop(self) -> Coroutine[None]:
         while True:
             yield Wait(self._listener.fileno(), READ, self._loop.now() + 3600 * SECOND)
-            for _ in range(_ACCEPTS_AT_ONCE):
-                # danger: room made for nobody ends a connection on which the next request is on its way
+            for _ in range(_ACCEPTS_PER_TURN):
+                # without this check, ``make_room`` would evict a connection though no other one waits, and a
+                # request that is on its way on it would be lost
                 if not sockets.has_waiting(self._listener):
-                    self._not_accepted_since = 0
+                    self._accept_failing_since = 0
                     break
-                if not self._places.make_room():
-                    yield from sleep(self._loop.now() + _PAUSE)
+                if not self._slots.make_room():
+                    yield from sleep(self._loop.now() + _ACCEPT_RETRY_DELAY)
                     continue
                 try:
                     connection = accept(self._listener)
                 except OSError as error:
-                    self._not_accepted_since = self._not_accepted_since or self._loop.now()
-                    yield from self._out_of_descriptors(error)
+                    self._accept_failing_since = self._accept_failing_since or self._loop.now()
+                    yield from self._handle_descriptor_shortage(error)
                     continue
                 if connection is None:
                     break
-                if self._not_accepted_since:
-                    connection.waited = self._loop.now() - self._not_accepted_since
-                self._places.take(connection)
-                # danger: noted only by its own first line, it could be ended before that line has run;
-                # the lines at its end would not run either, and its place would stay taken
-                self._loop.spawn(self._serve(connection))
-
-    def _out_of_descriptors(self, error: OSError) -> Coroutine[None]:
-        """Danger: with no descriptor left, accept fails at once for ever and the loop would spin."""
-        log.warning("no descriptor left", error=str(error), connections=self._places.taken)
-        self._free_descriptors()
-        self._places.free_descriptors()
-        yield from sleep(self._loop.now() + _PAUSE)
-
-    def _serve(self, connection: Connection) -> Coroutine[None]:
+                if self._accept_failing_since:
+                    connection.accept_delay = self._loop.now() - self._accept_failing_since
+                self._slots.acquire(connection)
+                # the task itself enters the connection in ``reading`` once it runs: if it was evicted before
+                # that, its ``finally`` would not run and its slot would never be freed
+                self._loop.spawn(self._serve_connection(connection))
+
+    def _handle_descriptor_shortage(self, error: OSError) -> Coroutine[None]:
+        """Frees descriptors and waits: accept keeps failing at once without one, and the loop would spin."""
+        log.warning("no descriptor left", error=str(error), connections=self._slots.in_use)
+        self._release_descriptors()
+        self._slots.release_descriptors()
+        yield from sleep(self._loop.now() + _ACCEPT_RETRY_DELAY)
+
+    def _serve_connection(self, connection: Connection) -> Coroutine[None]:
         task = self._loop.current
         assert task is not None
-        self._places.reading[connection] = task
+        self._slots.reading[connection] = task
         try:
             while (request := (yield from self._next_request(connection, task))) is not None:
                 keep = yield from self._respond(connection, task, request)
-                self._places.end_job(connection)
+                self._slots.end_job(connection)
                 if not keep or not connection.next_cycle():
                     break
-                if self._closing_at is not None and not connection.started and connection.is_silent():
+                if (
+                    self._closing_since is not None
+                    and not connection.message_started
+                    and connection.is_idle()
+                ):
                     break
-                connection.used_at = self._loop.now()
-                if connection.started:
-                    # danger: hundreds of requests that came at once would keep all others waiting
+                connection.last_used_at = self._loop.now()
+                if connection.message_started:
+                    # yield to the others: one client may have sent hundreds of requests at once
                     yield from sleep(self._loop.now())
-            connection.shut_down()
+            connection.shutdown_write()
         except ConnectionEndedError as error:
             yield from self._answer_malformed(connection, error)
         finally:
-            self._places.leave(connection)
+            self._slots.release(connection)
 
     def _next_request(self, connection: Connection, task: Task) -> Coroutine[Message | None]:
-        """The next request, or None if the connection ended between two."""
-        places = self._places
-        first = connection in places.reading
-        if not connection.started:
-            limit = _FIRST_LIMIT if first else _IDLE_LIMIT
-            if self._closing_at is not None:  # danger: one that says nothing would hold up the end
-                limit = LINGER_LIMIT
+        """The next request, or None if the connection ended before it began."""
+        slots = self._slots
+        first = connection in slots.reading
+        if not connection.message_started:
+            limit = _FIRST_BYTE_TIMEOUT if first else _IDLE_TIMEOUT
+            if self._closing_since is not None:  # a client that sends nothing would delay the shutdown
+                limit = LINGER_TIMEOUT
             if not first:
-                places.idle[connection] = task
-            ready = yield Wait(connection.sock.fileno(), READ, connection.used_at + limit)
-            # danger: a request may come in the very turn in which the time is over
-            if (not ready and connection.is_silent()) or connection.is_closed():
+                slots.idle[connection] = task
+            ready = yield Wait(connection.sock.fileno(), READ, connection.last_used_at + limit)
+            # a request may have arrived in the same turn in which the time-out expired
+            if (not ready and connection.is_idle()) or connection.is_closed():
                 return None
-            places.idle.pop(connection, None)
+            slots.idle.pop(connection, None)
         if not first:
-            connection.used_at = self._loop.now()
-            places.reading[connection] = task
-        yield from self._turn_to_read(task)
-        request = yield from connection.read_message(connection.used_at + _REQUEST_LIMIT)
-        places.reading.pop(connection, None)
-        places.release(connection)
+            connection.last_used_at = self._loop.now()
+            slots.reading[connection] = task
+        yield from self._await_read_turn(task)
+        request = yield from connection.read_message(connection.last_used_at + _REQUEST_TIMEOUT)
+        slots.reading.pop(connection, None)
+        slots.request_complete(connection)
         return request
 
-    def _turn_to_read(self, task: Task) -> Coroutine[None]:
-        """Waits until few enough have been read in this turn of the loop; first come, first read."""
-        if self._in_line or self._read_now >= _REQUESTS_AT_ONCE:
-            self._in_line.append(task)
-            if not (yield Wait(-1, 0, self._loop.now() + _REQUEST_LIMIT)):
-                self._in_line.remove(task)  # danger: woken later, it would end another wait
-        self._read_now += 1
-        self._plan_next()
-
-    def _plan_next(self) -> None:
-        if not self._next_planned:
-            self._next_planned = True
-            self._loop.soon(self._wake_next)
-
-    def _wake_next(self) -> None:
-        self._next_planned = False
-        self._read_now = 0
-        for _ in range(min(len(self._in_line), _REQUESTS_AT_ONCE)):
-            self._in_line.popleft().wake()
-        if self._in_line:
-            self._plan_next()
+    def _await_read_turn(self, task: Task) -> Coroutine[None]:
+        """Waits, first come first served, for a turn of the loop with fewer than _REQUESTS_PER_TURN reads."""
+        if self._read_queue or self._reads_this_turn >= _REQUESTS_PER_TURN:
+            self._read_queue.append(task)
+            if not (yield Wait(-1, 0, self._loop.now() + _REQUEST_TIMEOUT)):
+                self._read_queue.remove(task)  # a later wake-up would end some other wait of the task
+        self._reads_this_turn += 1
+        self._schedule_wake()
+
+    def _schedule_wake(self) -> None:
+        if not self._wake_scheduled:
+            self._wake_scheduled = True
+            self._loop.soon(self._wake_readers)
+
+    def _wake_readers(self) -> None:
+        self._wake_scheduled = False
+        self._reads_this_turn = 0
+        for _ in range(min(len(self._read_queue), _REQUESTS_PER_TURN)):
+            self._read_queue.popleft().wake()
+        if self._read_queue:
+            self._schedule_wake()
 
     def _answer_malformed(self, connection: Connection, error: ConnectionEndedError) -> Coroutine[None]:
         if error.ending not in (Ending.MALFORMED, Ending.TOO_LARGE, Ending.STALLED):
             return
         if not connection.can_answer():
             return
-        # what is not HTTP makes no room for others before its answer is out
-        self._places.reading.pop(connection, None)
+        # not to be evicted before its response is written
+        self._slots.reading.pop(connection, None)
         try:
             body = error_body(str(error))
-            data = connection.response_bytes(error.status, [JSON, ("Connection", "close")], body)
-            yield from connection.write(data, self._loop.now() + _WRITE_LIMIT)
-            connection.shut_down()
+            data = connection.response_bytes(error.status, [JSON_HEADER, ("Connection", "close")], body)
+            yield from connection.write(data, self._loop.now() + _WRITE_TIMEOUT)
+            connection.shutdown_write()
         except ConnectionEndedError:
             return
 
     # Requests
 
     def _respond(self, connection: Connection, task: Task, request: Message) -> Coroutine[bool]:
-        """Answers one request; whether the connection may carry another."""
+        """Answers one request; returns whether the connection is kept alive."""
         headers: list[tuple[str, str]] = []
         due = 0
         try:
             path = request.target.partition("?")[0]
             if path == "/-/ready":
-                expect_method(request, "GET")
+                require_method(request, "GET")
                 status, body = (200, b"ready") if self._host.listed else (503, b"no list of workers yet")
-                if self.shared is not None:
-                    headers.append(("X-Fleet", self.shared.readiness()))
+                if self.fleet_jobs is not None:
+                    headers.append(("X-Fleet", self.fleet_jobs.readiness()))
             elif path == "/callback":
-                expect_method(request, "POST")
-                status, body = self._call_back(request)
-            elif self._is_job(path):
-                expect_method(request, "POST")
-                payload, placed = read_job(request)
-                # danger: the client's time ran on while nobody could accept its connection
-                placed["time_left"] = max(MS, placed["time_left"] - connection.waited)
-                connection.waited = 0
-                due = self._loop.now() + placed["time_left"] + _AFTER_DEADLINE
-                answer = yield from self._job(connection, task, request, payload, placed)
+                require_method(request, "POST")
+                status, body = self._handle_call_back(request)
+            elif self._is_job_path(path):
+                require_method(request, "POST")
+                payload, placement = parse_job(request)
+                # the client's time-out was already running while its connection could not be accepted
+                placement["time_left"] = max(MS, placement["time_left"] - connection.accept_delay)
+                connection.accept_delay = 0
+                due = self._loop.now() + placement["time_left"] + _ANSWER_GRACE
+                answer = yield from self._handle_job(connection, task, request, payload, placement)
                 if answer is None:
                     return False
-                status, body = final_answer(answer, headers)
+                status, body = final_response(answer, headers)
             else:
-                raise BadRequestError(404, "no such path")
-        except BadRequestError as error:
+                raise RequestRejectedError(404, "no such path")
+        except RequestRejectedError as error:
             status, body = error.status, error_body(str(error))
-            headers = [JSON, *error.headers]
-        keep = request.keep and not connection.thrown_away and not self._ends(connection)
+            headers = [JSON_HEADER, *error.headers]
+        keep = (
+            request.keep_alive and not connection.discarded_bytes and not self._is_last_response(connection)
+        )
         if not keep:
             headers.append(("Connection", "close"))
         data = connection.response_bytes(status, headers, body)
         now = self._loop.now()
-        # danger: ended before its time, a client that reads slowly loses a whole answer
-        until = max(now + _WRITE_LIMIT, min(due, now + _UNREAD_LIMIT))
+        # a client that reads slowly may take until its deadline; cut off earlier, it would lose its answer
+        until = max(now + _WRITE_TIMEOUT, min(due, now + _MAX_WRITE_TIMEOUT))
         yield from connection.write(data, until)
         return keep
 
-    def _ends(self, connection: Connection) -> bool:
-        """Whether the next answer is the connection's last. Danger: a request that has come in already was
-        taken; but one that always has another in would never let the program end."""
-        if self._closing_at is None:
+    def _is_last_response(self, connection: Connection) -> bool:
+        """Whether the connection ends after the next response, because the server is closing.
+
+        Requests that have already arrived are still served, but only for LINGER_TIMEOUT: a client that always
+        has another request pending would never let the process end.
+        """
+        if self._closing_since is None:
             return False
-        rests = not connection.has_unread and connection.is_silent()
-        return rests or self._loop.now() > self._closing_at + LINGER_LIMIT
+        quiet = not connection.has_unread and connection.is_idle()
+        return quiet or self._loop.now() > self._closing_since + LINGER_TIMEOUT
 
-    def _is_job(self, path: str) -> bool:
-        return self.router is not None or class_in(path) in self._classes
+    def _is_job_path(self, path: str) -> bool:
+        return self.router is not None or class_from_path(path) in self._classes
 
-    def _call_back(self, request: Message) -> tuple[int, bytes]:
+    def _handle_call_back(self, request: Message) -> tuple[int, bytes]:
         try:
-            self._called_back(json.loads(request.body))
+            self._on_call_back(json.loads(request.body))
         except (ValueError, RecursionError) as error:
-            raise BadRequestError(400, f"malformed call-back: {error}") from None
+            raise RequestRejectedError(400, f"malformed call-back: {error}") from None
         return 204, b""
 
-    def _job(
-        self, connection: Connection, task: Task, request: Message, payload: Payload, placed: dict[str, Any]
+    def _handle_job(
+        self,
+        connection: Connection,
+        task: Task,
+        request: Message,
+        payload: Payload,
+        placement: dict[str, Any],
     ) -> Coroutine[Answer | None]:
-        """Hands in a job and waits for its final answer; None if the client left first."""
-        # danger: in a burst, its sender may have left before its turn came
-        if not connection.look_ahead(self._places.room_ahead()):
+        """Submits a job and waits for its final answer; None if the client disconnected first."""
+        # in a burst, the client may have disconnected before its request was read
+        if not connection.read_ahead(self._slots.read_ahead_budget()):
             return None
-        if not may_follow(connection.unread):
-            raise ConnectionEndedError(Ending.MALFORMED, "the body is longer than its length")
+        if not can_start_request(connection.unread):
+            raise ConnectionEndedError(Ending.MALFORMED, "the body is longer than its Content-Length")
         answers: list[Answer | None] = []
 
-        def answered(answer: Answer | None) -> None:
+        def on_answer(answer: Answer | None) -> None:
             answers.append(answer)
             task.wake()
 
-        left = self._take(connection, task, request, payload, placed, answered)
+        finish = self._submit(connection, task, request, payload, placement, on_answer)
         try:
-            there = yield from self._wait(connection, answers)
+            client_present = yield from self._await_answer(connection, answers)
         finally:
-            left()
-        if not there:
+            finish()
+        if not client_present:
             return None
         if answers[0] is None:
-            raise BadRequestError(409, "another request is under this X-Request-ID")
+            raise RequestRejectedError(409, "another request has this X-Request-ID")
         return answers[0]
 
-    def _wait(self, connection: Connection, answers: "list[Answer | None]") -> Coroutine[bool]:
-        """Waits for a job's answer; whether it came before the client left."""
+    def _await_answer(self, connection: Connection, answers: "list[Answer | None]") -> Coroutine[bool]:
+        """Waits for a job's answer; returns False if the client disconnected first."""
         while not answers:
             now = self._loop.now()
-            if not connection.floods:
-                # it is answered long before
+            if not connection.is_flooding:
+                # any job is answered long before that
                 yield Wait(connection.sock.fileno(), READ, now + 3600 * SECOND)
             else:
-                yield Wait(connection.sock.fileno(), HANGUP, now + _FLOOD_PAUSE)
-            if not answers and not connection.look_ahead(self._places.room_ahead()):
+                yield Wait(connection.sock.fileno(), HANGUP, now + _FLOOD_READ_INTERVAL)
+            if not answers and not connection.read_ahead(self._slots.read_ahead_budget()):
                 return False
         return True
 
     def _withdraw(self, job: Job) -> None:
-        self.asking.pop(job, None)
+        self.awaiting_answer.pop(job, None)
         self._host.withdraw(job)
 
     def adopt(
         self, sock: socket.socket, begin: Callable[[Callable[[Answer], None]], Callable[[], None]]
     ) -> Task:
-        """Answers a client whose request another process has read. ``begin`` is given where the one final
-        answer goes, and gives back what is called when the client leaves before it."""
+        """Answers a client whose request was read by another process.
+
+        ``begin`` is called with the function that takes the one final answer. It returns the function to call
+        if the client disconnects before that.
+        """
         return self._loop.spawn(self._serve_adopted(adopt(sock), begin))
 
     def _serve_adopted(
@@ -353,75 +371,83 @@
         answers: list[Answer | None] = []
         task = self._loop.current
         assert task is not None
-        self._places.take(connection)
-        left: Callable[[], None] | None = None
+        self._slots.acquire(connection)
+        cancel: Callable[[], None] | None = None
 
-        def answered(answer: Answer) -> None:
+        def on_answer(answer: Answer) -> None:
             answers.append(answer)
             task.wake()
 
         try:
-            left = begin(answered)
-            if not (yield from self._wait(connection, answers)):
+            cancel = begin(on_answer)
+            if not (yield from self._await_answer(connection, answers)):
                 return
             headers: list[tuple[str, str]] = [("Connection", "close")]
             assert answers[0] is not None
-            status, body = final_answer(answers[0], headers)
+            status, body = final_response(answers[0], headers)
             data = connection.response_bytes(status, headers, body)
-            yield from connection.write(data, self._loop.now() + _WRITE_LIMIT)
-            connection.shut_down()
+            yield from connection.write(data, self._loop.now() + _WRITE_TIMEOUT)
+            connection.shutdown_write()
         except ConnectionEndedError:
             return
         finally:
-            if left is not None and not answers:
-                left()
-            self._places.leave(connection)
+            if cancel is not None and not answers:
+                cancel()
+            self._slots.release(connection)
 
-    def _take(
+    def _submit(
         self,
         connection: Connection,
         task: Task,
         request: Message,
         payload: Payload,
-        placed: dict[str, Any],
-        answered: Callable[[Answer | None], None],
+        placement: dict[str, Any],
+        on_answer: Callable[[Answer | None], None],
     ) -> Callable[[], None]:
-        """Hands in a job; gives back what is called at the end, or when the client leaves before it."""
-        if self.shared is None and self._host.knows(payload.id):
-            raise BadRequestError(409, "a job with this X-Request-ID is under way")
+        """Submits a job. Returns the function to call when the client disconnects or has its answer; raises
+        RequestRejectedError if the job is not accepted."""
+        if self.fleet_jobs is None and self._host.knows(payload.id):
+            raise RequestRejectedError(409, "a job with this X-Request-ID is in progress")
         if self._host.must_not_run_again(payload.id):
-            # danger: its client may not have read the answer, and asks once more
-            raise BadRequestError(500, "a job with this X-Request-ID may have run")
-        if not self._places.has_room_for_job(len(payload.body)):
-            # nothing of it was sent: another try is harmless
-            raise BadRequestError(503, "too many jobs wait here", self._advice(_FULL_ADVICE))
+            # the client may have lost the answer and sent the request again
+            raise RequestRejectedError(500, "a job with this X-Request-ID may have run")
+        if not self._slots.has_room_for_job(len(payload.body)):
+            # nothing was sent to a worker, so a retry is harmless
+            raise RequestRejectedError(
+                503, "too many jobs in progress", self._retry_after_headers(_FULL_RETRY_AFTER)
+            )
         if self.router is not None:
-            placed |= self._routed(request, placed["time_left"])
+            placement |= self._route(request, placement["time_left"])
         else:
             path = request.target.partition("?")[0]
-            placed |= {"job_class": class_in(path), "key": cookie_key(request.headers.get("cookie", ""))}
+            placement |= {
+                "job_class": class_from_path(path),
+                "key": key_from_cookie(request.headers.get("cookie", "")),
+            }
             if (tenant := request.headers.get("x-tenant-id", "").strip()) in self._tenants:
-                placed["tenant"] = tenant
-        self._places.begin_job(connection, len(payload.body))
-        if self.shared is not None:
-            return self.shared.take(payload, answered, **placed)
-        taken = self._host.take(payload, answered, **placed)
-        self.asking[taken] = connection, task
-        return partial(self._withdraw, taken)
-
-    def _advice(self, wanted: int) -> list[tuple[str, str]]:
+                placement["tenant"] = tenant
+        self._slots.begin_job(connection, len(payload.body))
+        if self.fleet_jobs is not None:
+            return self.fleet_jobs.take(payload, on_answer, **placement)
+        job = self._host.take(payload, on_answer, **placement)
+        self.awaiting_answer[job] = connection, task
+        return partial(self._withdraw, job)
+
+    def _retry_after_headers(self, delay: int) -> list[tuple[str, str]]:
         settings = self._host.settings
-        return retry_after(min(wanted, settings.max_retry_after) if settings.gives_retry_after else 0)
+        return retry_after_headers(min(delay, settings.max_retry_after) if settings.gives_retry_after else 0)
+
+    def _route(self, request: Message, time_left: int) -> dict[str, Any]:
+        """Class, key, tenant and terms of a job by the operators' routes, or RequestRejectedError.
 
-    def _routed(self, request: Message, time_left: int) -> dict[str, Any]:
-        """Class, key, tenant and terms by the operators' routes; a BadRequestError if they turn it away.
-        Last of all checks: whoever holds a ticket takes the job."""
+        Must be the last check: whoever holds a ticket has to submit the job.
+        """
         from ironbarrow.routing.request import PathError, make_request
         from ironbarrow.routing.router import Ticket, arrival
 
         settings = self._host.settings
         try:
-            seen = make_request(
+            routed_request = make_request(
                 request.method,
                 request.target,
                 request.headers,
@@ -431,14 +457,16 @@
                 zone=settings.zone,
             )
         except PathError as error:
-            raise BadRequestError(400, str(error)) from None
+            raise RequestRejectedError(400, str(error)) from None
         assert self.router is not None
-        found = self.router.admit(seen, self._loop.now())
-        if not isinstance(found, Ticket):
-            raise BadRequestError(found.status, found.reason, self._advice(found.retry_after))
+        ticket = self.router.admit(routed_request, self._loop.now())
+        if not isinstance(ticket, Ticket):
+            raise RequestRejectedError(
+                ticket.status, ticket.reason, self._retry_after_headers(ticket.retry_after)
+            )
         return {
-            "job_class": found.route.cls.name,
-            "key": key_number(found.key) if found.key else None,
-            "tenant": found.tenant or None,
-            "terms": Terms(**arrival(found, settings), watch=found),
+            "job_class": ticket.route.cls.name,
+            "key": hash_key(ticket.key) if ticket.key else None,
+            "tenant": ticket.tenant or None,
+            "terms": Terms(**arrival(ticket, settings), watch=ticket),
         }
--- a/ironbarrow/handover/upgrade.py
+++ b/ironbarrow/handover/upgrade.py
@@ -31,7 +31,7 @@
 class Front(Protocol):
     """What has the clients' connections."""
 
-    asking: dict[Job, tuple[Connection, Task]]
+    awaiting_answer: dict[Job, tuple[Connection, Task]]
 
     def adopt(self, sock: socket.socket, begin: _Begin) -> Task:
         """Answers a client whose request another process has read; ended early, the task lets go of it."""
@@ -144,7 +144,7 @@
     # The old process
 
     def _pass_on(self) -> None:
-        for job, (connection, task) in list(self._front.asking.items()):
+        for job, (connection, task) in list(self._front.awaiting_answer.items()):
             record = self._record(job) if not connection.has_unread else None
             if record is None or not self._give(record, connection.sock):
                 continue
--- a/ironbarrow/lab/capacity/costs.py
+++ b/ironbarrow/lab/capacity/costs.py
@@ -11,8 +11,8 @@
 from heathway.logic import Dispatcher
 from heathway.state import Worker
 from ironbarrow.core.host import Host
-from ironbarrow.discovery.client import Discovery as Client
-from ironbarrow.discovery.client import _Objects
+from ironbarrow.discovery.client import DiscoveryClient as Client
+from ironbarrow.discovery.client import _ObjectSplitter
 from ironbarrow.fleet.api import job_ledger
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.records import Stage, put
@@ -77,7 +77,7 @@
         self.host = Host(self._loop, fleet_settings(dispatchers), 0)
         self.host.invoker = IdleInvoker()
         self._client = Client(self._loop, ("127.0.0.1", 9), self.host.workers_listed)
-        self._objects = _Objects()
+        self._objects = _ObjectSplitter()
 
     @staticmethod
     def _failed(error: Exception) -> None:
@@ -86,7 +86,7 @@
     def read(self, line: bytes) -> None:
         """Takes in one line."""
         for text in self._objects.feed(line):
-            self._client._take(self._client._source, json.loads(text))
+            self._client._apply(self._client._source, json.loads(text))
 
     def close(self) -> None:
         """Lets go of its descriptors."""
--- a/ironbarrow/lab/capacity/lists.py
+++ b/ironbarrow/lab/capacity/lists.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from heathway import api
-from ironbarrow.discovery.client import Discovery as Client
+from ironbarrow.discovery.client import DiscoveryClient as Client
 from ironbarrow.lab.capacity.counting import zone_of
 from ironbarrow.lab.live.discovery_server import Agent
 from ironbarrow.lab.model import spec
--- a/ironbarrow/lab/live/discovery_server.py
+++ b/ironbarrow/lab/live/discovery_server.py
@@ -90,7 +90,7 @@
     def _watch(self, connection: Connection, since: int) -> Coroutine[None]:
         task = self._loop.current
         assert task is not None
-        yield from connection.write(connection.chunked_bytes(200), self._loop.now() + _WRITE)
+        yield from connection.write(connection.chunked_head_bytes(200), self._loop.now() + _WRITE)
         place = len(self._news)
         if since != self._known.version:
             line = self._line(self._known)
--- a/ironbarrow/lab/live/wire.py
+++ b/ironbarrow/lab/live/wire.py
@@ -40,7 +40,7 @@
             try:
                 answer = yield from self._once(connection, method, target, headers, body, until, sent)
             except ConnectionEndedError:
-                if not kept or connection.started or not connection.is_closed():
+                if not kept or connection.message_started or not connection.is_closed():
                     raise
                 connection.close()
                 connection = yield from connect(self.address, self._limit(until))
@@ -64,7 +64,7 @@
         until: int,
         sent: Callable[[], None] | None,
     ) -> Coroutine[Message]:
-        connection.started = False
+        connection.message_started = False
         host = [("Host", "{}:{}".format(*self.address)), *headers]
         yield from connection.write(connection.request_bytes(method, target, host, body), until)
         if sent is not None:
@@ -74,7 +74,7 @@
     def _connection(self, until: int) -> Coroutine[tuple[Connection, bool]]:
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_silent():
+            if connection.is_idle():
                 return connection, True
             connection.close()
         return (yield from connect(self.address, self._limit(until))), False
--- a/ironbarrow/lab/live/worker_server.py
+++ b/ironbarrow/lab/live/worker_server.py
@@ -115,7 +115,7 @@
             while self._worker.trouble.hung:  # it says nothing while it hangs
                 yield from sleep(self._loop.now() + 20 * MS)
             yield from self._way()
-            if status == _ACCEPTED and connection.is_gone():
+            if status == _ACCEPTED and connection.peer_hung_up():
                 # the dispatcher gave it up by closing the connection before the 202
                 self._give_up(request.headers.get("x-request-id", ""))
                 return
@@ -141,7 +141,7 @@
         if need is None:
             return (404 if not job_id else 400), [], b""
         name = self._worker.name
-        given_up = connection.is_gone()  # closed before the 202, though this process sees it only now
+        given_up = connection.peer_hung_up()  # closed before the 202, though this process sees it only now
         self._audit.sent(job_id, name, first, self._number, given_up=given_up)
         if given_up:
             return None
@@ -155,7 +155,7 @@
             taken.waiter = self._loop.current
             while not taken.late_reply:
                 woken = yield Wait(connection.sock.fileno(), HANGUP, self._loop.now() + 600 * SECOND)
-                if not taken.late_reply and (not woken or connection.is_gone()):
+                if not taken.late_reply and (not woken or connection.peer_hung_up()):
                     # the dispatcher gave it up by closing the connection
                     self._give_up(job_id)
                     return None
--- a/ironbarrow/lab/scale/discovery.py
+++ b/ironbarrow/lab/scale/discovery.py
@@ -144,7 +144,7 @@
         lines = self._region.lines
         place = len(lines)
         first = b"" if since == self._region.version else self._region.whole_line()
-        yield from self._write(connection, "heads", connection.chunked_bytes(200))
+        yield from self._write(connection, "heads", connection.chunked_head_bytes(200))
         self._watches[task] = None
         try:
             if first:
--- a/ironbarrow/lab/scale/hollow_dispatchers.py
+++ b/ironbarrow/lab/scale/hollow_dispatchers.py
@@ -147,7 +147,7 @@
             self.listener.getsockname()[:2],
             make_service=partial(HollowMember, counts=self._counts),
         )
-        self.clients.shared = self.fleet.work
+        self.clients.fleet_jobs = self.fleet.work
 
     def _listed(self, news: api.WorkerList) -> None:
         super()._listed(news)
--- a/ironbarrow/lab/scale/hollow_workers.py
+++ b/ironbarrow/lab/scale/hollow_workers.py
@@ -76,12 +76,12 @@
     def _serve(self, region: str, connection: Connection) -> Coroutine[None]:
         loop = self.party.loop
         while True:
-            connection.size = 0
+            connection.message_bytes = 0
             _, request = yield from next_message(loop, connection, _IDLE, _WHOLE)
             yield from self._until_heard(region)
             kind, (status, headers, body) = self._answer(request)
             data = connection.response_bytes(status, headers, body)
-            self.party.requests[kind].add(connection.size + len(data))
+            self.party.requests[kind].add(connection.message_bytes + len(data))
             yield from connection.write(data, loop.now() + _WRITE)
             if not connection.next_cycle():
                 return
--- a/ironbarrow/transport/__init__.py
+++ b/ironbarrow/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs on sockets of the loop: whole messages, with size and time limits."""
+"""Protocol connections on the sockets of the event loop, with limits on size and time."""
--- a/ironbarrow/transport/http.py
+++ b/ironbarrow/transport/http.py
@@ -1,4 +1,8 @@
-"""HTTP/1.1 on the loop's sockets: whole messages, with size and time limits."""
+"""HTTP/1.1 connections on the event loop: complete messages, with limits on size and time.
+
+Times are loop times in nanoseconds. The coroutines raise ConnectionEndedError when the connection ends, times
+out or carries anything that is not acceptable HTTP/1.1.
+"""
 
 import errno
 import select
@@ -23,70 +27,72 @@
     Message,
 )
 
-_CHUNK = 16 * 1024  # no more than HEAD_LIMIT: h11 measures a head only while it is incomplete
-_READS_AT_ONCE = 4  # danger: a peer that sends at full speed would never let the others have a turn
-_LINGER_BYTES = 256 * 1024
-_AHEAD_MOST = 256 * 1024  # of what has come beyond the message in hand
-_FLOOD_BYTES = 8 << 20  # more than a peer that has gone can leave in the buffers on the way
+_RECV_BYTES = 16 * 1024  # at most HEAD_LIMIT, since h11 checks a head's size only while it is incomplete
+_READS_PER_TURN = 4  # without a limit, one peer that sends at full speed would starve all the others
+_LINGER_MAX_BYTES = 256 * 1024
+_READ_AHEAD_MAX_BYTES = 256 * 1024  # of input beyond the current message
+_FLOOD_THRESHOLD_BYTES = 8 << 20  # more than the network buffers can hold of a peer that has disconnected
 
 
-def _failed(error: OSError) -> ConnectionEndedError:
-    """How a connection has ended whose read or write failed."""
+def _io_error(error: OSError) -> ConnectionEndedError:
+    """The ending of a connection whose read or write failed."""
     by_peer = meaning_of(error) is Meaning.PEER
     return ConnectionEndedError(Ending.RESET if by_peer else Ending.UNREACHABLE, str(error))
 
 
-def _not_connected(number: int) -> ConnectionEndedError:
-    """Why no connection came up, by its errno."""
-    if number == errno.ETIMEDOUT:
+def _connect_error(error_number: int) -> ConnectionEndedError:
+    """The ending for the errno of a failed connect."""
+    if error_number == errno.ETIMEDOUT:
         return ConnectionEndedError(Ending.CONNECT_TIMED_OUT)
     ending = {
         Meaning.PEER: Ending.CONNECT_REFUSED,
         Meaning.WAY: Ending.UNREACHABLE,
         Meaning.HERE: Ending.FAILED_HERE,
-    }[meaning_of(OSError(number, ""))]
-    return ConnectionEndedError(ending, errno.errorcode.get(number, str(number)))
+    }[meaning_of(OSError(error_number, ""))]
+    return ConnectionEndedError(ending, errno.errorcode.get(error_number, str(error_number)))
 
 
-def _malformed(error: MalformedError) -> ConnectionEndedError:
+def _malformed_error(error: MalformedError) -> ConnectionEndedError:
     return ConnectionEndedError(Ending.MALFORMED, str(error), error.status)
 
 
 class Connection:
-    """A connected socket that speaks HTTP in one of the two roles."""
+    """A connected socket that speaks HTTP/1.1, as the server or as the client."""
 
     def __init__(self, sock: socket.socket, *, server: bool) -> None:
         self.sock = sock
         self._codec = HttpCodec(server=server)
-        self.used_at = 0  # when its owner last put it down
-        self.waited = 0  # ns, up to its acceptance: its first request may be so old
-        self.started = False  # part of a message is in
-        self._reads = 0  # since it last waited
-        self.size = 0  # bytes of the message that is being read; its owner resets it
-        self._begun = 0  # what it was when that message's head was asked for
-        self.shut = False  # the own side is ended: nothing that comes now is served
-        self._ahead = bytearray()  # came while the message before it was in hand
-        self.thrown_away = 0  # bytes beyond those; with a gap, no further message can be read
-        self.grew: Callable[[Connection, int], None] | None = None
+        self.last_used_at = 0  # set by the owner: when it accepted the connection or ended the last exchange
+        self.accept_delay = 0  # ns that the connection may have waited to be accepted, with its first request
+        self.message_started = False  # at least one byte of the next message has been received
+        self._reads_since_wait = 0
+        self.message_bytes = 0  # bytes received of the current message; the owner resets it
+        self._bytes_before_message = 0  # ``message_bytes`` when the current message's head was requested
+        self.write_closed = False  # the sending side is shut down: nothing received from now on is served
+        self._pipelined = bytearray()  # input beyond the current message
+        self.discarded_bytes = 0  # input dropped beyond that; after such a gap no further message can be read
+        # called with the change in buffered bytes
+        self.on_buffered: Callable[[Connection, int], None] | None = None
         self.on_close: Callable[[], None] | None = None  # called once
 
     def close(self) -> None:
-        # danger: the descriptor is free whatever close says, and whoever counts it has to be told
+        """Closes the socket and calls ``on_close``, also where close reports an error."""
+        # the descriptor is released whatever close returns, and its owner must count it as free
         with suppress(OSError):
             self.sock.close()
         if self.on_close is not None:
-            told, self.on_close = self.on_close, None
-            told()
+            callback, self.on_close = self.on_close, None
+            callback()
 
     def is_closed(self) -> bool:
-        """Whether the peer has closed it and nothing more can be read."""
+        """Whether the peer has closed the connection and no input is left to read."""
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
         except OSError as error:
             return meaning_of(error) is not Meaning.HERE
 
-    def is_silent(self) -> bool:
-        """Whether the idle connection is still open with nothing to read."""
+    def is_idle(self) -> bool:
+        """Whether the connection is still open and has no input to read."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -95,150 +101,153 @@
             return False
         return False
 
-    def is_gone(self) -> bool:
-        """Whether the peer has ended its side, with or without bytes still to be read."""
+    def peer_hung_up(self) -> bool:
+        """Whether the peer has shut down or reset its side, even if input is still unread."""
         poll = select.poll()
         poll.register(self.sock, select.POLLRDHUP | select.POLLHUP | select.POLLERR)
         try:
             return bool(poll.poll(0))
         except OSError:
-            return False  # it can't be told now; a read will
+            return False  # unknown for now; the next read will tell
 
     @property
-    def held(self) -> int:
-        """Bytes of the message that is being read and of what came beyond the one before it."""
-        return self.size + len(self._ahead)
+    def buffered_bytes(self) -> int:
+        """Bytes held for the current message and for input beyond it."""
+        return self.message_bytes + len(self._pipelined)
 
-    def look_ahead(self, room: int) -> bool:
-        """Takes in what comes beyond the message in hand, up to ``room`` bytes, and throws away the rest;
-        whether the peer is still there.
+    def read_ahead(self, room: int) -> bool:
+        """Buffers up to ``room`` bytes of input beyond the current message and discards the rest. Returns
+        whether the peer is still connected.
 
-        Danger: a peer's end stands behind the bytes it sent before; as long as they fill the buffers it is
-        not told, and the job of one that has gone would be sent on.
+        The end of a stream is only seen after all bytes before it have been read. If input stayed in the
+        kernel's buffers, a peer's disconnect would go unnoticed and its job would still be sent to a worker.
         """
-        if self.is_gone():
+        if self.peer_hung_up():
             return False
-        for _ in range(_READS_AT_ONCE):
+        for _ in range(_READS_PER_TURN):
             try:
-                data = self.sock.recv(_CHUNK)
+                data = self.sock.recv(_RECV_BYTES)
             except OSError as error:
                 return meaning_of(error) is Meaning.HERE
             if not data:
                 return False
-            if self.thrown_away or len(data) > min(room, _AHEAD_MOST - len(self._ahead)):
-                self.thrown_away += len(data)
+            if self.discarded_bytes or len(data) > min(room, _READ_AHEAD_MAX_BYTES - len(self._pipelined)):
+                self.discarded_bytes += len(data)
                 continue
             room -= len(data)
-            self._ahead += data
-            if self.grew is not None:
-                self.grew(self, len(data))
+            self._pipelined += data
+            if self.on_buffered is not None:
+                self.on_buffered(self, len(data))
         return True
 
     @property
-    def floods(self) -> bool:
-        """Whether more has been thrown away than one that has gone can have sent."""
-        return self.thrown_away > _FLOOD_BYTES
+    def is_flooding(self) -> bool:
+        """Whether more input was discarded than a peer that has disconnected can have left in the buffers."""
+        return self.discarded_bytes > _FLOOD_THRESHOLD_BYTES
 
     @property
     def unread(self) -> bytes:
-        """The first bytes that are in and belong to no message yet."""
-        return self._codec.unread or bytes(self._ahead[:_CHUNK])
+        """The first received bytes beyond the current message; b"" if there are none."""
+        return self._codec.unread or bytes(self._pipelined[:_RECV_BYTES])
 
     # Reading
 
-    def event(self, until: int) -> Coroutine[h11.Event | type[h11.PAUSED]]:
-        """The next event of the peer's; ConnectionEndedError if none comes by ``until``."""
+    def next_event(self, until: int) -> Coroutine[h11.Event | type[h11.PAUSED]]:
+        """The peer's next h11 event; ConnectionEndedError if none arrives by ``until``."""
         codec = self._codec
         while True:
             try:
-                found = codec.next_event()
+                received = codec.next_event()
             except MalformedError as error:
-                raise _malformed(error) from None
-            if found is not NEED_DATA:
-                return found  # type: ignore[return-value]
-            if codec.server and (going_on := codec.continue_bytes()):
-                yield from self.write(going_on, until)
+                raise _malformed_error(error) from None
+            if received is not NEED_DATA:
+                return received  # type: ignore[return-value]
+            if codec.server and (interim := codec.continue_bytes()):
+                yield from self.write(interim, until)
             data = yield from self._receive(until)
-            self.started = True
-            self.size += len(data)
-            if self.grew is not None:
-                self.grew(self, len(data))
+            self.message_started = True
+            self.message_bytes += len(data)
+            if self.on_buffered is not None:
+                self.on_buffered(self, len(data))
             try:
                 codec.receive(data)
             except MalformedError as error:
-                raise _malformed(error) from None
+                raise _malformed_error(error) from None
 
     def _receive(self, until: int) -> Coroutine[bytes]:
-        if self._ahead:
-            data = bytes(self._ahead[:_CHUNK])
-            del self._ahead[:_CHUNK]
-            if self.grew is not None:
-                self.grew(self, -len(data))  # whoever takes it in counts it again
+        if self._pipelined:
+            data = bytes(self._pipelined[:_RECV_BYTES])
+            del self._pipelined[:_RECV_BYTES]
+            if self.on_buffered is not None:
+                self.on_buffered(self, -len(data))  # counted again by the caller, as part of the message
             return data
         while True:
-            if self._reads < _READS_AT_ONCE:
-                self._reads += 1
+            if self._reads_since_wait < _READS_PER_TURN:
+                self._reads_since_wait += 1
                 try:
-                    return self.sock.recv(_CHUNK)
+                    return self.sock.recv(_RECV_BYTES)
                 except OSError as error:
                     if meaning_of(error) is not Meaning.HERE:
-                        raise _failed(error) from None
-            self._reads = 0
+                        raise _io_error(error) from None
+            self._reads_since_wait = 0
             if not (yield Wait(self.sock.fileno(), READ, until)):
                 raise ConnectionEndedError(Ending.STALLED, status=408)
 
     def read_message(self, until: int, body_limit: int = BODY_LIMIT) -> Coroutine[Message]:
-        """The peer's next whole message."""
+        """Reads the peer's next message, head and body."""
         message = yield from self.read_head(until)
         yield from self.read_body(message, until, body_limit)
         return message
 
     def read_head(self, until: int) -> Coroutine[Message]:
-        """The peer's next message without its body, which ``read_body`` brings."""
-        self._begun = self.size
-        head = yield from self.event(until)
+        """Reads the head of the peer's next message; ``read_body`` reads the rest."""
+        self._bytes_before_message = self.message_bytes
+        head = yield from self.next_event(until)
         while isinstance(head, h11.InformationalResponse):
-            head = yield from self.event(until)
+            head = yield from self.next_event(until)
         if not isinstance(head, h11.Request | h11.Response):
             raise ConnectionEndedError(Ending.CLOSED)
         try:
-            return self._codec.message(head)
+            return self._codec.message_from_head(head)
         except MalformedError as error:
-            raise _malformed(error) from None
+            raise _malformed_error(error) from None
 
     def read_body(self, message: Message, until: int, body_limit: int = BODY_LIMIT) -> Coroutine[None]:
-        """The rest of a message whose head was read."""
+        """Reads the body of a message whose head was read; more than ``body_limit`` bytes are TOO_LARGE."""
         if int(message.headers.get("content-length", "0")) > body_limit:
             raise ConnectionEndedError(Ending.TOO_LARGE, status=413)
         parts: list[bytes] = []
         size = 0
-        while not isinstance(found := (yield from self.event(until)), h11.EndOfMessage):
-            if not isinstance(found, h11.Data):
+        while not isinstance(received := (yield from self.next_event(until)), h11.EndOfMessage):
+            if not isinstance(received, h11.Data):
                 raise ConnectionEndedError(Ending.CLOSED)
-            parts.append(bytes(found.data))
-            size += len(found.data)
-            # danger: in chunks of a byte each, the framing is many times the body
-            if size > body_limit or self.size - self._begun > 2 * body_limit + HEAD_LIMIT:
+            parts.append(bytes(received.data))
+            size += len(received.data)
+            # in chunks of one byte each, the framing is many times larger than the body
+            if (
+                size > body_limit
+                or self.message_bytes - self._bytes_before_message > 2 * body_limit + HEAD_LIMIT
+            ):
                 raise ConnectionEndedError(Ending.TOO_LARGE, status=413)
         message.body = b"".join(parts)
-        message.keep = self._codec.peer_done
+        message.keep_alive = self._codec.peer_message_complete
 
-    def take_as_read(self) -> None:
-        """Stands as if a request without a body had been read that asks for no other after it."""
+    def assume_request_read(self) -> None:
+        """Brings the codec into the state after an empty request with ``Connection: close``."""
         self._codec.receive(b"POST / HTTP/1.1\r\nHost: -\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
         while not isinstance(self._codec.next_event(), h11.EndOfMessage):
             pass
 
     @property
     def has_unread(self) -> bool:
-        """Whether bytes of a further message have been read already."""
-        return bool(self._ahead) or self._codec.has_unread
+        """Whether input beyond the current message has already been read."""
+        return bool(self._pipelined) or self._codec.has_unread
 
     def next_cycle(self) -> bool:
-        """Whether the connection can carry another exchange; makes it ready for that."""
+        """Prepares the connection for another exchange; False if it can't carry one."""
         if not self._codec.next_cycle():
             return False
-        self.started = self.has_unread
+        self.message_started = self.has_unread
         return True
 
     # Writing
@@ -249,106 +258,110 @@
     def response_bytes(self, status: int, headers: Headers = (), body: bytes = b"") -> bytes:
         return self._codec.response_bytes(status, headers, body)
 
-    def chunked_bytes(self, status: int, headers: Headers = ()) -> bytes:
-        """The head of an answer that stays open."""
-        return self._codec.chunked_bytes(status, headers)
+    def chunked_head_bytes(self, status: int, headers: Headers = ()) -> bytes:
+        """The head of a chunked response; its body follows by ``chunk_bytes``."""
+        return self._codec.chunked_head_bytes(status, headers)
 
     def chunk_bytes(self, data: bytes) -> bytes:
-        """One part of an answer that stays open."""
+        """One chunk of a response begun by ``chunked_head_bytes``."""
         return self._codec.chunk_bytes(data)
 
     def write(
-        self, data: bytes, until: int, before_first: Callable[[], tuple[bytes, int]] | None = None
+        self, data: bytes, until: int, before_first_byte: Callable[[], tuple[bytes, int]] | None = None
     ) -> Coroutine[None]:
-        """Writes all of it; ConnectionEndedError if the last byte could not be written by ``until``.
-        ``before_first`` is called right before the first byte goes out, again after each wait with none
-        gone. It gives back what to write instead, and until when the last byte has to follow the first one;
-        what it raises ends the write."""
+        """Writes all of ``data``; ConnectionEndedError if the last byte can't be written by ``until``.
+
+        ``before_first_byte`` is called directly before the first byte is sent, and again after each wait in
+        which nothing could be sent. It returns the data to write instead, and the time by which the last byte
+        has to be sent once the first one is. An exception that it raises ends the write.
+        """
         rest = memoryview(data)
-        begun = before_first is None
+        begun = before_first_byte is None
         while rest:
-            if before_first is not None and not begun:
-                data, whole_by = before_first()
+            if before_first_byte is not None and not begun:
+                data, last_byte_by = before_first_byte()
                 rest = memoryview(data)
             try:
                 sent = self.sock.send(rest)
             except OSError as error:
                 if meaning_of(error) is not Meaning.HERE:
-                    raise _failed(error) from None
+                    raise _io_error(error) from None
             else:
                 rest = rest[sent:]
                 if not begun:
-                    begun, until = True, min(until, whole_by)
+                    begun, until = True, min(until, last_byte_by)
                 continue
             if not (yield Wait(self.sock.fileno(), WRITE, until)):
                 raise ConnectionEndedError(Ending.STALLED)
-            if before_first is not None and self.is_gone():
-                # danger: the kernel takes what is written after the peer's end, and the last byte would
-                # count as written
+            if before_first_byte is not None and self.peer_hung_up():
+                # the kernel accepts bytes even after the peer has closed, and the message would then count as
+                # written in full
                 raise ConnectionEndedError(Ending.CLOSED)
 
     def can_answer(self) -> bool:
         return self._codec.can_answer
 
-    def shut_down(self) -> None:
-        """Ends the own side. Danger: the peer is told that nothing more is answered; a request that is read
-        after this must not be served, its sender has it served elsewhere."""
-        self.shut = True
-        if self._ahead and self.grew is not None:
-            self.grew(self, -len(self._ahead))
-        self._ahead.clear()
+    def shutdown_write(self) -> None:
+        """Shuts down the sending side. A request read after this must not be served: the peer knows that it
+        gets no further answer and may have sent the request to another dispatcher."""
+        self.write_closed = True
+        if self._pipelined and self.on_buffered is not None:
+            self.on_buffered(self, -len(self._pipelined))
+        self._pipelined.clear()
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def linger(self, until: int) -> Coroutine[None]:
-        """Ends the own side and reads the rest away, up to a limit.
+        """Shuts down the sending side, then reads and discards input up to a limit of bytes.
 
-        Danger: closed with unread bytes, the kernel resets the connection and the peer may lose the
-        answer that was just written; but 60 MB from each of hundreds would take the whole core.
+        If a socket is closed with unread input, the kernel resets the connection and the peer may lose the
+        response that was just written. The limit is there because 60 MB from each of hundreds of peers would
+        keep the event loop busy.
         """
-        left = _LINGER_BYTES
-        if not self.shut:
-            self.shut_down()
+        remaining = _LINGER_MAX_BYTES
+        if not self.write_closed:
+            self.shutdown_write()
         try:
-            while left > 0 and (data := (yield from self._receive(until))):
-                left -= len(data)
+            while remaining > 0 and (data := (yield from self._receive(until))):
+                remaining -= len(data)
         except ConnectionEndedError:
             return
 
 
 def adopt(sock: socket.socket) -> Connection:
-    """A connection whose request another process has read: it can carry that one answer, and then ends."""
+    """A connection whose request was read by another process: it can carry that one response only."""
     sock.setblocking(False)
     connection = Connection(sock, server=True)
-    connection.take_as_read()
+    connection.assume_request_read()
     return connection
 
 
 def connect(address: Address, until: int) -> Coroutine[Connection]:
-    """A new connection in the client's role."""
+    """Connects to ``address`` by ``until``; returns a connection in the client's role."""
     try:
         sock = sockets.stream_socket(address)
     except OSError as error:
         raise ConnectionEndedError(Ending.FAILED_HERE, str(error)) from None
     try:
         sockets.send_at_once(sock)
-        number = sock.connect_ex(address)
-        if number == errno.EINPROGRESS:
+        error_number = sock.connect_ex(address)
+        if error_number == errno.EINPROGRESS:
             poll = select.poll()
             poll.register(sock, select.POLLOUT)
             waiting = True
             while waiting:
                 if not (yield Wait(sock.fileno(), WRITE, until)):
                     raise ConnectionEndedError(Ending.CONNECT_TIMED_OUT)
-                # danger: a wake-up meant for another socket of the same number says nothing of this one, and
-                # SO_ERROR is 0 also while it still connects
-                with suppress(OSError):  # a look that fails is made again
+                # the wake-up may have been for an earlier socket with the same descriptor, and SO_ERROR is 0
+                # while this one is still connecting: poll it first
+                with suppress(OSError):  # polled again after the next wake-up
                     waiting = not poll.poll(0)
-            number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if number:
-            raise _not_connected(number)
+            error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error_number:
+            raise _connect_error(error_number)
     except OSError as error:
-        # danger: as no ending of a connection, it would end the task with no word to whoever waits for it
+        # callers handle ConnectionEndedError only: an OSError would end their task without a reply to whoever
+        # waits for it
         sock.close()
         raise ConnectionEndedError(Ending.FAILED_HERE, str(error)) from None
     except BaseException:
@@ -358,6 +371,6 @@
 
 
 def accept(listener: socket.socket) -> Connection | None:
-    """The next connection that came in, or None; an OSError for want of descriptors passes on."""
+    """The next incoming connection, or None if none waits; raises OSError if no descriptor is free."""
     sock = sockets.accept(listener)
     return None if sock is None else Connection(sock, server=True)
--- a/ironbarrow/wire/__init__.py
+++ b/ironbarrow/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs: bytes to messages and back, with no input or output of their own."""
+"""Codecs between bytes and messages, without input or output."""
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -389,16 +389,16 @@
         self.on_close: Any = None
         self.closed = False
         self.has_unread = False
-        self.started = False
+        self.message_started = False
 
     def request_bytes(self, method: str, target: str, headers: Any, body: bytes = b"") -> bytes:
         self.method = method
         return method.encode()
 
-    def write(self, data: bytes, until: int, before_first: Any = None) -> Coroutine[None]:
+    def write(self, data: bytes, until: int, before_first_byte: Any = None) -> Coroutine[None]:
         yield from wait(self.world.loop.now() + self.world.random.randrange(20) * MS)
-        if before_first is not None:
-            before_first()
+        if before_first_byte is not None:
+            before_first_byte()
         if self.worker.mode(self.world.loop.now()) == "resets" and self.world.random.random() < 0.5:
             raise ConnectionEndedError(Ending.RESET)
         if self.method == "POST":
@@ -441,7 +441,7 @@
     def read_message(self, until: int) -> Coroutine[Message]:
         return (yield from self.read_head(until))
 
-    def is_silent(self) -> bool:
+    def is_idle(self) -> bool:
         return not self.closed
 
     def next_cycle(self) -> bool:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -118,7 +118,7 @@
     # on one that has rested, the job is taken and its attempt sent in one turn of the loop
     steps(stage, f"c1 send {READY}\nc1 expect ready\nwait 20\nc1 send {job()}\n{LEAVES[leaves]}\nwait 50")
     assert sent.ids == []
-    assert stage.dispatcher.clients.busy is False
+    assert stage.dispatcher.clients.has_connections is False
 
 
 def test_one_that_leaves_at_the_moment_of_the_answer_holds_nothing(stages: Callable[..., Stage]) -> None:
@@ -127,7 +127,7 @@
         stage, f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}"
     )
     steps(stage, "c1 close\nc2 expect 204\nc2 close")
-    stage.until("all is closed", lambda: not stage.dispatcher.clients.busy, 0.5)
+    stage.until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 0.5)
     assert stage.dispatcher.host.held_in_memory == 0
 
 
@@ -144,7 +144,7 @@
 def test_with_a_gap_in_what_was_sent_early_nothing_of_it_is_served(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http, "_AHEAD_MOST", 1000)
+    monkeypatch.setattr(http, "_READ_AHEAD_MAX_BYTES", 1000)
     stage = stages()
     sent = Sent(stage)
     steps(stage, f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nc1 send {job('j2')}\nwait 20")
@@ -162,14 +162,16 @@
     for _ in range(10):
         steps(stage, "".join(f"c{n} fill {job('more')}\n" for n in range(1, 7)))
         stage.pass_time(0.01)
-    held = sum(connection.held for connection, _ in stage.dispatcher.clients.asking.values())
-    assert len(stage.dispatcher.clients.asking) == 6
+    held = sum(
+        connection.buffered_bytes for connection, _ in stage.dispatcher.clients.awaiting_answer.values()
+    )
+    assert len(stage.dispatcher.clients.awaiting_answer) == 6
     assert 0 < held <= 256 * 1024
     for n in range(1, 7):
         stage.peers[f"c{n}"].close()
     stage.until("all have left", lambda: stage.dispatcher.host.owed == 0, 1.0)
-    stage.until("all is closed", lambda: not stage.dispatcher.clients.busy, 2.0)
-    assert stage.dispatcher.clients._places._buffered == 0
+    stage.until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 2.0)
+    assert stage.dispatcher.clients._slots._buffered_bytes == 0
 
 
 # The end of a connection
@@ -213,8 +215,8 @@
     # danger: a close over unread bytes resets the connection, and with it goes the answer before it
     first, end = ENDS[name]
     if end is let_time_pass:
-        monkeypatch.setattr(server, "_IDLE_LIMIT", 100 * MS)
-        monkeypatch.setattr(server, "_FIRST_LIMIT", 100 * MS)
+        monkeypatch.setattr(server, "_IDLE_TIMEOUT", 100 * MS)
+        monkeypatch.setattr(server, "_FIRST_BYTE_TIMEOUT", 100 * MS)
     stage = stages(sockets=38)  # room for three clients
     sent = Sent(stage)
     client = socket.create_connection(stage.address)
@@ -232,7 +234,7 @@
 
         monkeypatch.setattr(Connection, name, first_the_request, raising=False)
 
-    crossing("shut_down")
+    crossing("shutdown_write")
     crossing("close")
     client.sendall(first.replace("\\r", "\r").replace("\\n", "\n").encode())
     stage.pass_time(0.02)
@@ -249,18 +251,18 @@
     assert sent.ids == []
 
 
-@pytest.mark.parametrize("limit", ["_IDLE_LIMIT", "_FIRST_LIMIT"])
+@pytest.mark.parametrize("limit", ["_IDLE_TIMEOUT", "_FIRST_BYTE_TIMEOUT"])
 def test_a_request_that_comes_in_the_turn_in_which_the_time_is_over_is_served(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch, limit: str
 ) -> None:
     monkeypatch.setattr(server, limit, 100 * MS)
     stage = stages()
-    steps(stage, f"c1 send {READY}\nc1 expect 200\nwait 10" if limit == "_IDLE_LIMIT" else "c1 silent 10")
-    found = stage.dispatcher.clients._places
+    steps(stage, f"c1 send {READY}\nc1 expect 200\nwait 10" if limit == "_IDLE_TIMEOUT" else "c1 silent 10")
+    found = stage.dispatcher.clients._slots
     (connection,) = [*found.idle, *found.reading]
     loop = stage.dispatcher.loop
     # called between the poll that found nothing and the limit's own timer
-    loop.call_at(connection.used_at + 100 * MS - 1, stage.step, f"c1 send {job()}")
+    loop.call_at(connection.last_used_at + 100 * MS - 1, stage.step, f"c1 send {job()}")
     steps(stage, "p1 expect in$\nc1 silent 10")
 
 
@@ -284,13 +286,13 @@
     steps(stage, f"c2 send {call_back('done', 'j1', result='a')}\nc1 expect a$\np1 expect : j2.*in$")
     steps(stage, f"p1 send {ACCEPTED}\nc3 send {call_back('done', 'j2', result='b')}")
     steps(stage, "c1 expect 200 .*Connection: close.*b$\nc1 ended\nc1 close\nc2 close\nc3 close")
-    stage.until("all is closed", lambda: not stage.dispatcher.clients.busy, 0.5)
+    stage.until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 0.5)
 
 
 def test_one_that_always_has_another_in_is_ended_all_the_same(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "LINGER_LIMIT", 200 * MS)
+    monkeypatch.setattr(server, "LINGER_TIMEOUT", 200 * MS)
     stage = stages()
     steps(stage, f"c1 send {READY}\nc1 expect 200\nc1 fill {READY * 1000}")
     stage.dispatcher.clients.close_idle()
@@ -318,7 +320,7 @@
     client.connect(stage.address)
     client.sendall(job(ms=ms).replace("\\r", "\r").replace("\\n", "\n").encode())
     steps(stage, f"p1 expect in$\np1 send {ACCEPTED}")
-    ((connection, _),) = stage.dispatcher.clients.asking.values()
+    ((connection, _),) = stage.dispatcher.clients.awaiting_answer.values()
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     steps(stage, f"c2 send {call_back('done', result='x' * 60_000)}\nc2 expect 204\nc2 close")
     return client
@@ -327,7 +329,7 @@
 def test_a_slow_reader_has_its_answer_up_to_its_time(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "_WRITE_LIMIT", 50 * MS)
+    monkeypatch.setattr(server, "_WRITE_TIMEOUT", 50 * MS)
     stage = stages()
     client = slow_reader(stage, 9000)
     stage.pass_time(0.3)
@@ -346,12 +348,12 @@
 def test_one_that_reads_nothing_holds_its_place_up_to_its_time(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "_WRITE_LIMIT", 50 * MS)
-    monkeypatch.setattr(server, "_AFTER_DEADLINE", 100 * MS)
+    monkeypatch.setattr(server, "_WRITE_TIMEOUT", 50 * MS)
+    monkeypatch.setattr(server, "_ANSWER_GRACE", 100 * MS)
     stage = stages()
     client = slow_reader(stage, 300)
-    assert stage.dispatcher.clients.busy
-    stage.until("its place is free", lambda: not stage.dispatcher.clients.busy, 1.0)
+    assert stage.dispatcher.clients.has_connections
+    stage.until("its place is free", lambda: not stage.dispatcher.clients.has_connections, 1.0)
     client.close()
 
 
@@ -374,7 +376,7 @@
 def test_a_later_request_that_stops_half_way_makes_room_too(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch, half: str
 ) -> None:
-    monkeypatch.setattr(server, "_REQUEST_LIMIT", 60_000 * MS)
+    monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 60_000 * MS)
     stage = stages(sockets=38)  # room for three clients
     steps(
         stage, "".join(f"c{n} send {READY}\nc{n} expect 200\nc{n} send {half}\nwait 5\n" for n in (1, 2, 3))
@@ -385,7 +387,7 @@
 def test_later_requests_that_stop_half_way_share_the_limit_on_memory(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "_REQUEST_LIMIT", 60_000 * MS)
+    monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 60_000 * MS)
     stage = stages(sockets=1024, memory_mb=1)  # half a megabyte for all of them
     half = job().replace("Content-Length: 2", "Content-Length: 60000") + "x" * 50_000
     steps(
@@ -449,23 +451,23 @@
 ) -> None:
     # danger: each one that is freed goes to the next that connects, none to the discovery service or a worker
     stage = stages(sockets=96)  # forty places
-    real, opened = socket.socket.accept, stage.dispatcher.clients._places
+    real, opened = socket.socket.accept, stage.dispatcher.clients._slots
 
     def accept(self: socket.socket) -> tuple[socket.socket, object]:
-        if self is stage.dispatcher.listener and opened.taken >= 20:
+        if self is stage.dispatcher.listener and opened.in_use >= 20:
             raise OSError(24, "Too many open files")
         return real(self)
 
     monkeypatch.setattr(socket.socket, "accept", accept)
     steps(stage, "".join(f"c{n} send {READY}\nc{n} expect 200\n" for n in range(1, 41)) + "wait 50")
-    assert 8 <= opened.taken <= 17
+    assert 8 <= opened.in_use <= 17
     steps(stage, f"c50 send {job()}\np1 expect in$")
 
 
 def test_no_small_write_is_held_back(stages: Callable[..., Stage]) -> None:
     stage = stages()
     steps(stage, f"c1 send {job()}\np1 expect in$")
-    ((connection, _),) = stage.dispatcher.clients.asking.values()
+    ((connection, _),) = stage.dispatcher.clients.awaiting_answer.values()
     assert connection.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
@@ -511,7 +513,7 @@
 def test_a_request_that_never_ends_is_answered_and_closed(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch, name: str, again: bool
 ) -> None:
-    monkeypatch.setattr(server, "_REQUEST_LIMIT", 150 * MS)
+    monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 150 * MS)
     stage = stages()
     sent = Sent(stage)
     steps(stage, f"c1 send {READY}\nc1 expect ready\n" if again else "c1 silent 1")
@@ -524,7 +526,7 @@
 def test_bytes_that_come_one_by_one_have_one_limit_together(
     stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "_REQUEST_LIMIT", 200 * MS)
+    monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 200 * MS)
     stage = stages()
     sent = Sent(stage)
     text = iter(job().replace("\\r", "\r").replace("\\n", "\n").encode())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -65,7 +65,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # danger: until the new one has told something, the list, the old one's news and jobs must stay
-    monkeypatch.setattr(discovery, "_PUSHED_ANSWER_LIMIT", 20 * SECOND)
+    monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
     stage = Stage()
     draining = escaped(stage.news(stage.entry("p1", "draining"), index=57))
     later = stage.entry("p1") | {"since_ms": 1_000}  # a process that is not the one told of
@@ -127,7 +127,7 @@
 
 def test_a_silent_watch_is_left_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: a frozen discovery service keeps its connection open and says nothing
-    monkeypatch.setattr(discovery, "_SILENCE_LIMIT", 200 * MS)
+    monkeypatch.setattr(discovery, "_SILENCE_TIMEOUT", 200 * MS)
     watched(Stage(), "d ended\nd close\nd expect follow=1&since=41")
 
 
@@ -225,7 +225,7 @@
 def test_an_order_of_bytes_on_the_watch(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     pieces, stays, call = ORDERS[name]
     if "empty lines" in name:
-        monkeypatch.setattr(discovery, "_SILENCE_LIMIT", 300 * MS)
+        monkeypatch.setattr(discovery, "_SILENCE_TIMEOUT", 300 * MS)
     if "a byte" in name:
         text = "".join(pieces)
         pieces = [text[at : at + 5] for at in range(0, len(text), 5)]
@@ -266,7 +266,7 @@
 def test_a_whole_list_that_does_not_come_is_asked_for_again(
     said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery, "_SILENCE_LIMIT", 300 * MS)
+    monkeypatch.setattr(discovery, "_SILENCE_TIMEOUT", 300 * MS)
     stage = Stage(known=False)
     body = told(stage.entry("p1"), whole=True, indent=1).replace("\n", "\\n")
     size = len(body.replace("\\n", "\n"))
@@ -311,7 +311,7 @@
     real = sockets.stream_socket
 
     def none_free(address: sockets.Address) -> socket.socket:
-        if stage.dispatcher.discovery._spare is not None:
+        if stage.dispatcher.discovery._reserved_socket is not None:
             raise OSError(24, "Too many open files")
         return real(address)
 
@@ -340,8 +340,8 @@
     old: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # danger: both are fed from one truth, at different speeds
-    monkeypatch.setattr(discovery, "_PUSHED_ANSWER_LIMIT", 20 * SECOND)
-    monkeypatch.setattr(discovery, "_SETTLED", 1_500 * MS)
+    monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
+    monkeypatch.setattr(discovery, "_CONVERGENCE_TIME", 1_500 * MS)
     stage = Stage()
     if old.startswith("not"):
         news = stage.news(stage.entry("p2"), index=57, whole=True)
@@ -367,8 +367,8 @@
 def test_the_new_discovery_service_has_the_last_word_on_a_drain_of_the_old_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(discovery, "_PUSHED_ANSWER_LIMIT", 20 * SECOND)
-    monkeypatch.setattr(discovery, "_SETTLED", 400 * MS)
+    monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
+    monkeypatch.setattr(discovery, "_CONVERGENCE_TIME", 400 * MS)
     stage = Stage()
     may = stage.dispatcher.host.may_send_to
     try:
@@ -396,7 +396,7 @@
 def test_there_and_back_the_first_discovery_service_is_followed_on(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: asked for the whole list anew while its own watch went on, it was listened to twice, and the
     # list of the one that was left in between replaced its news
-    monkeypatch.setattr(discovery, "_PUSHED_ANSWER_LIMIT", 20 * SECOND)
+    monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
     stage = Stage()
     drains = escaped(stage.news(stage.entry("p1", "draining"), index=57))
     late = whole(stage, stage.entry("p1"), stage.entry("p2"))
@@ -419,7 +419,7 @@
 
 
 def test_of_two_reloads_in_a_row_the_last_one_counts(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "_PUSHED_ANSWER_LIMIT", 20 * SECOND)
+    monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
     stage = Stage(workers=3)  # p3 plays the third discovery service
     may = stage.dispatcher.host.may_send_to
     try:
@@ -491,28 +491,28 @@
     values: list[dict[str, Any]], indent: int | None, between: str, size: int
 ) -> None:
     data = between.join(json.dumps(value, indent=indent) for value in values).encode()
-    objects = discovery._Objects()
+    objects = discovery._ObjectSplitter()
     found = [o for at in range(0, len(data), size) for o in objects.feed(data[at : at + size])]
     assert [json.loads(one) for one in found] == values
-    assert not objects.unfinished
+    assert not objects.incomplete
 
 
 @pytest.mark.parametrize("indent", [None, 2])
 def test_what_is_looked_at_again_with_each_piece_does_not_grow_with_the_list(indent: int | None) -> None:
     data = told(*(entry(f"s-{n}") for n in range(2_000)), indent=indent).encode()
-    objects, again = discovery._Objects(), 0
+    objects, again = discovery._ObjectSplitter(), 0
     for at in range(0, len(data), 100):
-        again = max(again, len(objects._text) - objects._scanned)
+        again = max(again, len(objects._buffer) - objects._scanned_to)
         objects.feed(data[at : at + 100])
-    assert not objects.unfinished
+    assert not objects.incomplete
     assert again < 1_000
 
 
 def test_an_object_too_large_ends_the_connection() -> None:
-    objects, piece = discovery._Objects(), json.dumps([entry()]).encode()[1:-1] + b","
+    objects, piece = discovery._ObjectSplitter(), json.dumps([entry()]).encode()[1:-1] + b","
     with pytest.raises(ConnectionEndedError) as ended:
         objects.feed(b'{"endpoints":[')
-        for _ in range(discovery._SIZE_LIMIT // len(piece) + 1):
+        for _ in range(discovery._MAX_LIST_BYTES // len(piece) + 1):
             objects.feed(piece)
     assert ended.value.ending is Ending.TOO_LARGE
 
@@ -573,7 +573,7 @@
     def write(self, data: bytes, until: int) -> Coroutine[None]:
         yield from wait(self.loop.now())
 
-    def event(self, until: int) -> Coroutine[Any]:
+    def next_event(self, until: int) -> Coroutine[Any]:
         agent = self.agent
         yield from wait(self.loop.now())
         if not self.head:
@@ -620,16 +620,16 @@
     def listed(news: api.WorkerList) -> None:
         if news.kind is api.ListKind.LOST:
             assert pace is not None
-            loop.call_at(loop.now() + pace.failed(), client.ask)
+            loop.call_at(loop.now() + pace.failed(), client.subscribe)
         elif any(e.state is api.WorkerState.DRAINING for e in news.entries):
             found.append(loop.now())
         elif pace is not None:
             pace.answered()
 
-    client = discovery.Discovery(loop, ("d", 1), listed, on_request=pace is not None, seed=seed)  # type: ignore[arg-type]
+    client = discovery.DiscoveryClient(loop, ("d", 1), listed, on_request=pace is not None, seed=seed)  # type: ignore[arg-type]
     client.start(json.loads(told(entry(status="up"), index=41, whole=True)) if known else {})
     if pace is not None:
-        loop.call_at(loop.now() + pace.first(), client.ask)
+        loop.call_at(loop.now() + pace.first(), client.subscribe)
     loop.run(until)
     return found[0] if found else NEVER
 
@@ -692,7 +692,7 @@
     first = pace.first() if dispatchers <= ANSWERED_IN_TIME else 0
     pauses = [pace.failed() for _ in range(failures + 1)]
     answer_comes = 1 * SECOND
-    lost = max(discovery._SILENCE_LIMIT, discovery._ANSWER_LIMIT)
+    lost = max(discovery._SILENCE_TIMEOUT, discovery._RESPONSE_TIMEOUT)
     assert all(lost + pause + answer_comes < TOLD for pause in pauses)
     # the first call may be refused, too
     assert first + pauses[0] <= TOLD - SECOND // 2
@@ -761,5 +761,5 @@
         return world.now - lost
 
     assert next_call(2 * SECOND, listed=False) > 2_100 * MS
-    for waited, listed in ((0, False), (discovery._ANSWER_LIMIT, False), (2 * SECOND, True)):
+    for waited, listed in ((0, False), (discovery._RESPONSE_TIMEOUT, False), (2 * SECOND, True)):
         assert next_call(waited, listed) <= pacing.AGAIN_WITHIN + 210 * MS
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -326,18 +326,18 @@
 
 def test_a_request_that_stops_half_way_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: a client that freezes would keep its connection for ever
-    monkeypatch.setattr(server, "_REQUEST_LIMIT", 200 * MS)
+    monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 200 * MS)
     Stage().play(f"c1 send {job()[:40]}\nc1 expect ^HTTP/1.1 408\nc1 ended")
 
 
 def test_a_connection_that_brings_no_request_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: hundreds that say nothing would hold the places of usual clients
-    monkeypatch.setattr(server, "_FIRST_LIMIT", 200 * MS)
+    monkeypatch.setattr(server, "_FIRST_BYTE_TIMEOUT", 200 * MS)
     Stage().play("c1 silent 100\nc1 ended")
 
 
 def test_silent_connections_make_room_for_one_that_asks(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "_FIRST_LIMIT", 60_000 * MS)
+    monkeypatch.setattr(server, "_FIRST_BYTE_TIMEOUT", 60_000 * MS)
     stage = Stage(sockets=38)  # room for three clients
     silent = "".join(f"c{n} silent 1\n" for n in range(1, 6))
     stage.play(f"{silent}c6 send {job()[:40]}\nc9 send {job()}\np1 expect in$\nc1 ended\nc6 ended")
@@ -364,7 +364,7 @@
 
 
 def test_requests_that_stop_half_way_share_a_limit_on_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "_REQUEST_LIMIT", 60_000 * MS)
+    monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 60_000 * MS)
     stage = Stage(sockets=1024, memory_mb=1)  # half a megabyte for all of them
     half = job().replace("Content-Length: 2", "Content-Length: 60000") + "x" * 50_000
     stage.play(
@@ -373,7 +373,7 @@
 
 
 def test_an_idle_connection_is_closed_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "_IDLE_LIMIT", 200 * MS)
+    monkeypatch.setattr(server, "_IDLE_TIMEOUT", 200 * MS)
     Stage().play(f"c1 send {get('/-/ready')}\nc1 expect 200\nc1 ended")
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -310,11 +310,11 @@
         headers = [("Host", "discovery")]
         target = "/api/targets?follow=1&since=1"
         yield from connection.write(connection.request_bytes("GET", target, headers), until)
-        yield from connection.event(until)  # the head
+        yield from connection.next_event(until)  # the head
         yield from sleep(loop.now() + 50 * MS)
         changed_at = loop.now()
         assert workers.change(Entry("w1", "north-2", "", 5.0)) == 2
-        event = yield from connection.event(until)
+        event = yield from connection.next_event(until)
         heard_at = loop.now()
         said = msgspec.json.decode(bytes(event.data))  # type: ignore[union-attr]
         assert (said["index"], said["snapshot"]) == (2, False)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -20,7 +20,7 @@
 
 from heathway.settings import read_settings
 from ironbarrow.daemon.dispatcher import Pace
-from ironbarrow.fronts.server import Clients
+from ironbarrow.fronts.server import HttpServer
 from ironbarrow.runtime.loop import MS, SECOND
 from tests.scenario import SETTINGS, Peer, Stage, answer, call_back, job
 from tests.test_config import ROOT, UNUSED, logged, written
@@ -232,16 +232,16 @@
 
 def test_who_connects_before_the_last_look_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     stage = paced(still_coming=0)
-    real = Clients.busy
+    real = HttpServer.has_connections
     sent = iter((f"c1 send {job()}",))
 
-    def busy(self: Clients) -> bool:
+    def busy(self: HttpServer) -> bool:
         for step in sent:
             stage.step(step)
         assert real.fget is not None
         return bool(real.fget(self))
 
-    monkeypatch.setattr(Clients, "busy", property(busy))
+    monkeypatch.setattr(HttpServer, "has_connections", property(busy))
     stage.play(f"stop\n{served('j1').strip()}\nexits")
 
 
@@ -274,7 +274,7 @@
     if part == "the hand-over":
         stage.dispatcher._upgrade = SimpleNamespace(hand_over=fail, owed=0, handed_over=0, close=lambda: None)
     elif part == "the closing":
-        monkeypatch.setattr(Clients, "close_idle", fail)
+        monkeypatch.setattr(HttpServer, "close_idle", fail)
     else:
         monkeypatch.setattr("ironbarrow.daemon.dispatcher.log", SimpleNamespace(info=fail, error=fail))
     stage.dispatcher.loop.soon(stage.dispatcher.stop)
