--- a/tests/decisions.py
+++ b/tests/decisions.py
@@ -5,7 +5,7 @@
 
 from heathway import api
 from heathway.api import Outcome
-from tests.scenario import Stage
+from tests.scenario import Harness
 
 
 class Plain:
@@ -42,7 +42,7 @@
         return actions
 
 
-def plain(*order: str, **config: Any) -> tuple[Stage, Plain]:
-    stage, decisions = Stage(**config), Plain(order)
+def plain(*order: str, **config: Any) -> tuple[Harness, Plain]:
+    stage, decisions = Harness(**config), Plain(order)
     stage.dispatcher.host._dispatcher = decisions  # type: ignore[assignment]
     return stage, decisions
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,27 +1,27 @@
-"""A small language for network tests: scripted peers that send, expect, close and wait.
+"""A script language for network tests of a dispatcher: scripted peers send, expect, close and wait.
 
-A scenario is text, one step a line. A line names its peer: ``c1 send ...`` and so on. ``c*`` are
-clients and call-backs, which connect to the dispatcher, ``o*`` are operators at its own address
-for them; ``p*`` are workers, ``d`` is the discovery service and ``d2`` another one, which the dispatcher
-connects to. In what is sent, ``\\r`` and ``\\n`` are written out.
+A scenario is a text with one step per line. Most lines start with the name of a peer. ``c*`` are clients and
+workers that send call-backs, ``o*`` are operators at the dispatcher's address for them; these connect to the
+dispatcher. ``p*`` are workers, ``d`` is the discovery service and ``d2`` another one; the dispatcher connects
+to these. Texts to send contain ``\\r`` and ``\\n`` as escapes.
 
-    c1 send TEXT      write it, after connecting if need be
-    c1 expect REGEX   read until it matches all that has come; fails after LIMIT
-    c1 silent MS      nothing comes and the connection stays open for so long
-    c1 ended          the other side has closed the connection
+    c1 send TEXT      send it, after connecting if necessary
+    c1 expect REGEX   receive until the input matches; fails after TIMEOUT
+    c1 silent MS      nothing is received for so long, and the connection stays open
+    c1 ended          the other side closes the connection
     c1 close          close the connection
-    c1 half-close     end the own side alone, and go on reading
-    c1 reset          close the connection with a reset
-    c1 fill TEXT      write it over and over until the buffers on the way take no more
-    p1 refuse         take no more connections
-    p1 listen         take connections again, at the same address
-    p1 full           let new connections wait: none comes up any more
+    c1 half-close     shut down the sending side only, and continue to receive
+    c1 reset          reset the connection
+    c1 fill TEXT      send it repeatedly until the buffers are full
+    p1 refuse         close the listener
+    p1 listen         listen again, at the same address
+    p1 full           fill the backlog of the listener, so that new connections stay in connecting
     wait MS           let time pass
-    reload d2         give the dispatcher a configuration that names another discovery service
-    stop              order the dispatcher to stop
-    exits             its loop has ended
+    reload d2         reload the configuration with another discovery service
+    stop              tell the dispatcher to stop
+    exits             the dispatcher's event loop ends
 
-The dispatcher runs in the same thread, so that nothing races: its loop turns while a step waits.
+The dispatcher runs in the thread of the test, without races: its loop is turned while a step waits.
 """
 
 import json
@@ -40,7 +40,7 @@
 from ironbarrow.runtime.sockets import listen, parse_address, stream_socket
 
 FILL_CHUNK = 64 * 1024  # bytes of one write of ``fill``
-LIMIT = 20.0  # seconds; only a failing step ever waits so long
+TIMEOUT = 20.0  # seconds; reached by failing steps only
 SETTINGS: dict[str, Any] = {
     "me": 0,
     "replicasOfMe": 1,
@@ -59,68 +59,69 @@
 
 
 class Peer:
-    """One scripted end of a connection."""
+    """The scripted end of a connection."""
 
     def __init__(
-        self, address: tuple[str, int] | None, *, many: bool = False, host: str = "127.0.0.1"
+        self, address: tuple[str, int] | None, *, many_connections: bool = False, host: str = "127.0.0.1"
     ) -> None:
-        self.address = address  # of the dispatcher; None: the peer listens itself
-        self.many = many  # once it has answered on a connection, it takes the next one that waits
+        self.address = address  # of the dispatcher; None for a peer that listens
+        self.many_connections = many_connections  # accepts another connection after each answer
         self.answered = False
-        self.older: list[socket.socket] = []  # connections answered before; steps go to where a request came
+        # open connections answered before; steps apply to the one on which a request came last
+        self.earlier: list[socket.socket] = []
         self.listener = None if address else listen((host, 0))
         self.sock: socket.socket | None = None
-        self.seen = b""
-        self.over = False
-        self.waiting: list[socket.socket] = []  # hold the places of a listener that takes no more
+        self.received = b""
+        self.ended = False
+        self.backlog: list[socket.socket] = []  # connections that fill the backlog of the listener
 
     def connect(self) -> None:
         if self.sock is None and self.address:
             self.sock = socket.create_connection(self.address)
             self.sock.setblocking(False)
 
-    def look(self) -> None:
-        """Takes in what has come."""
-        free = self.sock is None or (self.many and self.answered)
+    def receive(self) -> None:
+        """Accepts a waiting connection and reads all available input."""
+        free = self.sock is None or (self.many_connections and self.answered)
         if free and self.listener is not None and select.select([self.listener], [], [], 0)[0]:
-            self._turn_to(self.listener.accept()[0])
-        elif self.answered and (ready := select.select(self.older, [], [], 0)[0]):
-            self.older.remove(ready[0])
-            self._turn_to(ready[0])
-        if self.sock is not None and not self.over:
+            self._use(self.listener.accept()[0])
+        elif self.answered and (ready := select.select(self.earlier, [], [], 0)[0]):
+            self.earlier.remove(ready[0])
+            self._use(ready[0])
+        if self.sock is not None and not self.ended:
             try:
                 data = self.sock.recv(1 << 20)
             except BlockingIOError:
                 return
             except ConnectionError:
                 data = b""
-            self.seen += data
-            self.over = not data
-            self.answered = self.answered and self.over
+            self.received += data
+            self.ended = not data
+            self.answered = self.answered and self.ended
 
-    def _turn_to(self, sock: socket.socket) -> None:
-        if self.sock is not None and not self.over:
-            self.older.append(self.sock)
+    def _use(self, sock: socket.socket) -> None:
+        if self.sock is not None and not self.ended:
+            self.earlier.append(self.sock)
         elif self.sock is not None:
             self.sock.close()
         sock.setblocking(False)
-        self.sock, self.over, self.answered = sock, False, False
+        self.sock, self.ended, self.answered = sock, False, False
 
     def close(self) -> None:
-        for sock in (self.sock, *self.older):
+        for sock in (self.sock, *self.earlier):
             if sock is not None:
                 sock.close()
-        self.sock, self.seen, self.over, self.answered, self.older = None, b"", False, False, []
+        self.sock, self.received, self.ended, self.answered, self.earlier = None, b"", False, False, []
 
 
-class Stage:
-    """A dispatcher and its peers, playing one scenario."""
+class Harness:
+    """A dispatcher and its scripted peers, which run one scenario."""
 
     def __init__(
         self, workers: int = 2, known: bool = True, discovery_host: str = "127.0.0.1", **config: Any
     ) -> None:
-        """``discovery_host``: where the discovery service listens, at a port of the kernel's choice."""
-        self.peers = {f"p{n}": Peer(None, many=True) for n in range(1, workers + 1)} | {
+        """``discovery_host``: the address at which the discovery service listens, on any free port."""
+        self.peers = {f"p{n}": Peer(None, many_connections=True) for n in range(1, workers + 1)} | {
             "d": Peer(None, host=discovery_host),
             "d2": Peer(None),
         }
@@ -142,30 +143,35 @@
         self.dispatcher = Dispatcher(self.config, listener)
 
     def entry(self, name: str, status: str = "up") -> dict[str, Any]:
+        """A worker's entry in the list of the discovery service."""
         return {"name": name, "address": self.names[f"${name}"], "zone": "a", "status": status}
 
-    def news(self, *entries: dict[str, Any], index: int = 42, whole: bool = False) -> str:
-        line = json.dumps({"index": index, "snapshot": whole, "endpoints": entries}) + "\n"
+    def list_chunk(self, *entries: dict[str, Any], index: int = 42, full: bool = False) -> str:
+        """A message of the discovery service as a chunk of its response: a full list, or changes."""
+        line = json.dumps({"index": index, "snapshot": full, "endpoints": entries}) + "\n"
         return f"{len(line):x}\r\n{line}\r\n"
 
-    def until(self, what: str, true: Any, limit: float = LIMIT) -> None:
-        end = time.monotonic() + limit
-        while not true():
-            assert time.monotonic() < end, f"{what}: not within {limit} s; peers saw " + repr(
-                {name: peer.seen for name, peer in self.peers.items()}
+    def run_until(self, what: str, condition: Any, timeout: float = TIMEOUT) -> None:
+        """Runs the dispatcher until a condition holds; fails after ``timeout`` seconds."""
+        end = time.monotonic() + timeout
+        while not condition():
+            assert time.monotonic() < end, f"{what}: not within {timeout} s; peers received " + repr(
+                {name: peer.received for name, peer in self.peers.items()}
             )
-            self.pass_time(0.005)
+            self.run_for(0.005)
 
-    def pass_time(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
+        """Runs the dispatcher and its peers for some time."""
         loop = self.dispatcher.loop
         end = time.monotonic() + seconds
         while not loop.stopped and time.monotonic() < end:
             loop.call_at(loop.now() + int(1e9 * max(0.0, min(0.002, end - time.monotonic()))), lambda: None)
             loop.turn()
             for peer in self.peers.values():
-                peer.look()
+                peer.receive()
 
-    def play(self, scenario: str) -> None:
+    def run(self, scenario: str) -> None:
+        """Runs all steps of a scenario, then closes everything."""
         try:
             for line in scenario.strip().splitlines():
                 self.step(line.strip())
@@ -173,28 +179,31 @@
             self.close()
 
     def step(self, line: str) -> None:
+        """Runs one step of a scenario."""
         name, _, rest = line.partition(" ")
         verb, _, text = rest.partition(" ")
         if name == "wait":
-            self.pass_time(float(rest) / 1000)
+            self.run_for(float(rest) / 1000)
         elif name == "reload":
             self.dispatcher.reload(replace(self.config, discovery=parse_address(self.names[f"${rest}"])))
         elif name == "stop":
             self.dispatcher.stop()
         elif name == "exits":
-            self.until(line, lambda: self.dispatcher.loop.stopped)
+            self.run_until(line, lambda: self.dispatcher.loop.stopped)
         else:
             for known, address in self.names.items():
                 text = text.replace(known, address)
             if name not in self.peers:
-                door = self.dispatcher.admin.getsockname() if self.dispatcher.admin is not None else None
-                self.peers[name] = Peer(door if name.startswith("o") else self.address)
-            self._act(line, self.peers[name], verb, text)
+                admin_address = (
+                    self.dispatcher.admin.getsockname() if self.dispatcher.admin is not None else None
+                )
+                self.peers[name] = Peer(admin_address if name.startswith("o") else self.address)
+            self._run_peer_step(line, self.peers[name], verb, text)
 
-    def _act(self, line: str, peer: Peer, verb: str, text: str) -> None:
+    def _run_peer_step(self, line: str, peer: Peer, verb: str, text: str) -> None:
         peer.connect()
         if verb == "send":
-            self.until(line, lambda: peer.sock is not None)
+            self.run_until(line, lambda: peer.sock is not None)
             assert peer.sock is not None
             peer.sock.setblocking(True)
             peer.sock.sendall(text.replace("\\r", "\r").replace("\\n", "\n").encode("latin-1"))
@@ -202,17 +211,17 @@
             peer.answered = True
         elif verb == "expect":
             pattern = re.compile(text.encode(), re.DOTALL)
-            self.until(line, lambda: pattern.search(peer.seen))
-            found = pattern.search(peer.seen)
+            self.run_until(line, lambda: pattern.search(peer.received))
+            found = pattern.search(peer.received)
             assert found is not None
-            peer.seen = peer.seen[found.end() :]
+            peer.received = peer.received[found.end() :]
         elif verb == "silent":
-            peer.seen = b""
-            self.pass_time(float(text) / 1000)
-            assert not peer.seen, f"{line}: came {peer.seen!r}"
-            assert not peer.over, f"{line}: closed"
+            peer.received = b""
+            self.run_for(float(text) / 1000)
+            assert not peer.received, f"{line}: received {peer.received!r}"
+            assert not peer.ended, f"{line}: connection closed"
         elif verb == "ended":
-            self.until(line, lambda: peer.over)
+            self.run_until(line, lambda: peer.ended)
         elif verb == "close":
             peer.close()
         elif verb == "half-close":
@@ -225,7 +234,7 @@
         elif verb == "fill":
             assert peer.sock is not None
             data = text.replace("\\r", "\r").replace("\\n", "\n").encode("latin-1")
-            # danger: megabytes in writes of a hundred bytes take longer on a busy machine than a job may last
+            # in writes of a hundred bytes, megabytes take longer on a busy machine than a job's time-out
             data *= max(1, FILL_CHUNK // len(data))
             with suppress(BlockingIOError):
                 while peer.sock.send(data) == len(data):
@@ -233,8 +242,8 @@
         elif verb == "full":
             assert peer.listener is not None
             peer.listener.listen(0)
-            for _ in range(4):  # one has a place, the others wait as the dispatcher's will
-                peer.waiting.append(sock := stream_socket(("127.0.0.1", 0)))
+            for _ in range(4):  # one fits into the backlog, the others stay in connecting
+                peer.backlog.append(sock := stream_socket(("127.0.0.1", 0)))
                 sock.connect_ex(peer.listener.getsockname())
         elif verb == "refuse":
             assert peer.listener is not None
@@ -249,12 +258,13 @@
     def close(self) -> None:
         for peer in self.peers.values():
             peer.close()
-            for sock in [*peer.waiting, *([peer.listener] if peer.listener is not None else [])]:
+            for sock in [*peer.backlog, *([peer.listener] if peer.listener is not None else [])]:
                 sock.close()
         self.dispatcher.close()
 
 
 def job(job_id: str = "j1", path: str = "map/x?y=1", ms: int = 9000, more: str = "", body: str = "in") -> str:
+    """A job request; ``more``: further header lines."""
     return (
         f"POST /{path} HTTP/1.1\\r\\nHost: b\\r\\nX-Request-ID: {job_id}\\r\\nX-Timeout-Ms: {ms}\\r\\n"
         f"{more}Content-Length: {len(body)}\\r\\n\\r\\n{body}"
@@ -262,6 +272,7 @@
 
 
 def call_back(state: str, job_id: str = "j1", source: str = "p1", **more: Any) -> str:
+    """A call-back request of a worker."""
     return post(json.dumps({"id": job_id, "from": source, "state": state, **more}))
 
 
@@ -270,4 +281,5 @@
 
 
 def answer(status: int, more: str = "") -> str:
+    """A response without a body; ``more``: further header lines."""
     return f"HTTP/1.1 {status} X\\r\\n{more}Content-Length: 0\\r\\n\\r\\n"
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -16,7 +16,7 @@
 from ironbarrow.admin.bans import Bans
 from ironbarrow.admin.keep import BanFile
 from ironbarrow.core.figures import OUTCOMES, Figures
-from tests.scenario import Stage, answer, call_back, job, post
+from tests.scenario import Harness, answer, call_back, job, post
 
 ACCEPTED = answer(202)
 
@@ -29,8 +29,8 @@
     return post(worker, f"/ops/workers/{what}")
 
 
-def stage(**config: Any) -> Stage:
-    return Stage(admin=("127.0.0.1", 0), **config)
+def stage(**config: Any) -> Harness:
+    return Harness(admin=("127.0.0.1", 0), **config)
 
 
 CALLS = {
@@ -88,17 +88,17 @@
 
 @pytest.mark.parametrize("name", CALLS)
 def test_calls_of_operators(name: str) -> None:
-    stage().play(CALLS[name])
+    stage().run(CALLS[name])
 
 
 def test_callers_that_stall_are_never_in_the_way_of_the_next() -> None:
     played = stage()
     stalled = "\n".join(f"o{n} send {'GET /ops' if n % 2 else ''}" for n in range(100, 100 + 4 * door.MOST))
-    played.play(f"{stalled}\no1 send {call('stats')}\no1 expect HTTP/1.1 200 .*app_in_flight")
+    played.run(f"{stalled}\no1 send {call('stats')}\no1 expect HTTP/1.1 200 .*app_in_flight")
 
 
 def test_without_an_address_there_is_no_door() -> None:
-    assert Stage().dispatcher.admin is None
+    assert Harness().dispatcher.admin is None
 
 
 @given(st.lists(st.tuples(st.sampled_from(["a", 'b"\n']), st.sampled_from([*OUTCOMES, "attempt"]))))
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -24,7 +24,7 @@
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine
 from ironbarrow.wire.http import Message
 from tests.decisions import Plain, plain
-from tests.scenario import SETTINGS, Stage, answer, call_back, job
+from tests.scenario import SETTINGS, Harness, answer, call_back, job
 from tests.virtual import VirtualLoop, wait
 
 ACCEPTED = answer(202)
@@ -36,13 +36,13 @@
 KINDS = ["map", "book", "charge"]
 
 
-def call_off(stage: Stage) -> None:
+def call_off(stage: Harness) -> None:
     """As the decisions do it."""
     host = stage.dispatcher.host
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
 
 
-def begun(path: str, ms: int = 9000, *, accepted: bool = True) -> tuple[Stage, Plain]:
+def begun(path: str, ms: int = 9000, *, accepted: bool = True) -> tuple[Harness, Plain]:
     """A stage on which p1 has a job and has closed its connections."""
     stage, decisions = plain("p1", "p2", settings=replace(read_settings(SETTINGS), classes=CLASSES))
     steps = [f"c1 send {job(path=f'{path}/x', ms=ms)}", "p1 expect in$"]
@@ -86,8 +86,8 @@
     stage.step("c1 expect HTTP/1.1 500")  # in time, at the deadline
     assert decisions.outcomes == [api.Outcome.TIMEOUT, api.Outcome.MOOT]
     assert stage.peers["p2"].sock is None
-    stage.until("forgotten", lambda: not stage.dispatcher.host.held_in_memory)
-    stage.until("no more DELETEs", lambda: not stage.dispatcher.invoker._deletes.under_way)
+    stage.run_until("forgotten", lambda: not stage.dispatcher.host.held_in_memory)
+    stage.run_until("no more DELETEs", lambda: not stage.dispatcher.invoker._deletes.under_way)
     assert not stage.dispatcher.invoker._exchanges
     stage.close()
 
@@ -100,7 +100,7 @@
         stage.step(line)
     stage.step("p1 expect DELETE /jobs/j1 HTTP")
     assert decisions.outcomes == []
-    stage.play(f"p1 send {answer(404)}\np2 expect in$")
+    stage.run(f"p1 send {answer(404)}\np2 expect in$")
 
 
 def test_an_attempts_time_out_does_not_end_it_without_a_proof() -> None:
@@ -112,7 +112,7 @@
     stage.step("c1 silent 1200")
     assert decisions.outcomes == []
     assert stage.peers["p2"].sock is None
-    stage.play("p1 listen\np1 expect DELETE /jobs/j1 HTTP\np1 send " + answer(204) + "\np2 expect in$")
+    stage.run("p1 listen\np1 expect DELETE /jobs/j1 HTTP\np1 send " + answer(204) + "\np2 expect in$")
 
 
 def test_a_break_does_not_end_an_attempt_that_has_told_of_its_start() -> None:
@@ -122,7 +122,7 @@
         stage.step(line)
     assert decisions.outcomes == []
     assert stage.peers["p2"].sock is None
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    stage.run(f"p1 send {answer(204)}\np2 expect in$")
     assert decisions.outcomes == [api.Outcome.RESET]
 
 
@@ -134,7 +134,7 @@
     stage.step("p1 expect DELETE /jobs/j1 HTTP")
     assert decisions.outcomes == []
     assert stage.peers["p2"].sock is None
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    stage.run(f"p1 send {answer(204)}\np2 expect in$")
 
 
 @pytest.mark.parametrize(("since", "asked"), [("later", True), ("earlier", False), ("in the future", False)])
@@ -149,19 +149,19 @@
         "earlier": before,
         "in the future": before + 60_000,
     }
-    stage.pass_time(0.01)
+    stage.run_for(0.01)
     entry = {**stage.entry("p1"), "since_ms": started[since]}
-    news = stage.news(entry).replace("\r", "\\r").replace("\n", "\\n")
+    news = stage.list_chunk(entry).replace("\r", "\\r").replace("\n", "\\n")
     stage.step("d expect GET")
     stage.step(f"d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n{news}")
     if asked:
         stage.step("p1 expect DELETE /jobs/j1 HTTP")
         assert decisions.outcomes == []
         assert stage.peers["p2"].sock is None
-        stage.play(f"p1 send {answer(404)}\np2 expect in$")
+        stage.run(f"p1 send {answer(404)}\np2 expect in$")
     else:
         stage.step("c1 silent 100")
-        assert not stage.peers["p1"].seen
+        assert not stage.peers["p1"].received
         stage.close()
     assert decisions.outcomes == ([api.Outcome.CANCELLED] if asked else [])
 
@@ -173,15 +173,15 @@
     stage.step("p1 refuse")
     stage.dispatcher.invoker.call_off("j1", "p1", until, told.append)
     stage.dispatcher.invoker.call_off("j2", "nobody knows it", until, told.append)
-    stage.pass_time(0.2)
+    stage.run_for(0.2)
     assert told == []
-    stage.until("the time is over", lambda: told == [False, False])
+    stage.run_until("the time is over", lambda: told == [False, False])
     stage.step("p1 listen")
     stage.dispatcher.invoker.call_off("j3", "p1", until + 9 * SECOND, told.append)
     stage.step("p1 expect DELETE /jobs/j3 HTTP")
     assert len(told) == 2
     stage.step(f"p1 send {answer(204)}")
-    stage.until("told", lambda: told == [False, False, True])
+    stage.run_until("told", lambda: told == [False, False, True])
     stage.close()
 
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -16,7 +16,7 @@
 from ironbarrow.runtime.loop import MS
 from ironbarrow.transport import http
 from ironbarrow.transport.http import Connection
-from tests.scenario import SETTINGS, Stage, answer, call_back, job
+from tests.scenario import SETTINGS, Harness, answer, call_back, job
 
 NOT_PROCESSED = answer(503, "X-Not-Processed: 1\\r\\n")
 ACCEPTED = answer(202)
@@ -30,7 +30,7 @@
 class Sent:
     """Counts the attempts that go out."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: Harness) -> None:
         self.ids: list[str] = []
         stage.dispatcher.host.attempt_observer = self
 
@@ -45,11 +45,11 @@
 
 
 @pytest.fixture
-def stages() -> Iterator[Callable[..., Stage]]:
-    made: list[Stage] = []
+def stages() -> Iterator[Callable[..., Harness]]:
+    made: list[Harness] = []
 
-    def make(**more: object) -> Stage:
-        made.append(Stage(**more))  # type: ignore[arg-type]
+    def make(**more: object) -> Harness:
+        made.append(Harness(**more))  # type: ignore[arg-type]
         return made[-1]
 
     yield make
@@ -57,7 +57,7 @@
         stage.close()
 
 
-def steps(stage: Stage, scenario: str) -> None:
+def steps(stage: Harness, scenario: str) -> None:
     for line in scenario.strip().splitlines():
         stage.step(line.strip())
 
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("leaves", LEAVES)
 @pytest.mark.parametrize("when", STAGES)
-def test_one_that_leaves_takes_its_job_back(stages: Callable[..., Stage], when: str, leaves: str) -> None:
+def test_one_that_leaves_takes_its_job_back(stages: Callable[..., Harness], when: str, leaves: str) -> None:
     stage = stages()
     sent = Sent(stage)
     before, after = STAGES[when]
@@ -101,17 +101,17 @@
             stage.step(line)
     assert stage.dispatcher.host.owed == 1
     steps(stage, LEAVES[leaves])
-    stage.until("its job is withdrawn", lambda: stage.dispatcher.host.owed == 0, WITHIN)
+    stage.run_until("its job is withdrawn", lambda: stage.dispatcher.host.owed == 0, WITHIN)
     count = len(sent.ids)
     steps(stage, after)
-    stage.pass_time(0.1)
+    stage.run_for(0.1)
     assert len(sent.ids) == count
     assert sent.ids == ([] if when == "held" else ["j1"])
 
 
 @pytest.mark.parametrize("leaves", ["closes", "ends its side", "leaves after half a request more"])
 def test_one_that_has_left_before_its_job_is_read_gets_none(
-    stages: Callable[..., Stage], leaves: str
+    stages: Callable[..., Harness], leaves: str
 ) -> None:
     stage = stages()
     sent = Sent(stage)
@@ -121,18 +121,18 @@
     assert stage.dispatcher.clients.has_connections is False
 
 
-def test_one_that_leaves_at_the_moment_of_the_answer_holds_nothing(stages: Callable[..., Stage]) -> None:
+def test_one_that_leaves_at_the_moment_of_the_answer_holds_nothing(stages: Callable[..., Harness]) -> None:
     stage = stages()
     steps(
         stage, f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}"
     )
     steps(stage, "c1 close\nc2 expect 204\nc2 close")
-    stage.until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 0.5)
+    stage.run_until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 0.5)
     assert stage.dispatcher.host.held_in_memory == 0
 
 
 def test_requests_more_are_served_one_after_the_other_if_their_sender_stays(
-    stages: Callable[..., Stage],
+    stages: Callable[..., Harness],
 ) -> None:
     stage = stages(workers=1)
     steps(stage, f"c1 send {job('j1')}\np1 expect in$\nc1 send {job('j2')[:50]}\nwait 20\np1 send {ACCEPTED}")
@@ -142,7 +142,7 @@
 
 
 def test_with_a_gap_in_what_was_sent_early_nothing_of_it_is_served(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(http, "_READ_AHEAD_MAX_BYTES", 1000)
     stage = stages()
@@ -153,7 +153,7 @@
     assert sent.ids == ["j1"]
 
 
-def test_what_comes_beyond_a_request_is_kept_up_to_a_limit(stages: Callable[..., Stage]) -> None:
+def test_what_comes_beyond_a_request_is_kept_up_to_a_limit(stages: Callable[..., Harness]) -> None:
     # danger: hundreds that send without end would together hold more memory than there is
     stage = stages(
         workers=6, memory_mb=1
@@ -161,7 +161,7 @@
     steps(stage, "".join(f"c{n} send {job(f'j{n}')}\n" for n in range(1, 7)) + "wait 50")
     for _ in range(10):
         steps(stage, "".join(f"c{n} fill {job('more')}\n" for n in range(1, 7)))
-        stage.pass_time(0.01)
+        stage.run_for(0.01)
     held = sum(
         connection.buffered_bytes for connection, _ in stage.dispatcher.clients.awaiting_answer.values()
     )
@@ -169,29 +169,29 @@
     assert 0 < held <= 256 * 1024
     for n in range(1, 7):
         stage.peers[f"c{n}"].close()
-    stage.until("all have left", lambda: stage.dispatcher.host.owed == 0, 1.0)
-    stage.until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 2.0)
+    stage.run_until("all have left", lambda: stage.dispatcher.host.owed == 0, 1.0)
+    stage.run_until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 2.0)
     assert stage.dispatcher.clients._slots._buffered_bytes == 0
 
 
 # The end of a connection
 
 
-def end_idle(stage: Stage, patch: pytest.MonkeyPatch) -> None:
+def end_idle(stage: Harness, patch: pytest.MonkeyPatch) -> None:
     stage.dispatcher.clients.close_idle()
 
 
-def end_new(stage: Stage, patch: pytest.MonkeyPatch) -> None:
-    stage.pass_time(0.25)
+def end_new(stage: Harness, patch: pytest.MonkeyPatch) -> None:
+    stage.run_for(0.25)
     stage.dispatcher.clients.close_idle()
 
 
-def make_room(stage: Stage, patch: pytest.MonkeyPatch) -> None:
+def make_room(stage: Harness, patch: pytest.MonkeyPatch) -> None:
     steps(stage, "".join(f"c{n} send {READY}\nc{n} expect 200\n" for n in range(2, 5)))
 
 
-def let_time_pass(stage: Stage, patch: pytest.MonkeyPatch) -> None:
-    stage.pass_time(0.3)
+def let_time_pass(stage: Harness, patch: pytest.MonkeyPatch) -> None:
+    stage.run_for(0.3)
 
 
 ENDS = {
@@ -210,7 +210,7 @@
 
 @pytest.mark.parametrize("name", ENDS)
 def test_a_request_that_crosses_the_end_is_neither_served_nor_reset(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch, name: str
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, name: str
 ) -> None:
     # danger: a close over unread bytes resets the connection, and with it goes the answer before it
     first, end = ENDS[name]
@@ -237,23 +237,23 @@
     crossing("shutdown_write")
     crossing("close")
     client.sendall(first.replace("\\r", "\r").replace("\\n", "\n").encode())
-    stage.pass_time(0.02)
+    stage.run_for(0.02)
     end(stage, monkeypatch)
-    stage.until("the request has crossed the end", lambda: crossed, 3.0)
-    stage.pass_time(0.05)
+    stage.run_until("the request has crossed the end", lambda: crossed, 3.0)
+    stage.run_for(0.05)
     seen = b""
     while data := client.recv(65536):  # a reset is an error here
         seen += data
     assert client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # nor after the end of the other side
     assert seen.count(b"HTTP/1.1") == bool(first)
     client.close()
-    stage.pass_time(0.05)
+    stage.run_for(0.05)
     assert sent.ids == []
 
 
 @pytest.mark.parametrize("limit", ["_IDLE_TIMEOUT", "_FIRST_BYTE_TIMEOUT"])
 def test_a_request_that_comes_in_the_turn_in_which_the_time_is_over_is_served(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch, limit: str
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, limit: str
 ) -> None:
     monkeypatch.setattr(server, limit, 100 * MS)
     stage = stages()
@@ -266,7 +266,7 @@
     steps(stage, "p1 expect in$\nc1 silent 10")
 
 
-def test_a_connection_has_no_place_while_it_is_read_out(stages: Callable[..., Stage]) -> None:
+def test_a_connection_has_no_place_while_it_is_read_out(stages: Callable[..., Harness]) -> None:
     # danger: peers that never close their side would keep others out for a second each
     stage = stages(sockets=38)  # room for three clients
     begun = stage.dispatcher.loop.now()
@@ -278,7 +278,7 @@
 # Stopping
 
 
-def test_what_was_sent_at_once_before_the_end_is_answered_before_it(stages: Callable[..., Stage]) -> None:
+def test_what_was_sent_at_once_before_the_end_is_answered_before_it(stages: Callable[..., Harness]) -> None:
     # danger: read before the shutdown it was taken; read after it, it must not be sent on
     stage = stages(workers=1)
     steps(stage, f"c1 send {job('j1')}{job('j2')}\np1 expect : j1.*in$\np1 send {ACCEPTED}")
@@ -286,22 +286,22 @@
     steps(stage, f"c2 send {call_back('done', 'j1', result='a')}\nc1 expect a$\np1 expect : j2.*in$")
     steps(stage, f"p1 send {ACCEPTED}\nc3 send {call_back('done', 'j2', result='b')}")
     steps(stage, "c1 expect 200 .*Connection: close.*b$\nc1 ended\nc1 close\nc2 close\nc3 close")
-    stage.until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 0.5)
+    stage.run_until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 0.5)
 
 
 def test_one_that_always_has_another_in_is_ended_all_the_same(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "LINGER_TIMEOUT", 200 * MS)
     stage = stages()
     steps(stage, f"c1 send {READY}\nc1 expect 200\nc1 fill {READY * 1000}")
     stage.dispatcher.clients.close_idle()
-    stage.until("it is ended", lambda: stage.peers["c1"].over, 1.0)
-    assert b"Connection: close" in stage.peers["c1"].seen
+    stage.run_until("it is ended", lambda: stage.peers["c1"].ended, 1.0)
+    assert b"Connection: close" in stage.peers["c1"].received
 
 
 def test_a_connection_that_has_just_come_up_may_bring_its_request_while_stopping(
-    stages: Callable[..., Stage],
+    stages: Callable[..., Harness],
 ) -> None:
     # danger: a new connection that is closed with no answer is a refusal that nobody needed
     stage = stages()
@@ -313,7 +313,7 @@
 # Answers to those who read slowly
 
 
-def slow_reader(stage: Stage, ms: int) -> socket.socket:
+def slow_reader(stage: Harness, ms: int) -> socket.socket:
     """A client whose answer of 60 KB can't be written before it reads."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -327,12 +327,12 @@
 
 
 def test_a_slow_reader_has_its_answer_up_to_its_time(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "_WRITE_TIMEOUT", 50 * MS)
     stage = stages()
     client = slow_reader(stage, 9000)
-    stage.pass_time(0.3)
+    stage.run_for(0.3)
     client.setblocking(False)
     seen = bytearray()
 
@@ -341,40 +341,40 @@
             seen.extend(client.recv(2048))
         return seen.endswith(b"x" * 1000) and seen.count(b"x") >= 60_000
 
-    stage.until("the whole answer", whole, 5.0)
+    stage.run_until("the whole answer", whole, 5.0)
     client.close()
 
 
 def test_one_that_reads_nothing_holds_its_place_up_to_its_time(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "_WRITE_TIMEOUT", 50 * MS)
     monkeypatch.setattr(server, "_ANSWER_GRACE", 100 * MS)
     stage = stages()
     client = slow_reader(stage, 300)
     assert stage.dispatcher.clients.has_connections
-    stage.until("its place is free", lambda: not stage.dispatcher.clients.has_connections, 1.0)
+    stage.run_until("its place is free", lambda: not stage.dispatcher.clients.has_connections, 1.0)
     client.close()
 
 
 # Places
 
 
-def test_jobs_leave_places_to_call_backs(stages: Callable[..., Stage]) -> None:
+def test_jobs_leave_places_to_call_backs(stages: Callable[..., Harness]) -> None:
     # danger: with jobs in all places, no call-back comes in and each job waits for its time to be over
     stage = stages(workers=12, sockets=48)  # ten places, nine of them for jobs
     steps(stage, "".join(f"c{n} send {job(f'j{n}')}\n" for n in range(1, 10)) + "wait 50")
     steps(stage, f"c10 send {job('j10')}\nc10 expect ^HTTP/1.1 503 .*Retry-After: 0.2.*many")
     steps(stage, f"p1 expect : j1.*in\np1 send {ACCEPTED}")
     steps(stage, f"c11 send {call_back('done', 'j1', result='x')}")
-    stage.until("the call-back is served", lambda: b"204" in stage.peers["c11"].seen, 0.5)
+    stage.run_until("the call-back is served", lambda: b"204" in stage.peers["c11"].received, 0.5)
     steps(stage, f"c1 expect x$\nc1 send {job('j11')}")
-    stage.until("the next job is taken", lambda: stage.dispatcher.host.owed == 9, 0.5)
+    stage.run_until("the next job is taken", lambda: stage.dispatcher.host.owed == 9, 0.5)
 
 
 @pytest.mark.parametrize("half", [job()[:40], job()[:-2]])
 def test_a_later_request_that_stops_half_way_makes_room_too(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch, half: str
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, half: str
 ) -> None:
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 60_000 * MS)
     stage = stages(sockets=38)  # room for three clients
@@ -385,7 +385,7 @@
 
 
 def test_later_requests_that_stop_half_way_share_the_limit_on_memory(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 60_000 * MS)
     stage = stages(sockets=1024, memory_mb=1)  # half a megabyte for all of them
@@ -396,26 +396,26 @@
     steps(stage, "c0 ended\nc1 ended\nc12 silent 20")
 
 
-def test_requests_sent_at_once_let_the_others_have_their_turn(stages: Callable[..., Stage]) -> None:
+def test_requests_sent_at_once_let_the_others_have_their_turn(stages: Callable[..., Harness]) -> None:
     stage = stages()
     steps(stage, f"c1 silent 10\nc1 send {READY * 200}")
     turns = 0
-    while stage.peers["c1"].seen.count(b"200 OK") < 200:
+    while stage.peers["c1"].received.count(b"200 OK") < 200:
         stage.dispatcher.loop.turn()
-        stage.peers["c1"].look()
+        stage.peers["c1"].receive()
         turns += 1
         assert turns < 1000
     assert turns >= 100
 
 
 def test_many_that_ask_at_once_are_read_in_several_turns_and_in_their_order(
-    stages: Callable[..., Stage],
+    stages: Callable[..., Harness],
 ) -> None:
     # danger: in a turn that reads hundreds of requests, senders leave and their jobs are sent on
     stage = stages(sockets=1024)
     sent = Sent(stage)
     peers = [socket.create_connection(stage.address) for _ in range(200)]
-    stage.pass_time(0.1)
+    stage.run_for(0.1)
     for n, peer in enumerate(peers):
         peer.sendall(job(f"k{n}").replace("\\r", "\r").replace("\\n", "\n").encode())
     host, most = stage.dispatcher.host, 0
@@ -428,15 +428,15 @@
                 peer.close()
             break
     assert most <= 64
-    stage.pass_time(0.05)
+    stage.run_for(0.05)
     count = len(sent.ids)
     assert host._numbers < 200  # whoever has left before its turn came has no job
     assert host.owed == 0
-    stage.pass_time(0.2)
+    stage.run_for(0.2)
     assert len(sent.ids) == count
 
 
-def test_bodies_of_jobs_share_a_limit_on_memory(stages: Callable[..., Stage]) -> None:
+def test_bodies_of_jobs_share_a_limit_on_memory(stages: Callable[..., Harness]) -> None:
     # danger: hundreds that are sent at once would together hold more memory than there is
     stage = stages(workers=12, sockets=1024, memory_mb=1)  # half a megabyte for all of them
     large = {n: job(f"j{n}", body="x" * 60_000) for n in range(1, 10)}
@@ -447,7 +447,7 @@
 
 
 def test_descriptors_that_run_out_are_left_to_others(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # danger: each one that is freed goes to the next that connects, none to the discovery service or a worker
     stage = stages(sockets=96)  # forty places
@@ -464,7 +464,7 @@
     steps(stage, f"c50 send {job()}\np1 expect in$")
 
 
-def test_no_small_write_is_held_back(stages: Callable[..., Stage]) -> None:
+def test_no_small_write_is_held_back(stages: Callable[..., Harness]) -> None:
     stage = stages()
     steps(stage, f"c1 send {job()}\np1 expect in$")
     ((connection, _),) = stage.dispatcher.clients.awaiting_answer.values()
@@ -511,20 +511,20 @@
 @pytest.mark.parametrize("again", [False, True])
 @pytest.mark.parametrize("name", STALLS)
 def test_a_request_that_never_ends_is_answered_and_closed(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch, name: str, again: bool
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, name: str, again: bool
 ) -> None:
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 150 * MS)
     stage = stages()
     sent = Sent(stage)
     steps(stage, f"c1 send {READY}\nc1 expect ready\n" if again else "c1 silent 1")
     steps(stage, f"c1 send {STALLS[name]}")
-    stage.until("it is ended", lambda: stage.peers["c1"].over, 0.5)
-    assert b"HTTP/1.1 408" in stage.peers["c1"].seen
+    stage.run_until("it is ended", lambda: stage.peers["c1"].ended, 0.5)
+    assert b"HTTP/1.1 408" in stage.peers["c1"].received
     assert sent.ids == []
 
 
 def test_bytes_that_come_one_by_one_have_one_limit_together(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 200 * MS)
     stage = stages()
@@ -533,20 +533,20 @@
 
     def one_more() -> bool:
         peer = stage.peers["c1"]
-        if peer.sock is not None and not peer.over:
+        if peer.sock is not None and not peer.ended:
             with suppress(OSError):
                 peer.sock.send(bytes((next(text),)))
-        return peer.over
+        return peer.ended
 
     steps(stage, "c1 silent 1")
-    stage.until("it is ended", one_more, 0.6)
-    assert b"HTTP/1.1 408" in stage.peers["c1"].seen
+    stage.run_until("it is ended", one_more, 0.6)
+    assert b"HTTP/1.1 408" in stage.peers["c1"].received
     assert sent.ids == []
 
 
 @pytest.mark.parametrize("name", REFUSED)
 def test_what_is_not_in_the_form_is_refused_and_never_sent_on(
-    stages: Callable[..., Stage], name: str
+    stages: Callable[..., Harness], name: str
 ) -> None:
     stage = stages()
     sent = Sent(stage)
@@ -555,7 +555,7 @@
     assert sent.ids == []
 
 
-def test_an_offer_to_change_the_protocol_is_passed_over(stages: Callable[..., Stage]) -> None:
+def test_an_offer_to_change_the_protocol_is_passed_over(stages: Callable[..., Harness]) -> None:
     stage = stages(workers=1)
     steps(stage, f"c1 send {job(more=UPGRADE)}\np1 expect in$")
     steps(stage, f"p1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}")
@@ -565,7 +565,7 @@
 # Ids that come again
 
 
-def test_an_id_is_under_way_until_its_last_call_is_called_off(stages: Callable[..., Stage]) -> None:
+def test_an_id_is_under_way_until_its_last_call_is_called_off(stages: Callable[..., Harness]) -> None:
     # danger: taken beside a call that is being called off, its call-backs and its DELETE would meet both
     stage = stages(workers=1)
     steps(stage, f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nwait 20\nc1 close")
@@ -575,7 +575,7 @@
 
 
 @pytest.mark.parametrize("who", ["c1", "c3"])
-def test_an_id_may_come_again_once_it_is_answered(stages: Callable[..., Stage], who: str) -> None:
+def test_an_id_may_come_again_once_it_is_answered(stages: Callable[..., Harness], who: str) -> None:
     stage = stages(workers=1)
     steps(stage, f"c1 send {job()}\np1 expect in$\n{who} send {job()}" if who == "c3" else f"c1 send {job()}")
     steps(stage, "c3 expect ^HTTP/1.1 409" if who == "c3" else "p1 expect in$")
@@ -583,14 +583,14 @@
     steps(stage, f"{who} send {job()}\np1 expect : j1.*in$")
 
 
-def test_the_id_of_a_booking_that_ran_is_not_taken_again(stages: Callable[..., Stage]) -> None:
+def test_the_id_of_a_booking_that_ran_is_not_taken_again(stages: Callable[..., Harness]) -> None:
     """Guards against a booking run twice for a client that lost its answer and asks again (bcef66)."""
     stage = stages(workers=1)
     booked = job(path="book/x")
     steps(stage, f"c1 send {booked}\np1 expect in$\np1 send {ACCEPTED}")
     steps(stage, f"c2 send {call_back('done', result='x')}\nc1 expect x$")
     steps(stage, f"c3 send {booked}\nc3 expect ^HTTP/1.1 500")
-    assert not stage.peers["p1"].seen
+    assert not stage.peers["p1"].received
     # one that never ran may come again
     steps(stage, f"c1 send {job('j2', 'book/x', 1000)}\np1 expect : j2.*in$")
     steps(stage, f"p1 send {NOT_PROCESSED}\nc1 expect 503")
@@ -598,7 +598,7 @@
 
 
 def test_a_job_that_waited_to_be_accepted_has_less_time_left(
-    stages: Callable[..., Stage], monkeypatch: pytest.MonkeyPatch
+    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a worker told more time than its client has, after accept has failed (bcef66)."""
     stage = stages(workers=1)
@@ -618,7 +618,7 @@
 # Room
 
 
-def test_one_that_comes_ends_one_idle_connection_and_no_more(stages: Callable[..., Stage]) -> None:
+def test_one_that_comes_ends_one_idle_connection_and_no_more(stages: Callable[..., Harness]) -> None:
     # danger: room made for nobody closed a connection on which the next request was on its way
     stage = stages(workers=1, sockets=38)  # room for three clients
     for n in (1, 2, 3):
@@ -646,7 +646,7 @@
 
 
 def test_a_job_is_of_the_tenant_that_it_names_where_the_settings_know_it(
-    stages: Callable[..., Stage],
+    stages: Callable[..., Harness],
 ) -> None:
     # danger: counted for nobody, the flood of one tenant is paid for by all
     realms = [{"name": "north", "share": 0.5, "allowancePerS": 10.0}]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -7,7 +7,7 @@
 from ironbarrow.daemon.dispatcher import _descriptors
 from ironbarrow.lab.live.ports import LoopbackNetwork
 from ironbarrow.runtime.sockets import listen
-from tests.scenario import Stage, job
+from tests.scenario import Harness, job
 
 READY = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
 ENDLESS = resource.RLIM_INFINITY
@@ -45,7 +45,7 @@
 ) -> None:
     # danger: whoever waits for a descriptor that nobody gives back waits for ever
     network = LoopbackNetwork.reserve(1)  # nobody else is given the discovery port meanwhile
-    stage = Stage(sockets=38, known=False, discovery_host=network.party(0)[0])  # room for three clients
+    stage = Harness(sockets=38, known=False, discovery_host=network.party(0)[0])  # room for three clients
     discovery = stage.peers["d"]
     assert discovery.listener is not None
     address = discovery.listener.getsockname()
@@ -58,8 +58,8 @@
             stage.step("wait 1" if idle else f"c{n} silent 1")
         stage.step("wait 250")
         discovery.listener = listen(address)
-        news = stage.news(stage.entry("p1"), whole=True).split("\r\n")[1].strip()
-        stage.play(
+        news = stage.list_chunk(stage.entry("p1"), full=True).split("\r\n")[1].strip()
+        stage.run(
             f"""d expect GET /api/targets HTTP
             d send HTTP/1.1 200 X\\r\\nContent-Length: {len(news)}\\r\\n\\r\\n{news}
             c9 send {job("late")}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,7 +19,7 @@
 from ironbarrow.discovery import client as discovery
 from ironbarrow.runtime import sockets
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine
-from tests.scenario import SETTINGS, Stage, answer, call_back, job
+from tests.scenario import SETTINGS, Harness, answer, call_back, job
 from tests.virtual import VirtualLoop, wait
 from tests.world import World, entries, make_settings
 
@@ -30,8 +30,8 @@
 READY = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
 
 
-def watched(stage: Stage, then: str) -> None:
-    stage.play(
+def watched(stage: Harness, then: str) -> None:
+    stage.run(
         "d expect GET /api/targets\\?follow=1&since=41 HTTP\n"
         "d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n\\n\\r\\n\n" + then
     )
@@ -43,21 +43,21 @@
 
 @pytest.mark.parametrize("status", ["draining", "removed", "in a state nobody knows"])
 def test_a_worker_that_is_not_up_gets_nothing_new(status: str) -> None:
-    stage = Stage()
-    news = escaped(stage.news(stage.entry("p1", status)))
+    stage = Harness()
+    news = escaped(stage.list_chunk(stage.entry("p1", status)))
     watched(stage, f"d send {news}\nwait 50\nc1 send {job()}\np2 expect in$")
 
 
 def test_a_bad_discovery_entry_does_not_hide_the_others() -> None:
-    stage = Stage()
+    stage = Harness()
     bad = [{"name": "x"}, {"name": 7, "status": "up"}, {"name": "y", "status": "up", "address": "nowhere"}]
-    news = escaped(stage.news(*bad, stage.entry("p1", "removed")))
+    news = escaped(stage.list_chunk(*bad, stage.entry("p1", "removed")))
     watched(stage, f"d send {news}\nwait 50\nc1 send {job()}\np2 expect in$")
 
 
 def test_the_watch_is_taken_up_again_where_it_ended() -> None:
-    stage = Stage()
-    news = escaped(stage.news(stage.entry("p1", "draining"), index=57))
+    stage = Harness()
+    news = escaped(stage.list_chunk(stage.entry("p1", "draining"), index=57))
     watched(stage, f"d send {news}\nwait 50\nd close\nd expect follow=1&since=57")
 
 
@@ -66,10 +66,10 @@
 ) -> None:
     # danger: until the new one has told something, the list, the old one's news and jobs must stay
     monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
-    stage = Stage()
-    draining = escaped(stage.news(stage.entry("p1", "draining"), index=57))
+    stage = Harness()
+    draining = escaped(stage.list_chunk(stage.entry("p1", "draining"), index=57))
     later = stage.entry("p1") | {"since_ms": 1_000}  # a process that is not the one told of
-    full = escaped(stage.news(later, stage.entry("p2", "draining"), index=3, whole=True))
+    full = escaped(stage.list_chunk(later, stage.entry("p2", "draining"), index=3, full=True))
     body = full.split("\\r\\n")[1]
     watched(
         stage,
@@ -94,7 +94,7 @@
 
 
 def test_a_discovery_service_that_is_left_is_not_asked_again_when_its_connection_ends() -> None:
-    stage = Stage()
+    stage = Harness()
     for line in ("d expect GET", "reload d2", "d close", "d2 expect GET /api/targets HTTP", "wait 400"):
         stage.step(line)
     assert stage.peers["d"].sock is None
@@ -102,14 +102,14 @@
 
 
 def test_a_discovery_service_that_sends_nonsense_is_asked_for_the_whole_list() -> None:
-    watched(Stage(), "d send 5\\r\\nnope\\n\\r\\n\nd ended\nd close\nd expect GET /api/targets HTTP")
+    watched(Harness(), "d send 5\\r\\nnope\\n\\r\\n\nd ended\nd close\nd expect GET /api/targets HTTP")
 
 
 def test_a_discovery_service_that_refuses_is_asked_for_the_changes_alone() -> None:
     # danger: after each refusal a whole list, many times as dear, keeps a busy discovery service from
     # answering
     watched(
-        Stage(),
+        Harness(),
         f"d ended\nd close\nd expect follow=1&since=41\nd send {answer(503)}\nd ended\nd close\n"
         "d expect ^GET /api/targets.follow=1&since=41",
     )
@@ -117,18 +117,18 @@
 
 def test_a_discovery_service_that_must_be_asked_is_called_when_the_decisions_say() -> None:
     conf = {**SETTINGS, "discovery": "ask"}
-    stage = Stage(settings=read_settings(conf))
+    stage = Harness(settings=read_settings(conf))
     for line in ("wait 20", f"c1 send {READY}", "c1 expect 200"):
         stage.step(line)
     assert stage.peers["d"].sock is None  # the first call is somewhere in the first second
     asked = "d expect ^GET /api/targets.follow=1&since=41"
-    stage.play(f"{asked}\nd send {answer(503)}\nd ended\nd close\n{asked}")
+    stage.run(f"{asked}\nd send {answer(503)}\nd ended\nd close\n{asked}")
 
 
 def test_a_silent_watch_is_left_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: a frozen discovery service keeps its connection open and says nothing
     monkeypatch.setattr(discovery, "_SILENCE_TIMEOUT", 200 * MS)
-    watched(Stage(), "d ended\nd close\nd expect follow=1&since=41")
+    watched(Harness(), "d ended\nd close\nd expect follow=1&since=41")
 
 
 # Orders of bytes on a watch that is open at version 41. Each: the pieces in which they come, whether p1 still
@@ -229,18 +229,18 @@
     if "a byte" in name:
         text = "".join(pieces)
         pieces = [text[at : at + 5] for at in range(0, len(text), 5)]
-    stage = Stage()
+    stage = Harness()
     peer = stage.peers["d"]
     try:
         stage.step("d expect follow=1&since=41 HTTP")
         stage.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n")
         for piece in pieces:
             assert peer.sock is not None
-            if not peer.over:
+            if not peer.ended:
                 peer.sock.sendall(piece.encode("latin-1"))
-            stage.pass_time(0.01 if "empty" in name else 0.002 if "a byte" in name else 0.03)
+            stage.run_for(0.01 if "empty" in name else 0.002 if "a byte" in name else 0.03)
         assert stage.dispatcher.host.may_send_to("p1") == stays
-        if peer.over:
+        if peer.ended:
             stage.step("d close")
         elif call == WHOLE_LIST:
             stage.step("d ended")
@@ -267,10 +267,10 @@
     said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery, "_SILENCE_TIMEOUT", 300 * MS)
-    stage = Stage(known=False)
+    stage = Harness(known=False)
     body = told(stage.entry("p1"), whole=True, indent=1).replace("\n", "\\n")
     size = len(body.replace("\\n", "\n"))
-    stage.play(
+    stage.run(
         f"""d expect {WHOLE_LIST}
         d send HTTP/1.1 {said}\\r\\n
         d ended
@@ -284,14 +284,14 @@
 
 
 def test_a_worker_is_called_where_the_discovery_service_has_last_said() -> None:
-    stage = Stage()
+    stage = Harness()
     moved = stage.entry("p1") | {"address": stage.names["$p2"]}
-    watched(stage, f"d send {escaped(stage.news(moved))}\nwait 50\nc1 send {job()}\np2 expect in$")
+    watched(stage, f"d send {escaped(stage.list_chunk(moved))}\nwait 50\nc1 send {job()}\np2 expect in$")
 
 
 def test_a_list_on_which_the_decisions_fail_is_asked_for_again(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: the watch ended with the failure, and nothing was told any more
-    stage = Stage()
+    stage = Harness()
     real = Dispatcher.handle
     fails = iter((True,))
 
@@ -301,13 +301,13 @@
         return real(self, now, events)
 
     monkeypatch.setattr(Dispatcher, "handle", handle)
-    drains = escaped(stage.news(stage.entry("p1", "draining")))
+    drains = escaped(stage.list_chunk(stage.entry("p1", "draining")))
     watched(stage, f"d send {drains}\nd ended\nd close\nd expect {WHOLE_LIST}")
 
 
 def test_without_a_free_descriptor_the_watch_takes_its_spare_one(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: idle clients and calls had them all, and no list came until one of them ended
-    stage = Stage()
+    stage = Harness()
     real = sockets.stream_socket
 
     def none_free(address: sockets.Address) -> socket.socket:
@@ -323,14 +323,14 @@
 # Two discovery services at once
 
 
-def stage_moved(stage: Stage, *lines: str) -> None:
+def stage_moved(stage: Harness, *lines: str) -> None:
     stage.step("d expect follow=1&since=41 HTTP")
     stage.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n\\n\\r\\n")
     for line in lines:
         stage.step(line)
 
 
-def whole(stage: Stage, *entries: dict[str, Any], index: int = 3) -> str:
+def whole(stage: Harness, *entries: dict[str, Any], index: int = 3) -> str:
     body = told(*entries, index=index, whole=True)
     return f"HTTP/1.1 200 X\\r\\nContent-Length: {len(body)}\\r\\n\\r\\n{body}"
 
@@ -342,11 +342,11 @@
     # danger: both are fed from one truth, at different speeds
     monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
     monkeypatch.setattr(discovery, "_CONVERGENCE_TIME", 1_500 * MS)
-    stage = Stage()
+    stage = Harness()
     if old.startswith("not"):
-        news = stage.news(stage.entry("p2"), index=57, whole=True)
+        news = stage.list_chunk(stage.entry("p2"), index=57, full=True)
     else:
-        news = stage.news(stage.entry("p1", old), index=57)
+        news = stage.list_chunk(stage.entry("p1", old), index=57)
     may = stage.dispatcher.host.may_send_to
     try:
         stage_moved(
@@ -359,7 +359,7 @@
             "d ended",
         )
         assert not may("p1") and may("p2")
-        stage.until("p1 is up again, once the new one had time to tell", lambda: may("p1"))
+        stage.run_until("p1 is up again, once the new one had time to tell", lambda: may("p1"))
     finally:
         stage.close()
 
@@ -369,26 +369,26 @@
 ) -> None:
     monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
     monkeypatch.setattr(discovery, "_CONVERGENCE_TIME", 400 * MS)
-    stage = Stage()
+    stage = Harness()
     may = stage.dispatcher.host.may_send_to
     try:
         stage_moved(
             stage,
             "reload d2",
             "d2 expect GET /api/targets HTTP",
-            f"d send {escaped(stage.news(stage.entry('p1', 'draining'), index=57))}",
+            f"d send {escaped(stage.list_chunk(stage.entry('p1', 'draining'), index=57))}",
             "wait 50",
             f"d2 send {whole(stage, stage.entry('p1'), stage.entry('p2'))}",
             "d2 ended",
             "d2 close",
             "d2 expect follow=1&since=3",
             "d2 send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n",
-            f"d2 send {escaped(stage.news(stage.entry('p1', 'draining'), index=4))}",
+            f"d2 send {escaped(stage.list_chunk(stage.entry('p1', 'draining'), index=4))}",
             "wait 800",
         )
         assert not may("p1") and may("p2")
-        stage.step(f"d2 send {escaped(stage.news(stage.entry('p1'), index=5))}")
-        stage.until("p1 is up", lambda: may("p1"), 5)
+        stage.step(f"d2 send {escaped(stage.list_chunk(stage.entry('p1'), index=5))}")
+        stage.run_until("p1 is up", lambda: may("p1"), 5)
     finally:
         stage.close()
 
@@ -397,8 +397,8 @@
     # danger: asked for the whole list anew while its own watch went on, it was listened to twice, and the
     # list of the one that was left in between replaced its news
     monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
-    stage = Stage()
-    drains = escaped(stage.news(stage.entry("p1", "draining"), index=57))
+    stage = Harness()
+    drains = escaped(stage.list_chunk(stage.entry("p1", "draining"), index=57))
     late = whole(stage, stage.entry("p1"), stage.entry("p2"))
     try:
         stage_moved(
@@ -420,7 +420,7 @@
 
 def test_of_two_reloads_in_a_row_the_last_one_counts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
-    stage = Stage(workers=3)  # p3 plays the third discovery service
+    stage = Harness(workers=3)  # p3 plays the third discovery service
     may = stage.dispatcher.host.may_send_to
     try:
         stage_moved(
@@ -431,7 +431,7 @@
             "p3 expect GET /api/targets HTTP",
             "d2 ended",
             f"d2 send {whole(stage, stage.entry('p2'))}",
-            f"d send {escaped(stage.news(stage.entry('p2', 'draining'), index=57))}",
+            f"d send {escaped(stage.list_chunk(stage.entry('p2', 'draining'), index=57))}",
             "wait 50",
         )
         assert may("p1") and not may("p2")
@@ -443,7 +443,7 @@
 
 
 def test_a_reload_while_the_list_is_out_takes_what_comes_first() -> None:
-    stage = Stage(known=False)
+    stage = Harness(known=False)
     may = stage.dispatcher.host.may_send_to
     lines = (
         "d expect GET /api/targets HTTP",
@@ -467,7 +467,7 @@
 
 def test_a_fleet_told_to_move_does_not_ask_its_new_discovery_service_all_at_once() -> None:
     conf = {**SETTINGS, "discovery": "ask", "replicasOfMe": 200}
-    stage = Stage(settings=read_settings(conf))
+    stage = Harness(settings=read_settings(conf))
     try:
         for line in ("wait 20", "reload d2", "wait 200"):  # the earliest call is half a second later
             stage.step(line)
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -13,7 +13,7 @@
 from heathway import api
 from ironbarrow.transport import http
 from tests.decisions import plain
-from tests.scenario import Stage, answer, call_back, job
+from tests.scenario import Harness, answer, call_back, job
 
 ACCEPTED = answer(202)
 REAL_POLL = select.poll
@@ -27,7 +27,7 @@
         self._patch = monkeypatch
         self.failed = 0
 
-    def on(self, stage: Stage, worker: str, call: str, error: int, times: int = 1) -> None:
+    def on(self, stage: Harness, worker: str, call: str, error: int, times: int = 1) -> None:
         """``call``: a method of ``socket.socket``; looks at what is there without taking it go well."""
         real = getattr(socket.socket, call)
         listener = stage.peers[worker].listener
@@ -73,7 +73,7 @@
     assert calls.failed == 1
     assert decisions.outcomes == []
     assert stage.peers["p2"].sock is None
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    stage.run(f"p1 send {answer(204)}\np2 expect in$")
     assert decisions.outcomes == [api.Outcome.RESET]
 
 
@@ -87,7 +87,7 @@
         stage.step(line)
     assert decisions.outcomes == []
     assert stage.peers["p2"].sock is None
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    stage.run(f"p1 send {answer(204)}\np2 expect in$")
     assert decisions.outcomes == [api.Outcome.RESET]
 
 
@@ -104,7 +104,7 @@
     assert calls.failed == 5
     assert decisions.outcomes == []
     assert stage.peers["p2"].sock is None
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    stage.run(f"p1 send {answer(204)}\np2 expect in$")
 
 
 def test_a_call_back_does_not_end_an_attempt_that_is_not_written_yet(calls: FailingCalls) -> None:
@@ -127,7 +127,7 @@
         stage.step(line)
     calls.on(stage, "p1", "recv", getattr(errno, error), times=2)
     done = call_back("done", result="out")
-    stage.play(f"p1 send {ACCEPTED}\nwait 50\nc9 send {done}\nc9 expect 204\nc1 expect HTTP/1.1 200 .*out$")
+    stage.run(f"p1 send {ACCEPTED}\nwait 50\nc9 send {done}\nc9 expect 204\nc1 expect HTTP/1.1 200 .*out$")
     assert calls.failed == 2
     assert decisions.outcomes == [api.Outcome.OK]
 
@@ -139,7 +139,7 @@
     """Guards against workers set aside for a lack of this machine's (bcef66)."""
     stage, decisions = plain("p1", "p2")
     calls.on(stage, "p1", "connect_ex", getattr(errno, error), times=4)
-    stage.play(f"c1 send {job()}\np1 expect in$")
+    stage.run(f"c1 send {job()}\np1 expect in$")
     assert calls.failed == 4
     assert decisions.outcomes == []
 
@@ -159,7 +159,7 @@
         return real(sock, *args)
 
     monkeypatch.setattr(socket.socket, "send", failing)
-    stage.play(f"c1 send {job(ms=2000)}\np1 expect X-Timeout-Ms: 1[0-6][0-9][0-9]\\r.*in$")
+    stage.run(f"c1 send {job(ms=2000)}\np1 expect X-Timeout-Ms: 1[0-6][0-9][0-9]\\r.*in$")
 
 
 class FailingPoll:
@@ -185,7 +185,7 @@
     monkeypatch.setattr(select, "poll", FailingPoll)
     monkeypatch.setattr(FailingPoll, "left", fails)
     done = call_back("done", result="out")
-    stage.play(
+    stage.run(
         f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nc9 send {done}\nc1 expect HTTP/1.1 200 .*out$"
     )
     assert FailingPoll.left == 0
@@ -205,7 +205,7 @@
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {answer(500)}", "c1 expect HTTP/1.1 500"):
         stage.step(line)
     stage.dispatcher.clients.close_idle()
-    stage.until("all places are free", lambda: not stage.dispatcher.clients.has_connections)
+    stage.run_until("all places are free", lambda: not stage.dispatcher.clients.has_connections)
     stage.dispatcher.invoker.free_descriptors()
     assert stage.dispatcher.invoker._open == 0
     monkeypatch.undo()
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -27,7 +27,7 @@
 from ironbarrow.lab.fleet.random_work import KINDS, SETTINGS, UNSAFE, play
 from ironbarrow.lab.fleet.work import WorkWorld, ms
 from ironbarrow.runtime.sockets import listen
-from tests.scenario import Stage, answer, call_back, job
+from tests.scenario import Harness, answer, call_back, job
 
 
 @pytest.fixture(autouse=True)
@@ -337,7 +337,7 @@
 # The program itself
 
 
-class Three(Stage):
+class Three(Harness):
     """Three dispatchers of a fleet in one thread; ``c*`` talk to the first, ``n*`` to the second, ``m*``
     to the third."""
 
@@ -364,9 +364,9 @@
             self.dead = True
         elif line == "known":
             work = self.dispatcher.fleet.work
-            self.until(line, lambda: "members=3" in work.readiness() and not work.machine.alone)
+            self.run_until(line, lambda: "members=3" in work.readiness() and not work.machine.alone)
         elif line == "taken over":
-            self.until(line, lambda: any(other.fleet.work.owed for other in self.more.values()))
+            self.run_until(line, lambda: any(other.fleet.work.owed for other in self.more.values()))
         elif letter in self.more and line.split()[0] not in self.peers:
             old, self.address = self.address, self.more[letter].listener.getsockname()
             super().step(line)
@@ -374,14 +374,14 @@
         else:
             super().step(line)
 
-    def pass_time(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         parts = [*self.more.values(), *([] if self.dead else [self.dispatcher])]
         for part in parts:
             if not part.loop.stopped:
                 part.loop.call_at(part.loop.now() + int(seconds * 1e9 / 8), lambda: None)
                 part.loop.turn()
         for peer in self.peers.values():
-            peer.look()
+            peer.receive()
 
     def close(self) -> None:
         self.peers.pop("gone", None)
@@ -433,24 +433,24 @@
 
 @pytest.mark.parametrize("name", PLAYS)
 def test_the_program_in_a_fleet(tmp_path: Path, name: str) -> None:
-    Three(tmp_path).play(PLAYS[name])
+    Three(tmp_path).run(PLAYS[name])
 
 
 def test_a_wrong_fleet_file_ends_the_start_in_one_line(tmp_path: Path) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text('listen = "127.0.0.1:0"\nkeepers = 3\n')
     with pytest.raises(ConfigError, match=r"fleet\.toml: .*keepers"):
-        Stage(fleet=path)
+        Harness(fleet=path)
     path.write_text('listen = "127.0.0.1:0"\n')
     with pytest.raises(
         ConfigError, match=r"fleet\.toml: links: 258 descriptors leave -90 of limits\.sockets = 200"
     ):
-        Stage(fleet=path, sockets=200)
+        Harness(fleet=path, sockets=200)
 
 
 def test_without_a_fleet_file_nothing_of_it_is_imported() -> None:
     code = (
-        "from tests.scenario import Stage; import sys; Stage().close(); "
+        "from tests.scenario import Harness; import sys; Harness().close(); "
         "print([m for m in sys.modules if m.startswith('ironbarrow.fleet') or m == 'msgspec'])"
     )
     environment = {**os.environ, "PYTHONPATH": str(Path(__file__).parents[1])}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,12 +17,12 @@
 from ironbarrow.handover.keeper import Keeper, Kept
 from ironbarrow.handover.records import Record
 from ironbarrow.runtime.sockets import listen
-from tests.scenario import Stage, answer, call_back, job
+from tests.scenario import Harness, answer, call_back, job
 
 ACCEPTED = answer(202)
 
 
-class Pair(Stage):
+class Pair(Harness):
     """An old process and, once it is started, the one that replaces it.
 
     ``new`` starts it; ``c*`` then still talk to the old one and ``n*`` to the new one.
@@ -39,7 +39,7 @@
             assert self.new._operations.is_ready()  # whoever has seen this may stop the old one at once
         elif line == "again":
             # the new one is replaced in its turn; it is the old one from here on
-            self.until("old one gone", lambda: self.dispatcher.loop.stopped)
+            self.run_until("old one gone", lambda: self.dispatcher.loop.stopped)
             assert self.new is not None
             self.dispatcher.close()
             self.dispatcher, self.address = self.new, self.new.listener.getsockname()
@@ -58,15 +58,15 @@
             else:
                 super().step(line)
 
-    def pass_time(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         for part in itertools.repeat(seconds / 4, 4):
-            super().pass_time(part)
+            super().run_for(part)
             if self.new is not None:
                 for _ in range(4):
                     self.new.loop.call_at(self.new.loop.now(), lambda: None)
                     self.new.loop.turn()
                 for peer in self.peers.values():
-                    peer.look()
+                    peer.receive()
 
     def close(self) -> None:
         super().close()
@@ -206,7 +206,7 @@
 @pytest.mark.parametrize("name", COPIES)
 def test_a_booking_handed_over_is_not_run_twice(tmp_path: Path, name: str) -> None:
     """Guards against a booking sent again on a call-back that is no proof of its last attempt (bcef66)."""
-    Pair(tmp_path).play(COPIES[name])
+    Pair(tmp_path).run(COPIES[name])
 
 
 @pytest.mark.parametrize("name", STARTS)
@@ -223,15 +223,15 @@
 
 @pytest.mark.parametrize("name", PLAYS)
 def test_an_old_process_and_its_successor(tmp_path: Path, name: str) -> None:
-    Pair(tmp_path).play(PLAYS[name])
+    Pair(tmp_path).run(PLAYS[name])
     assert not list(tmp_path.glob("ironbarrow-*.[0-9]*"))
 
 
 def test_without_a_folder_it_serves_and_says_what_will_not_last(tmp_path: Path) -> None:
     for folder in (None, tmp_path / "missing"):
-        played = Stage(admin=("127.0.0.1", 0), folder=folder)
+        played = Harness(admin=("127.0.0.1", 0), folder=folder)
         assert played.dispatcher._upgrade is None
-        played.play(f"c1 send {job()}\np1 expect X-Request-ID: j1")
+        played.run(f"c1 send {job()}\np1 expect X-Request-ID: j1")
 
 
 RECORD = Record("j1", "map", "POST", "/map", b"\x00in", "text/x", 1_000, 1, "p1")
@@ -340,7 +340,7 @@
         again.loop.turn(wait=False)
         return not channel._waiting
 
-    pair.until("sent after all", is_sent)
+    pair.run_until("sent after all", is_sent)
     assert not channel._sock.errors
     pair.step("c1 expect HTTP/1.1 200 .*out$")
     again.close()
@@ -405,13 +405,13 @@
 
 
 def test_descriptors_of_a_foreign_message_are_closed(tmp_path: Path) -> None:
-    played = Stage(admin=("127.0.0.1", 0), folder=tmp_path)
+    played = Harness(admin=("127.0.0.1", 0), folder=tmp_path)
     here, there = socket.socketpair()
     sender = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     sender.connect(played.dispatcher._upgrade._channel.path)
     socket.send_fds(sender, [b"{"], [there.fileno()])
     there.close()
-    played.pass_time(0.05)
+    played.run_for(0.05)
     assert here.recv(1) == b""
     here.close()
     sender.close()
--- a/tests/test_invoker.py
+++ b/tests/test_invoker.py
@@ -57,12 +57,12 @@
         stage.step(line)
     connection = stage.peers["p1"].sock
     assert connection is not None
-    stage.pass_time(0.01)
+    stage.run_for(0.01)
     stage.step(f"c2 send {booking('j2')}")
-    stage.pass_time(0.01)
+    stage.run_for(0.01)
     if late:
         connection.sendall(first.replace("\\r", "\r").replace("\\n", "\n").encode())
-    stage.play(
+    stage.run(
         f"""p1 expect X-Request-ID: j2.*in$
         c2 silent 30
         p1 send {ACCEPTED}
@@ -150,14 +150,14 @@
         stage.step("p2 expect in$")
         gate.open = False
         stage.step(f"p2 send {answer(500)}")
-    stage.until("held", lambda: gate.held)
-    news = stage.news(stage.entry("p1", "draining")).replace("\r", "\\r").replace("\n", "\\n")
+    stage.run_until("held", lambda: gate.held)
+    news = stage.list_chunk(stage.entry("p1", "draining")).replace("\r", "\\r").replace("\n", "\\n")
     stage.step(happens.replace("$drained", news))
-    stage.pass_time(0.05)
+    stage.run_for(0.05)
     gate.open = True
-    stage.pass_time(0.1)
+    stage.run_for(0.1)
     assert decisions.outcomes == outcomes
-    assert stage.peers["p1"].seen == b""
+    assert stage.peers["p1"].received == b""
     assert not stage.dispatcher.host.held_in_memory
     if status and "expect" not in happens:
         stage.step(f"c1 expect ^HTTP/1.1 {status}")
@@ -170,9 +170,9 @@
     gate.open = False
     stage, _ = plain("p1")
     stage.step(f"c1 send {booking(ms=200)}")
-    stage.until("held", lambda: gate.held)
+    stage.run_until("held", lambda: gate.held)
     time.sleep(0.3)  # the loop stands still
-    stage.play("c1 expect ^HTTP/1.1 503")
+    stage.run("c1 expect ^HTTP/1.1 503")
 
 
 @pytest.mark.parametrize(("effect", "outcome"), [("book", "CONNECT_FAILED"), ("map", "CANCELLED")])
@@ -184,13 +184,13 @@
     gate.open = False
     stage, decisions = plain("p1")
     stage.step(f"c1 send {job(path=effect)}")
-    stage.until("held", lambda: gate.held)
+    stage.run_until("held", lambda: gate.held)
     host = stage.dispatcher.host
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
     gate.open = True
-    stage.pass_time(0.05)
+    stage.run_for(0.05)
     assert [found.name for found in decisions.outcomes] == [outcome]
-    assert stage.peers["p1"].seen == b""
+    assert stage.peers["p1"].received == b""
     stage.close()
 
 
@@ -250,9 +250,9 @@
     stage.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n\\n\\r\\n")
     stage.step(f"c1 send {sent}")
     stage.step("p1 expect POST")
-    news = stage.news(stage.entry("p1", "draining")).replace("\r", "\\r").replace("\n", "\\n")
+    news = stage.list_chunk(stage.entry("p1", "draining")).replace("\r", "\\r").replace("\n", "\\n")
     stage.step(happens.replace("$drained", news))
-    stage.pass_time(0.05)
+    stage.run_for(0.05)
     free[0] = True
     if status == "200":
         for line in ("p1 expect in$", f"p1 send {ACCEPTED}", f"c9 send {call_back('done', result='out')}"):
@@ -260,7 +260,7 @@
     if status:
         stage.step(f"c1 expect ^HTTP/1.1 {status}")
     assert decisions.outcomes == outcomes
-    assert not stage.peers["p1"].seen.endswith(b"in")
+    assert not stage.peers["p1"].received.endswith(b"in")
     stage.close()
 
 
@@ -312,9 +312,9 @@
     stage.step("p2 expect in$")
     assert decisions.outcomes == [outcome]
     if not closes:
-        stage.pass_time(0.004)
-        assert stage.peers["p1"].over is not kept
-    stage.play(f"p2 send {ACCEPTED}\nc9 send {call_back('done', source='p2', result='out')}\nc1 expect out$")
+        stage.run_for(0.004)
+        assert stage.peers["p1"].ended is not kept
+    stage.run(f"p2 send {ACCEPTED}\nc9 send {call_back('done', source='p2', result='out')}\nc1 expect out$")
 
 
 # danger: the worker has the job; sent elsewhere, it would run twice
@@ -334,10 +334,10 @@
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {sent}"):
         stage.step(line)
     stage.step("p1 close" if closes else "p1 ended")
-    stage.pass_time(0.05)
+    stage.run_for(0.05)
     assert decisions.outcomes == []
     assert stage.peers["p2"].sock is None
-    stage.play(f"c9 send {call_back('done', result='out')}\nc1 expect HTTP/1.1 200 .*out$\nwait 10")
+    stage.run(f"c9 send {call_back('done', result='out')}\nc1 expect HTTP/1.1 200 .*out$\nwait 10")
     assert decisions.outcomes == [Outcome.OK]
     assert not stage.dispatcher.host.held_in_memory
 
@@ -352,7 +352,7 @@
         stage.step(line)
     if sent:
         stage.step(f"p1 send {sent}")
-    stage.play("c1 expect out$\np1 ended")
+    stage.run("c1 expect out$\np1 ended")
 
 
 # Call-backs, each in an order that is not the usual one: the steps after p1 has the request, the outcomes,
@@ -438,7 +438,7 @@
         stage.step(f"c1 expect ^HTTP/1.1 {status}")
     stage.step("c1 silent 20")
     assert decisions.outcomes == outcomes
-    stage.until("forgotten", lambda: not host.held_in_memory)
+    stage.run_until("forgotten", lambda: not host.held_in_memory)
     stage.close()
 
 
@@ -455,10 +455,10 @@
     until = stage.dispatcher.loop.now() + 150 * MS
     for n in range(200):
         back.call_off(f"j{n}", "p1", until, done.append)
-    stage.pass_time(0.05)
+    stage.run_for(0.05)
     assert 0 < gate.waiting <= 32
     gate.open = True
-    stage.until("all told or given up", lambda: len(done) == 200)
+    stage.run_until("all told or given up", lambda: len(done) == 200)
     assert not any(done)  # nobody has confirmed anything
     assert not back._deletes.under_way
     stage.close()
@@ -478,7 +478,7 @@
 
     monkeypatch.setattr(sockets, "stream_socket", stream_socket)
     stage.dispatcher.host._dispatcher.order = ("p2",)  # type: ignore[attr-defined]
-    stage.play(f"c1 send {job('j2')}\np2 expect X-Request-ID: j2\np1 ended")
+    stage.run(f"c1 send {job('j2')}\np2 expect X-Request-ID: j2\np1 ended")
 
 
 def test_no_further_attempt_leaves_before_the_worker_is_told_or_can_not_be() -> None:
@@ -494,7 +494,7 @@
         stage.step("p1 close")
     stage.step("p1 expect DELETE /jobs/j1 HTTP")
     assert decisions.outcomes == []
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    stage.run(f"p1 send {answer(204)}\np2 expect in$")
 
 
 def test_a_delete_on_an_old_connection_counts_as_told_by_its_answer_alone() -> None:
@@ -508,11 +508,11 @@
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
     stage.step("p1 expect DELETE /jobs/j1 HTTP")
     assert stage.peers["p1"].sock is old
-    stage.peers["p1"].older.append(old)  # nothing more is heard or said on it
+    stage.peers["p1"].earlier.append(old)  # nothing more is heard or said on it
     stage.peers["p1"].sock = None
     stage.step("p1 expect DELETE /jobs/j1 HTTP")
     assert stage.peers["p2"].sock is None
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    stage.run(f"p1 send {answer(204)}\np2 expect in$")
 
 
 def test_a_delete_that_breaks_off_before_the_202_is_sent_again() -> None:
@@ -526,7 +526,7 @@
         stage.step("p1 close")
         stage.step("p1 expect DELETE /jobs/j1 HTTP")
         assert stage.peers["p2"].sock is None
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    stage.run(f"p1 send {answer(204)}\np2 expect in$")
 
 
 @pytest.mark.parametrize(("took", "waits"), [(10, 0.1), (40, 0.24)])
@@ -563,16 +563,18 @@
     stage, decisions = plain("p1", sockets=256)  # 140 places for clients, 100 connections to workers
     for n in range(110):
         stage.step(f"c{n} send {job(f'j{n}')}")
-    stage.until("the others refused, as never sent", lambda: len(decisions.outcomes) == 110 - gate.waiting)
+    stage.run_until(
+        "the others refused, as never sent", lambda: len(decisions.outcomes) == 110 - gate.waiting
+    )
     assert 0 < gate.waiting <= 100 and set(decisions.outcomes) == {Outcome.FULL}
     gate.open = True
-    stage.play("p1 expect in$")
+    stage.run("p1 expect in$")
 
 
 def test_where_nothing_may_be_called_off_an_attempt_has_until_the_deadline() -> None:
     stage, decisions = plain("p1", "p2", settings=SHORT)
     decisions.timeout = 100 * MS
-    stage.play(
+    stage.run(
         f"""c1 send {job(ms=600)}
         p1 expect in$
         p1 send {ACCEPTED}
@@ -720,7 +722,7 @@
         stage.step(line)
     host = stage.dispatcher.host
     host._send(api.Send(next(iter(host._jobs)), "p2"))
-    stage.pass_time(0.05)
+    stage.run_for(0.05)
     assert decisions.outcomes[0] is Outcome.MOOT
     assert stage.peers["p2"].sock is None
     stage.close()
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -11,7 +11,7 @@
 from ironbarrow.fronts import server
 from ironbarrow.runtime.loop import MS
 from ironbarrow.wire.http import BODY_LIMIT
-from tests.scenario import Peer, Stage, answer, call_back, job, post
+from tests.scenario import Harness, Peer, answer, call_back, job, post
 
 NOT_PROCESSED = answer(503, "X-Not-Processed: 1\\r\\n")
 ACCEPTED = answer(202)
@@ -275,25 +275,25 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_scenario(name: str) -> None:
-    Stage().play(SCENARIOS[name])
+    Harness().run(SCENARIOS[name])
 
 
 @pytest.mark.parametrize("name", BAD)
 def test_bad_input_is_answered_and_serving_goes_on(name: str, caplog: pytest.LogCaptureFixture) -> None:
     sent, status = BAD[name]
-    Stage().play(f"c1 send {sent}\nc1 expect ^HTTP/1.1 {status} \nc2 send {job('ok')}\np1 expect : ok")
+    Harness().run(f"c1 send {sent}\nc1 expect ^HTTP/1.1 {status} \nc2 send {job('ok')}\np1 expect : ok")
 
 
 def test_an_id_under_way_is_not_taken_twice() -> None:
     # danger: two jobs under one id could not be told apart in call-backs
-    Stage().play(f"c1 send {job()}\np1 expect in$\nc2 send {job()}\nc2 expect ^HTTP/1.1 409")
+    Harness().run(f"c1 send {job()}\np1 expect in$\nc2 send {job()}\nc2 expect ^HTTP/1.1 409")
 
 
 def test_ready_only_with_a_list() -> None:
-    Stage().play(f"c1 send {get('/-/ready')}\nc1 expect ^HTTP/1.1 200")
-    stage = Stage(known=False)
-    news = stage.news(stage.entry("p1"), whole=True).split("\r\n")[1].strip()
-    stage.play(
+    Harness().run(f"c1 send {get('/-/ready')}\nc1 expect ^HTTP/1.1 200")
+    stage = Harness(known=False)
+    news = stage.list_chunk(stage.entry("p1"), full=True).split("\r\n")[1].strip()
+    stage.run(
         f"""c1 send {get("/-/ready")}
         c1 expect ^HTTP/1.1 503
         d expect GET /api/targets HTTP
@@ -305,7 +305,7 @@
 
 def test_no_descriptor_left_is_survived(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: accept fails at once as long as no descriptor is free, and the loop would spin or end
-    stage = Stage()
+    stage = Harness()
     real = socket.socket.accept
     fails = iter((True, True, False))
 
@@ -315,36 +315,36 @@
         return real(self)
 
     monkeypatch.setattr(socket.socket, "accept", accept)
-    stage.play(f"c1 send {job()}\np1 expect in$")
+    stage.run(f"c1 send {job()}\np1 expect in$")
 
 
 def test_connections_over_the_limit_wait_until_idle_ones_are_closed() -> None:
-    stage = Stage(sockets=38)  # room for three clients
+    stage = Harness(sockets=38)  # room for three clients
     idle = "".join(f"c{n} send {get('/-/ready')}\nc{n} expect 200\n" for n in range(1, 9))
-    stage.play(idle + f"c1 ended\nc9 send {job()}\np1 expect in$")
+    stage.run(idle + f"c1 ended\nc9 send {job()}\np1 expect in$")
 
 
 def test_a_request_that_stops_half_way_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: a client that freezes would keep its connection for ever
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 200 * MS)
-    Stage().play(f"c1 send {job()[:40]}\nc1 expect ^HTTP/1.1 408\nc1 ended")
+    Harness().run(f"c1 send {job()[:40]}\nc1 expect ^HTTP/1.1 408\nc1 ended")
 
 
 def test_a_connection_that_brings_no_request_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: hundreds that say nothing would hold the places of usual clients
     monkeypatch.setattr(server, "_FIRST_BYTE_TIMEOUT", 200 * MS)
-    Stage().play("c1 silent 100\nc1 ended")
+    Harness().run("c1 silent 100\nc1 ended")
 
 
 def test_silent_connections_make_room_for_one_that_asks(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "_FIRST_BYTE_TIMEOUT", 60_000 * MS)
-    stage = Stage(sockets=38)  # room for three clients
+    stage = Harness(sockets=38)  # room for three clients
     silent = "".join(f"c{n} silent 1\n" for n in range(1, 6))
-    stage.play(f"{silent}c6 send {job()[:40]}\nc9 send {job()}\np1 expect in$\nc1 ended\nc6 ended")
+    stage.run(f"{silent}c6 send {job()[:40]}\nc9 send {job()}\np1 expect in$\nc1 ended\nc6 ended")
 
 
 def test_a_fast_sender_lets_the_others_have_their_turn() -> None:
-    stage = Stage()
+    stage = Harness()
     stage.step(f"c1 send {job(body='x' * (BODY_LIMIT + 1))}")
     stage.step("c1 expect ^HTTP/1.1 413")
     sock = stage.peers["c1"].sock
@@ -365,16 +365,16 @@
 
 def test_requests_that_stop_half_way_share_a_limit_on_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 60_000 * MS)
-    stage = Stage(sockets=1024, memory_mb=1)  # half a megabyte for all of them
+    stage = Harness(sockets=1024, memory_mb=1)  # half a megabyte for all of them
     half = job().replace("Content-Length: 2", "Content-Length: 60000") + "x" * 50_000
-    stage.play(
+    stage.run(
         "".join(f"c{n} send {half}\nwait 20\n" for n in range(1, 13)) + "c1 ended\nc2 ended\nc12 silent 20"
     )
 
 
 def test_an_idle_connection_is_closed_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "_IDLE_TIMEOUT", 200 * MS)
-    Stage().play(f"c1 send {get('/-/ready')}\nc1 expect 200\nc1 ended")
+    Harness().run(f"c1 send {get('/-/ready')}\nc1 expect 200\nc1 ended")
 
 
 def served(job_id: str, worker: str, more: str = "") -> str:
@@ -386,24 +386,24 @@
 
 def test_the_pool_gives_up_its_oldest_connection_when_it_is_full() -> None:
     # danger: with few sockets, idle connections to quiet workers kept out those to busy ones
-    stage = Stage(sockets=36)  # room for one idle connection to workers
-    stage.play(served("j1", "p1") + served("j2", "p2", KEYED) + "p1 ended")
+    stage = Harness(sockets=36)  # room for one idle connection to workers
+    stage.run(served("j1", "p1") + served("j2", "p2", KEYED) + "p1 ended")
 
 
 def test_many_that_connect_at_once_do_not_use_up_the_places() -> None:
     # danger: a connection ended before its task had run kept its place for ever
-    stage = Stage(sockets=38)
+    stage = Harness(sockets=38)
     peers = [Peer(stage.address) for _ in range(12)]
     for peer in peers:
         peer.connect()
-    stage.pass_time(0.1)
+    stage.run_for(0.1)
     for peer in peers:
         peer.close()
-    stage.play("".join(f"c{n} send {job(f'j{n}')}\np{n} expect in$\n" for n in (1, 2)))
+    stage.run("".join(f"c{n} send {job(f'j{n}')}\np{n} expect in$\n" for n in (1, 2)))
 
 
 def test_a_decision_that_fails_does_not_end_the_program(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage = Stage()
+    stage = Harness()
     real = Dispatcher.handle
     fails = iter((True,))
 
@@ -414,22 +414,22 @@
 
     monkeypatch.setattr(Dispatcher, "handle", handle)
     # the first job's arrival is lost with the failure, and yet it gets its one answer
-    stage.play(
+    stage.run(
         f"c1 send {job('j1', ms=200)}\nc1 expect HTTP/1.1 500\nc2 send {job('j2')}\np1 expect : j2.*in$"
     )
 
 
 def test_nothing_stays_of_finished_jobs() -> None:
     # danger: a job withdrawn while held, or one whose call was given up, would stay for ever
-    stage = Stage(workers=0)
+    stage = Harness(workers=0)
     rounds = "".join(f"c1 send {job(f'j{n}')}\nwait 10\nc1 close\nwait 10\n" for n in range(3))
-    stage.play(rounds)
+    stage.run(rounds)
     assert stage.dispatcher.host.owed == 0
     assert stage.dispatcher.host.held_in_memory == 0
 
 
 def test_a_trace_tells_each_event_and_action(capsys: pytest.CaptureFixture[str]) -> None:
-    Stage(traced=True).play(served("j1", "p1"))
+    Harness(traced=True).run(served("j1", "p1"))
     seen = capsys.readouterr().out
     for word in ("WorkerList", "JobArrived", "Send", "connect", "AttemptEnded", "outcome"):
         assert word in seen
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -23,7 +23,7 @@
 from ironbarrow.routing.request import PathError, Request, make_request, split_path
 from ironbarrow.routing.router import Router, Ticket, Turned
 from ironbarrow.routing.table import Table
-from tests.scenario import SETTINGS, Stage, answer, call_back, job
+from tests.scenario import SETTINGS, Harness, answer, call_back, job
 
 KNOWN = read_settings(SETTINGS)
 GOOD = """
@@ -683,13 +683,13 @@
 def test_routes_on_sockets(name: str, tmp_path: Path) -> None:
     path = tmp_path / "routes.toml"
     path.write_text(SERVED)
-    Stage(routes=path).play(PLAYS[name])
+    Harness(routes=path).run(PLAYS[name])
 
 
 def test_a_reload_takes_a_new_file_whole_or_not_at_all(tmp_path: Path) -> None:
     path = tmp_path / "routes.toml"
     path.write_text(SERVED)
-    stage = Stage(routes=path)
+    stage = Harness(routes=path)
     try:
         running = stage.dispatcher.clients.router
         assert isinstance(running, Router)
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -11,10 +11,10 @@
 from ironbarrow.runtime.loop import Coroutine
 from tests import test_attempt
 from tests.decisions import plain
-from tests.scenario import Stage, answer, call_back, job
+from tests.scenario import Harness, answer, call_back, job
 
 
-def violations(stage: Stage) -> dict[str, int]:
+def violations(stage: Harness) -> dict[str, int]:
     counts = stage.dispatcher.host.events.counts
     return {kind: number for (event, kind), number in counts.items() if event == "decision not carried out"}
 
@@ -49,7 +49,7 @@
         stage.step(line)
     for line in (f"c9 send {call_back('returned')}", "c9 expect 204", "p2 expect in$"):
         stage.step(line)
-    assert not stage.peers["p1"].seen
+    assert not stage.peers["p1"].received
     assert violations(stage) == {Rule.ONE_ATTEMPT_PER_WORKER.value: 1}
     stage.close()
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -22,15 +22,15 @@
 from ironbarrow.daemon.dispatcher import Pace
 from ironbarrow.fronts.server import HttpServer
 from ironbarrow.runtime.loop import MS, SECOND
-from tests.scenario import SETTINGS, Peer, Stage, answer, call_back, job
+from tests.scenario import SETTINGS, Harness, Peer, answer, call_back, job
 from tests.test_config import ROOT, UNUSED, logged, written
 
 ACCEPTED = answer(202)
 READY = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
 
 
-def paced(**times: int) -> Stage:
-    stage = Stage()
+def paced(**times: int) -> Harness:
+    stage = Harness()
     stage.dispatcher.pace = replace(stage.dispatcher.pace, **{name: ms * MS for name, ms in times.items()})
     return stage
 
@@ -197,7 +197,7 @@
 
 
 def test_stopping_finishes_what_was_taken_and_serves_what_still_comes() -> None:
-    paced(still_coming=500, last_answer=60_000).play(
+    paced(still_coming=500, last_answer=60_000).run(
         f"""
         c1 send {job()}
         p1 expect in$
@@ -227,7 +227,7 @@
     stage = paced(last_answer=600)
     idle = f"c1 send {READY}\nc1 expect 200\nstop\nwait 50\nc1 silent 50\n"
     booking = f"c1 send {job(path='book/x', ms=25000)}\np1 expect in$\np1 send {ACCEPTED}\n"
-    stage.play(f"{idle}{booking}c1 expect ^HTTP/1.1 500")
+    stage.run(f"{idle}{booking}c1 expect ^HTTP/1.1 500")
 
 
 def test_who_connects_before_the_last_look_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -242,7 +242,7 @@
         return bool(real.fget(self))
 
     monkeypatch.setattr(HttpServer, "has_connections", property(busy))
-    stage.play(f"stop\n{served('j1').strip()}\nexits")
+    stage.run(f"stop\n{served('j1').strip()}\nexits")
 
 
 def test_who_connects_after_the_last_look_is_refused_and_not_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -257,7 +257,7 @@
 
     real = loop.stop
     monkeypatch.setattr(loop, "stop", lambda: (connect(), real()))
-    stage.play("stop\nexits")
+    stage.run("stop\nexits")
     assert found == [111]
 
 
@@ -278,7 +278,7 @@
     else:
         monkeypatch.setattr("ironbarrow.daemon.dispatcher.log", SimpleNamespace(info=fail, error=fail))
     stage.dispatcher.loop.soon(stage.dispatcher.stop)
-    stage.play("exits")
+    stage.run("exits")
 
 
 @pytest.mark.parametrize(
@@ -463,7 +463,7 @@
         replace(cls, aim=deadline_ms * MS // 2, deadline=deadline_ms * MS)
         for cls in read_settings(SETTINGS).classes
     )
-    stage = Stage(settings=replace(read_settings(SETTINGS), classes=classes))
+    stage = Harness(settings=replace(read_settings(SETTINGS), classes=classes))
     stage.step(f"c1 send {READY}")
     stage.step("c1 expect 200 OK")
     loop = stage.dispatcher.loop
@@ -471,7 +471,7 @@
     stage.step("stop")
     if answered:
         # its answer comes at the last moment, and it does not close either
-        stage.pass_time(min(deadline_ms, 500) / 2000)
+        stage.run_for(min(deadline_ms, 500) / 2000)
         stage.step(f"c2 send {job(ms=9000)}")
         stage.step("p1 expect in$")
         stage.step("c2 expect HTTP/1.1 50")
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -7,11 +7,11 @@
 import pytest
 
 from heathway import api
-from tests.scenario import Stage
+from tests.scenario import Harness
 from tests.world import S, World, entries, make_settings
 
 
-def list_line(stage: Stage, count: int, index: int, whole: bool, status: str = "up") -> bytes:
+def list_line(stage: Harness, count: int, index: int, whole: bool, status: str = "up") -> bytes:
     names = (f"s-{n:05d}-{'long' * 30}" for n in range(count))
     found = [
         {"name": name, "address": f"127.0.{n // 250}.{n % 250 + 1}:9000", "zone": "a", "status": status}
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("count", [1_024, 2_000])
 def test_lists_of_thousands_are_taken_whole_and_as_changes_in_pieces_of_any_size(count: int) -> None:
-    stage, draw = Stage(known=False), random.Random(count)
+    stage, draw = Harness(known=False), random.Random(count)
     discovery = stage.peers["d"]
     try:
         stage.step("d expect GET /api/targets HTTP")
@@ -37,9 +37,9 @@
                 discovery.sock.sendall(data[:size])
                 discovery.sock.setblocking(False)
                 data = data[size:]
-                stage.pass_time(0.001)
+                stage.run_for(0.001)
             known = stage.dispatcher.host._dispatcher._workers
-            stage.until(
+            stage.run_until(
                 f"{count} {expected}",
                 lambda expected=expected, known=known: (
                     len(known) == count and all(w.entry.state is expected for w in known.values())
@@ -56,7 +56,7 @@
     "wrong", [{"address": "nowhere"}, {"name": None}, {"weight": "x"}, {"since_ms": [1]}]
 )
 def test_one_malformed_entry_among_a_thousand_is_left_out_alone(wrong: dict[str, object]) -> None:
-    stage = Stage(known=False)
+    stage = Harness(known=False)
     found = json.loads(list_line(stage, 1_000, 41, whole=True))
     found["endpoints"][500] |= wrong
     stage.dispatcher.discovery.start(found)
