--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The list of workers and the watch on it: orders of bytes on sockets, limits and paces in virtual time."""
+"""The discovery client: input on real sockets, time-outs and call rates in virtual time."""
 
 import heapq
 import json
@@ -24,14 +24,14 @@
 from tests.world import World, entries, make_settings
 
 ACCEPTED = answer(202)
-TOLD = 6 * SECOND  # after this a change counts as told
-GRACE = 1_050 * MS  # after this nothing new may go to a worker that was told to drain
+KNOWN_WITHIN = 6 * SECOND  # so long after the service had a change, a dispatcher has to know it
+GRACE = 1_050 * MS  # after this no new job may go to a worker that was told to drain
 NEVER = 1 << 62
 READY = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
 
 
-def watched(stage: Harness, then: str) -> None:
-    stage.run(
+def run_with_watch(harness: Harness, then: str) -> None:
+    harness.run(
         "d expect GET /api/targets\\?follow=1&since=41 HTTP\n"
         "d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n\\n\\r\\n\n" + then
     )
@@ -42,37 +42,37 @@
 
 
 @pytest.mark.parametrize("status", ["draining", "removed", "in a state nobody knows"])
-def test_a_worker_that_is_not_up_gets_nothing_new(status: str) -> None:
-    stage = Harness()
-    news = escaped(stage.list_chunk(stage.entry("p1", status)))
-    watched(stage, f"d send {news}\nwait 50\nc1 send {job()}\np2 expect in$")
+def test_a_worker_that_is_not_up_gets_no_new_job(status: str) -> None:
+    harness = Harness()
+    changes = escaped(harness.list_chunk(harness.entry("p1", status)))
+    run_with_watch(harness, f"d send {changes}\nwait 50\nc1 send {job()}\np2 expect in$")
 
 
-def test_a_bad_discovery_entry_does_not_hide_the_others() -> None:
-    stage = Harness()
+def test_a_malformed_entry_does_not_hide_the_others() -> None:
+    harness = Harness()
     bad = [{"name": "x"}, {"name": 7, "status": "up"}, {"name": "y", "status": "up", "address": "nowhere"}]
-    news = escaped(stage.list_chunk(*bad, stage.entry("p1", "removed")))
-    watched(stage, f"d send {news}\nwait 50\nc1 send {job()}\np2 expect in$")
+    changes = escaped(harness.list_chunk(*bad, harness.entry("p1", "removed")))
+    run_with_watch(harness, f"d send {changes}\nwait 50\nc1 send {job()}\np2 expect in$")
 
 
-def test_the_watch_is_taken_up_again_where_it_ended() -> None:
-    stage = Harness()
-    news = escaped(stage.list_chunk(stage.entry("p1", "draining"), index=57))
-    watched(stage, f"d send {news}\nwait 50\nd close\nd expect follow=1&since=57")
+def test_the_watch_resumes_at_the_last_version() -> None:
+    harness = Harness()
+    changes = escaped(harness.list_chunk(harness.entry("p1", "draining"), index=57))
+    run_with_watch(harness, f"d send {changes}\nwait 50\nd close\nd expect follow=1&since=57")
 
 
-def test_a_reload_moves_to_the_other_discovery_service_and_drops_nothing(
+def test_a_reload_switches_the_discovery_service_and_keeps_list_and_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # danger: until the new one has told something, the list, the old one's news and jobs must stay
+    # until the new service has sent a list, the current list, changes by the old service and jobs must stay
     monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
-    stage = Harness()
-    draining = escaped(stage.list_chunk(stage.entry("p1", "draining"), index=57))
-    later = stage.entry("p1") | {"since_ms": 1_000}  # a process that is not the one told of
-    full = escaped(stage.list_chunk(later, stage.entry("p2", "draining"), index=3, full=True))
-    body = full.split("\\r\\n")[1]
-    watched(
-        stage,
+    harness = Harness()
+    draining = escaped(harness.list_chunk(harness.entry("p1", "draining"), index=57))
+    later = harness.entry("p1") | {"since_ms": 1_000}  # a later process than the one that drains
+    full_list = escaped(harness.list_chunk(later, harness.entry("p2", "draining"), index=3, full=True))
+    body = full_list.split("\\r\\n")[1]
+    run_with_watch(
+        harness,
         f"""c1 send {job()}
         p1 expect in$
         reload d2
@@ -93,121 +93,131 @@
     )
 
 
-def test_a_discovery_service_that_is_left_is_not_asked_again_when_its_connection_ends() -> None:
-    stage = Harness()
+def test_the_old_discovery_service_is_not_called_again_after_a_switch() -> None:
+    harness = Harness()
     for line in ("d expect GET", "reload d2", "d close", "d2 expect GET /api/targets HTTP", "wait 400"):
-        stage.step(line)
-    assert stage.peers["d"].sock is None
-    stage.close()
+        harness.step(line)
+    assert harness.peers["d"].sock is None
+    harness.close()
 
 
-def test_a_discovery_service_that_sends_nonsense_is_asked_for_the_whole_list() -> None:
-    watched(Harness(), "d send 5\\r\\nnope\\n\\r\\n\nd ended\nd close\nd expect GET /api/targets HTTP")
+def test_after_malformed_input_the_full_list_is_fetched() -> None:
+    run_with_watch(Harness(), "d send 5\\r\\nnope\\n\\r\\n\nd ended\nd close\nd expect GET /api/targets HTTP")
 
 
-def test_a_discovery_service_that_refuses_is_asked_for_the_changes_alone() -> None:
-    # danger: after each refusal a whole list, many times as dear, keeps a busy discovery service from
-    # answering
-    watched(
+def test_after_an_error_status_only_the_changes_are_requested() -> None:
+    # a full list costs the service many times more; fetched after each error, it would keep a busy discovery
+    # service from answering
+    run_with_watch(
         Harness(),
         f"d ended\nd close\nd expect follow=1&since=41\nd send {answer(503)}\nd ended\nd close\n"
         "d expect ^GET /api/targets.follow=1&since=41",
     )
 
 
-def test_a_discovery_service_that_must_be_asked_is_called_when_the_decisions_say() -> None:
+def test_a_discovery_service_that_is_asked_is_called_when_the_decision_logic_says() -> None:
     conf = {**SETTINGS, "discovery": "ask"}
-    stage = Harness(settings=read_settings(conf))
+    harness = Harness(settings=read_settings(conf))
     for line in ("wait 20", f"c1 send {READY}", "c1 expect 200"):
-        stage.step(line)
-    assert stage.peers["d"].sock is None  # the first call is somewhere in the first second
+        harness.step(line)
+    assert harness.peers["d"].sock is None  # the first call comes at a random time within the first second
     asked = "d expect ^GET /api/targets.follow=1&since=41"
-    stage.run(f"{asked}\nd send {answer(503)}\nd ended\nd close\n{asked}")
+    harness.run(f"{asked}\nd send {answer(503)}\nd ended\nd close\n{asked}")
 
 
-def test_a_silent_watch_is_left_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    # danger: a frozen discovery service keeps its connection open and says nothing
+def test_a_silent_watch_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
+    # a frozen discovery service keeps its connection open and sends nothing
     monkeypatch.setattr(discovery, "_SILENCE_TIMEOUT", 200 * MS)
-    watched(Harness(), "d ended\nd close\nd expect follow=1&since=41")
+    run_with_watch(Harness(), "d ended\nd close\nd expect follow=1&since=41")
 
 
-# Orders of bytes on a watch that is open at version 41. Each: the pieces in which they come, whether p1 still
-# gets jobs, and the call that follows, at once or, for "", once the connection has ended.
+# Input on a watch that is open at version 41. Each: the pieces in which it arrives, whether p1 still gets
+# jobs, and the call that follows.
 
 
 def entry(name: str = "p1", status: Any = "draining", **more: Any) -> dict[str, Any]:
     return {"name": name, "address": "127.0.0.1:1", "zone": "a", "status": status} | more
 
 
-def told(*entries: dict[str, Any], index: Any = 42, indent: int | None = None, whole: bool = False) -> str:
-    return json.dumps({"index": index, "snapshot": whole, "endpoints": entries}, indent=indent)
+def list_json(
+    *entries: dict[str, Any], index: Any = 42, indent: int | None = None, full: bool = False
+) -> str:
+    return json.dumps({"index": index, "snapshot": full, "endpoints": entries}, indent=indent)
 
 
 def chunks(*texts: str) -> list[str]:
     return [f"{len(text):x}\r\n{text}\r\n" for text in texts]
 
 
-INDENTED = told(entry(), indent=2) + "\n"
+INDENTED = list_json(entry(), indent=2) + "\n"
 WHOLE_LIST, CHANGES = "^GET /api/targets HTTP", "^GET /api/targets.follow=1&since="
-ORDERS: dict[str, tuple[list[str], bool, str]] = {
+WATCH_INPUTS: dict[str, tuple[list[str], bool, str]] = {
     "indented": (chunks(INDENTED), False, f"{CHANGES}42"),
-    "indented by nothing": (chunks(told(entry(), indent=0)), False, f"{CHANGES}42"),
+    "indented by nothing": (chunks(list_json(entry(), indent=0)), False, f"{CHANGES}42"),
     "a line a chunk": (chunks(*INDENTED.splitlines(keepends=True)), False, f"{CHANGES}42"),
     "a byte a chunk, five bytes a piece": (["".join(chunks(*INDENTED))], False, f"{CHANGES}42"),
     "a chunk that does not end": ([f"{9_999:x}\r\n{INDENTED}"], False, f"{CHANGES}42"),
-    "no line end": (chunks(told(entry())), False, f"{CHANGES}42"),
+    "no line end": (chunks(list_json(entry())), False, f"{CHANGES}42"),
     "two objects in a chunk": (
-        chunks(told(entry()) + "\n" + told(entry("p9"), index=43) + "\n"),
+        chunks(list_json(entry()) + "\n" + list_json(entry("p9"), index=43) + "\n"),
         False,
         f"{CHANGES}43",
     ),
     "two objects and a half on a line": (
-        chunks(told(entry()) + told(entry("p9"), index=43) + '{"index":44,"endp'),
+        chunks(list_json(entry()) + list_json(entry("p9"), index=43) + '{"index":44,"endp'),
         False,
         f"{CHANGES}43",
     ),
     "braces and quotes in a name": (
-        chunks(told(entry('}]}{"\\'), entry()) + "\n", "\n"),
+        chunks(list_json(entry('}]}{"\\'), entry()) + "\n", "\n"),
         False,
         f"{CHANGES}42",
     ),
-    "the same worker twice: the last word counts": (
-        chunks(told(entry(status="up"), entry()) + "\n"),
+    "the same worker twice: the last entry counts": (
+        chunks(list_json(entry(status="up"), entry()) + "\n"),
         False,
         f"{CHANGES}42",
     ),
-    "no entries": (chunks(told() + "\n"), True, f"{CHANGES}42"),
-    "a whole list without entries": (chunks(told(whole=True) + "\n"), False, f"{CHANGES}42"),
+    "no entries": (chunks(list_json() + "\n"), True, f"{CHANGES}42"),
+    "a full list without entries": (chunks(list_json(full=True) + "\n"), False, f"{CHANGES}42"),
     "a drain without an address": (
-        chunks(told({"name": "p1", "status": "draining"}) + "\n"),
+        chunks(list_json({"name": "p1", "status": "draining"}) + "\n"),
         False,
         f"{CHANGES}42",
     ),
-    "a drain with nonsense for a weight": (chunks(told(entry(weight="x")) + "\n"), False, f"{CHANGES}42"),
-    "a status that is no text": (chunks(told(entry(status=["up"])) + "\n"), False, f"{CHANGES}42"),
-    "a weight without end": (chunks(told(entry(status="up", weight=1e999)) + "\n"), True, f"{CHANGES}42"),
-    "true for a version": (chunks(told(entry(), index=True) + "\n"), False, f"{CHANGES}41"),
-    "text for a version": (chunks(told(entry(), index="57") + "\n"), False, f"{CHANGES}41"),
-    "a version below 0": (chunks(told(entry(), index=-1) + "\n"), False, f"{CHANGES}41"),
-    # danger: what was told later must not be undone by what was true before
-    "a version that goes back": (chunks(told(entry(), index=40) + "\n"), False, WHOLE_LIST),
+    "a drain with nonsense for a weight": (
+        chunks(list_json(entry(weight="x")) + "\n"),
+        False,
+        f"{CHANGES}42",
+    ),
+    "a status that is no text": (chunks(list_json(entry(status=["up"])) + "\n"), False, f"{CHANGES}42"),
+    "a weight without end": (
+        chunks(list_json(entry(status="up", weight=1e999)) + "\n"),
+        True,
+        f"{CHANGES}42",
+    ),
+    "true for a version": (chunks(list_json(entry(), index=True) + "\n"), False, f"{CHANGES}41"),
+    "text for a version": (chunks(list_json(entry(), index="57") + "\n"), False, f"{CHANGES}41"),
+    "a version below 0": (chunks(list_json(entry(), index=-1) + "\n"), False, f"{CHANGES}41"),
+    # an older change must not undo a later one
+    "a version that goes back": (chunks(list_json(entry(), index=40) + "\n"), False, WHOLE_LIST),
     "a version that goes back to up": (
-        chunks(told(entry()) + "\n" + told(entry(status="up"), index=40) + "\n"),
+        chunks(list_json(entry()) + "\n" + list_json(entry(status="up"), index=40) + "\n"),
         False,
         WHOLE_LIST,
     ),
-    "a whole list of an older version": (
-        chunks(told(entry(), index=7, whole=True) + "\n"),
+    "a full list of an older version": (
+        chunks(list_json(entry(), index=7, full=True) + "\n"),
         False,
         f"{CHANGES}7",
     ),
     "an object that breaks off, and the next": (
-        chunks(told(entry("p9"))[:60] + "\n", told(entry()) + "\n"),
+        chunks(list_json(entry("p9"))[:60] + "\n", list_json(entry()) + "\n"),
         True,
         WHOLE_LIST,
     ),
     "an object that breaks off, and empty lines": (
-        chunks(told(entry())[:60] + "\n", *"\n" * 60),
+        chunks(list_json(entry())[:60] + "\n", *"\n" * 60),
         True,
         f"{CHANGES}41",
     ),
@@ -216,44 +226,44 @@
     "brackets crossed": (chunks('{"endpoints":[}]\n'), True, WHOLE_LIST),
     "a text without end": (chunks('{"index":"' + "x" * 20_000), True, WHOLE_LIST),
     "bytes that are no text": (chunks('{"index":"\xff\xfe"}\n'), True, WHOLE_LIST),
-    "an end in the middle": ([*chunks(told(entry())[:60]), "0\r\n\r\n"], True, f"{CHANGES}41"),
+    "an end in the middle": ([*chunks(list_json(entry())[:60]), "0\r\n\r\n"], True, f"{CHANGES}41"),
     "bytes that are no chunk": (["what?\r\n"], True, f"{CHANGES}41"),
 }
 
 
-@pytest.mark.parametrize("name", ORDERS)
-def test_an_order_of_bytes_on_the_watch(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    pieces, stays, call = ORDERS[name]
+@pytest.mark.parametrize("name", WATCH_INPUTS)
+def test_input_on_the_watch(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    pieces, stays, call = WATCH_INPUTS[name]
     if "empty lines" in name:
         monkeypatch.setattr(discovery, "_SILENCE_TIMEOUT", 300 * MS)
     if "a byte" in name:
         text = "".join(pieces)
         pieces = [text[at : at + 5] for at in range(0, len(text), 5)]
-    stage = Harness()
-    peer = stage.peers["d"]
+    harness = Harness()
+    peer = harness.peers["d"]
     try:
-        stage.step("d expect follow=1&since=41 HTTP")
-        stage.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n")
+        harness.step("d expect follow=1&since=41 HTTP")
+        harness.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n")
         for piece in pieces:
             assert peer.sock is not None
             if not peer.ended:
                 peer.sock.sendall(piece.encode("latin-1"))
-            stage.run_for(0.01 if "empty" in name else 0.002 if "a byte" in name else 0.03)
-        assert stage.dispatcher.host.may_send_to("p1") == stays
+            harness.run_for(0.01 if "empty" in name else 0.002 if "a byte" in name else 0.03)
+        assert harness.dispatcher.host.may_send_to("p1") == stays
         if peer.ended:
-            stage.step("d close")
+            harness.step("d close")
         elif call == WHOLE_LIST:
-            stage.step("d ended")
-            stage.step("d close")
+            harness.step("d ended")
+            harness.step("d close")
         else:
-            stage.step("d close")
-        stage.step(f"d expect {call}")
+            harness.step("d close")
+        harness.step(f"d expect {call}")
     finally:
-        stage.close()
+        harness.close()
 
 
 @pytest.mark.parametrize(
-    "said",
+    "response",
     [
         "200 X\\r\\nContent-Length: 0\\r\\n",
         "200 X\\r\\nContent-Length: 4\\r\\n\\r\\n[{}]",
@@ -263,16 +273,14 @@
         "500 X\\r\\nContent-Length: 0\\r\\n",
     ],
 )
-def test_a_whole_list_that_does_not_come_is_asked_for_again(
-    said: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_full_list_that_fails_is_fetched_again(response: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "_SILENCE_TIMEOUT", 300 * MS)
-    stage = Harness(known=False)
-    body = told(stage.entry("p1"), whole=True, indent=1).replace("\n", "\\n")
+    harness = Harness(known=False)
+    body = list_json(harness.entry("p1"), full=True, indent=1).replace("\n", "\\n")
     size = len(body.replace("\\n", "\n"))
-    stage.run(
+    harness.run(
         f"""d expect {WHOLE_LIST}
-        d send HTTP/1.1 {said}\\r\\n
+        d send HTTP/1.1 {response}\\r\\n
         d ended
         d close
         d expect {WHOLE_LIST}
@@ -283,126 +291,128 @@
     )
 
 
-def test_a_worker_is_called_where_the_discovery_service_has_last_said() -> None:
-    stage = Harness()
-    moved = stage.entry("p1") | {"address": stage.names["$p2"]}
-    watched(stage, f"d send {escaped(stage.list_chunk(moved))}\nwait 50\nc1 send {job()}\np2 expect in$")
+def test_a_worker_is_called_at_its_latest_address() -> None:
+    harness = Harness()
+    moved = harness.entry("p1") | {"address": harness.names["$p2"]}
+    run_with_watch(
+        harness, f"d send {escaped(harness.list_chunk(moved))}\nwait 50\nc1 send {job()}\np2 expect in$"
+    )
 
 
-def test_a_list_on_which_the_decisions_fail_is_asked_for_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    # danger: the watch ended with the failure, and nothing was told any more
-    stage = Harness()
+def test_a_list_on_which_the_decision_logic_fails_is_fetched_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    # guards against a watch that ends with the failure, after which no change arrives any more
+    harness = Harness()
     real = Dispatcher.handle
-    fails = iter((True,))
+    failure = iter((True,))
 
     def handle(self: Dispatcher, now: int, events: list[api.Event]) -> list[api.Action]:
-        if any(isinstance(event, api.WorkerList) for event in events) and next(fails, False):
+        if any(isinstance(event, api.WorkerList) for event in events) and next(failure, False):
             raise ZeroDivisionError
         return real(self, now, events)
 
     monkeypatch.setattr(Dispatcher, "handle", handle)
-    drains = escaped(stage.list_chunk(stage.entry("p1", "draining")))
-    watched(stage, f"d send {drains}\nd ended\nd close\nd expect {WHOLE_LIST}")
+    drains = escaped(harness.list_chunk(harness.entry("p1", "draining")))
+    run_with_watch(harness, f"d send {drains}\nd ended\nd close\nd expect {WHOLE_LIST}")
 
 
-def test_without_a_free_descriptor_the_watch_takes_its_spare_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    # danger: idle clients and calls had them all, and no list came until one of them ended
-    stage = Harness()
+def test_without_a_free_descriptor_the_watch_uses_its_reserved_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    # guards against idle clients and calls that use all descriptors, so that no list arrives until one ends
+    harness = Harness()
     real = sockets.stream_socket
 
     def none_free(address: sockets.Address) -> socket.socket:
-        if stage.dispatcher.discovery._reserved_socket is not None:
+        if harness.dispatcher.discovery._reserved_socket is not None:
             raise OSError(24, "Too many open files")
         return real(address)
 
     monkeypatch.setattr(sockets, "stream_socket", none_free)
     again = "d close\nd expect follow=1&since=41 HTTP\n"
-    watched(stage, again + again)
+    run_with_watch(harness, again + again)
 
 
 # Two discovery services at once
 
 
-def stage_moved(stage: Harness, *lines: str) -> None:
-    stage.step("d expect follow=1&since=41 HTTP")
-    stage.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n\\n\\r\\n")
+def run_after_watch_begins(harness: Harness, *lines: str) -> None:
+    harness.step("d expect follow=1&since=41 HTTP")
+    harness.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n\\n\\r\\n")
     for line in lines:
-        stage.step(line)
+        harness.step(line)
 
 
-def whole(stage: Harness, *entries: dict[str, Any], index: int = 3) -> str:
-    body = told(*entries, index=index, whole=True)
+def full_list_response(harness: Harness, *entries: dict[str, Any], index: int = 3) -> str:
+    body = list_json(*entries, index=index, full=True)
     return f"HTTP/1.1 200 X\\r\\nContent-Length: {len(body)}\\r\\n\\r\\n{body}"
 
 
-@pytest.mark.parametrize("old", ["draining", "removed", "not in its whole list"])
+@pytest.mark.parametrize("old", ["draining", "removed", "not in its full list"])
 def test_a_new_discovery_service_that_is_behind_does_not_undo_a_drain(
     old: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # danger: both are fed from one truth, at different speeds
+    # both receive the same changes, with different delays
     monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
     monkeypatch.setattr(discovery, "_CONVERGENCE_TIME", 1_500 * MS)
-    stage = Harness()
+    harness = Harness()
     if old.startswith("not"):
-        news = stage.list_chunk(stage.entry("p2"), index=57, full=True)
+        changes = harness.list_chunk(harness.entry("p2"), index=57, full=True)
     else:
-        news = stage.list_chunk(stage.entry("p1", old), index=57)
-    may = stage.dispatcher.host.may_send_to
+        changes = harness.list_chunk(harness.entry("p1", old), index=57)
+    may = harness.dispatcher.host.may_send_to
     try:
-        stage_moved(
-            stage,
+        run_after_watch_begins(
+            harness,
             "reload d2",
             "d2 expect GET /api/targets HTTP",
-            f"d send {escaped(news)}",
+            f"d send {escaped(changes)}",
             "wait 50",
-            f"d2 send {whole(stage, stage.entry('p1'), stage.entry('p2'))}",
+            f"d2 send {full_list_response(harness, harness.entry('p1'), harness.entry('p2'))}",
             "d ended",
         )
         assert not may("p1") and may("p2")
-        stage.run_until("p1 is up again, once the new one had time to tell", lambda: may("p1"))
+        harness.run_until("p1 is up again after _CONVERGENCE_TIME", lambda: may("p1"))
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_the_new_discovery_service_has_the_last_word_on_a_drain_of_the_old_one(
+def test_the_new_discovery_service_overrides_a_drain_of_the_old_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
     monkeypatch.setattr(discovery, "_CONVERGENCE_TIME", 400 * MS)
-    stage = Harness()
-    may = stage.dispatcher.host.may_send_to
+    harness = Harness()
+    may = harness.dispatcher.host.may_send_to
     try:
-        stage_moved(
-            stage,
+        run_after_watch_begins(
+            harness,
             "reload d2",
             "d2 expect GET /api/targets HTTP",
-            f"d send {escaped(stage.list_chunk(stage.entry('p1', 'draining'), index=57))}",
+            f"d send {escaped(harness.list_chunk(harness.entry('p1', 'draining'), index=57))}",
             "wait 50",
-            f"d2 send {whole(stage, stage.entry('p1'), stage.entry('p2'))}",
+            f"d2 send {full_list_response(harness, harness.entry('p1'), harness.entry('p2'))}",
             "d2 ended",
             "d2 close",
             "d2 expect follow=1&since=3",
             "d2 send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n",
-            f"d2 send {escaped(stage.list_chunk(stage.entry('p1', 'draining'), index=4))}",
+            f"d2 send {escaped(harness.list_chunk(harness.entry('p1', 'draining'), index=4))}",
             "wait 800",
         )
         assert not may("p1") and may("p2")
-        stage.step(f"d2 send {escaped(stage.list_chunk(stage.entry('p1'), index=5))}")
-        stage.run_until("p1 is up", lambda: may("p1"), 5)
+        harness.step(f"d2 send {escaped(harness.list_chunk(harness.entry('p1'), index=5))}")
+        harness.run_until("p1 is up", lambda: may("p1"), 5)
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_there_and_back_the_first_discovery_service_is_followed_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    # danger: asked for the whole list anew while its own watch went on, it was listened to twice, and the
-    # list of the one that was left in between replaced its news
+def test_after_switching_back_the_first_watch_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+    # guards against a second watch on the first service beside the one that goes on, and against a list from
+    # the service in between that replaces the changes of the first one
     monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
-    stage = Harness()
-    drains = escaped(stage.list_chunk(stage.entry("p1", "draining"), index=57))
-    late = whole(stage, stage.entry("p1"), stage.entry("p2"))
+    harness = Harness()
+    drains = escaped(harness.list_chunk(harness.entry("p1", "draining"), index=57))
+    late = full_list_response(harness, harness.entry("p1"), harness.entry("p2"))
     try:
-        stage_moved(
-            stage,
+        run_after_watch_begins(
+            harness,
             "reload d2",
             "d2 expect GET /api/targets HTTP",
             "reload d",
@@ -411,75 +421,75 @@
             f"d2 send {late}",
             "wait 50",
         )
-        assert not stage.dispatcher.host.may_send_to("p1")
+        assert not harness.dispatcher.host.may_send_to("p1")
         for line in ("d close", "d expect follow=1&since=57"):
-            stage.step(line)
+            harness.step(line)
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_of_two_reloads_in_a_row_the_last_one_counts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_of_two_reloads_in_a_row_the_last_one_applies(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "_PUSH_RESPONSE_TIMEOUT", 20 * SECOND)
-    stage = Harness(workers=3)  # p3 plays the third discovery service
-    may = stage.dispatcher.host.may_send_to
+    harness = Harness(workers=3)  # p3 acts as a third discovery service
+    may = harness.dispatcher.host.may_send_to
     try:
-        stage_moved(
-            stage,
+        run_after_watch_begins(
+            harness,
             "reload d2",
             "d2 expect GET /api/targets HTTP",
             "reload p3",
             "p3 expect GET /api/targets HTTP",
             "d2 ended",
-            f"d2 send {whole(stage, stage.entry('p2'))}",
-            f"d send {escaped(stage.list_chunk(stage.entry('p2', 'draining'), index=57))}",
+            f"d2 send {full_list_response(harness, harness.entry('p2'))}",
+            f"d send {escaped(harness.list_chunk(harness.entry('p2', 'draining'), index=57))}",
             "wait 50",
         )
         assert may("p1") and not may("p2")
-        for line in (f"p3 send {whole(stage, stage.entry('p2'), index=9)}", "d ended"):
-            stage.step(line)
+        for line in (f"p3 send {full_list_response(harness, harness.entry('p2'), index=9)}", "d ended"):
+            harness.step(line)
         assert not may("p1") and not may("p2")
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_a_reload_while_the_list_is_out_takes_what_comes_first() -> None:
-    stage = Harness(known=False)
-    may = stage.dispatcher.host.may_send_to
+def test_during_the_first_fetch_a_reload_accepts_the_list_that_arrives_first() -> None:
+    harness = Harness(known=False)
+    may = harness.dispatcher.host.may_send_to
     lines = (
         "d expect GET /api/targets HTTP",
         "reload d2",
         "d2 expect GET /api/targets HTTP",
-        f"d send {whole(stage, stage.entry('p1'), index=57)}",
+        f"d send {full_list_response(harness, harness.entry('p1'), index=57)}",
         "d ended",
         "d close",
         "d expect follow=1&since=57",
     )
     try:
         for line in lines:
-            stage.step(line)
+            harness.step(line)
         assert may("p1")
-        stage.step(f"d2 send {whole(stage, stage.entry('p2'))}")
-        stage.step("d ended")
+        harness.step(f"d2 send {full_list_response(harness, harness.entry('p2'))}")
+        harness.step("d ended")
         assert may("p2") and not may("p1")
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_a_fleet_told_to_move_does_not_ask_its_new_discovery_service_all_at_once() -> None:
+def test_a_fleet_that_switches_spreads_its_calls_to_the_new_discovery_service() -> None:
     conf = {**SETTINGS, "discovery": "ask", "replicasOfMe": 200}
-    stage = Harness(settings=read_settings(conf))
+    harness = Harness(settings=read_settings(conf))
     try:
-        for line in ("wait 20", "reload d2", "wait 200"):  # the earliest call is half a second later
-            stage.step(line)
-        assert stage.peers["d2"].sock is None
-        began = stage.dispatcher.loop.now()
-        stage.step(f"d2 expect {WHOLE_LIST}")
-        assert stage.dispatcher.loop.now() - began < 4 * SECOND
+        for line in ("wait 20", "reload d2", "wait 200"):  # the earliest call comes after half a second
+            harness.step(line)
+        assert harness.peers["d2"].sock is None
+        began = harness.dispatcher.loop.now()
+        harness.step(f"d2 expect {WHOLE_LIST}")
+        assert harness.dispatcher.loop.now() - began < 4 * SECOND
     finally:
-        stage.close()
+        harness.close()
 
 
-# Objects out of a stream
+# JSON objects from a stream
 
 TEXT = st.text(st.sampled_from('{}[]"\\\n ,:aé'), max_size=6)
 VALUES = st.recursive(TEXT | st.integers() | st.none(), lambda some: st.lists(some, max_size=3), max_leaves=4)
@@ -487,7 +497,7 @@
 
 
 @given(OBJECTS, st.sampled_from([None, 0, 2]), st.sampled_from(["", "\n", "\n\n"]), st.integers(1, 20))
-def test_objects_are_found_in_any_form_and_pieces(
+def test_objects_are_found_in_any_format_and_any_pieces(
     values: list[dict[str, Any]], indent: int | None, between: str, size: int
 ) -> None:
     data = between.join(json.dumps(value, indent=indent) for value in values).encode()
@@ -498,8 +508,8 @@
 
 
 @pytest.mark.parametrize("indent", [None, 2])
-def test_what_is_looked_at_again_with_each_piece_does_not_grow_with_the_list(indent: int | None) -> None:
-    data = told(*(entry(f"s-{n}") for n in range(2_000)), indent=indent).encode()
+def test_the_input_scanned_again_with_each_piece_does_not_grow_with_the_list(indent: int | None) -> None:
+    data = list_json(*(entry(f"s-{n}") for n in range(2_000)), indent=indent).encode()
     objects, again = discovery._ObjectSplitter(), 0
     for at in range(0, len(data), 100):
         again = max(again, len(objects._buffer) - objects._scanned_to)
@@ -508,7 +518,7 @@
     assert again < 1_000
 
 
-def test_an_object_too_large_ends_the_connection() -> None:
+def test_an_object_that_is_too_large_ends_the_connection() -> None:
     objects, piece = discovery._ObjectSplitter(), json.dumps([entry()]).encode()[1:-1] + b","
     with pytest.raises(ConnectionEndedError) as ended:
         objects.feed(b'{"endpoints":[')
@@ -520,7 +530,7 @@
 # Failures in virtual time
 
 
-FAILS = (
+FAILURES = (
     "refused",
     "no descriptor",
     "never up",
@@ -532,102 +542,102 @@
 )
 
 
-class Agent:
-    """A discovery service that fails in one way between two times, and has one change from ``change_at``
-    on."""
+class FakeService:
+    """A discovery service that fails in one way from ``down`` to ``up``, and has one change from
+    ``change_at`` on."""
 
-    def __init__(self, loop: VirtualLoop, fails: str, down: int, up: int, change_at: int) -> None:
-        self.loop, self.fails, self.down, self.up, self.change_at = loop, fails, down, up, change_at
+    def __init__(self, loop: VirtualLoop, failure: str, down: int, up: int, change_at: int) -> None:
+        self.loop, self.failure, self.down, self.up, self.change_at = loop, failure, down, up, change_at
         self.calls: list[int] = []
-        self.open: list[AgentConnection] = []
+        self.open: list[FakeServiceConnection] = []
 
     def failing(self) -> bool:
         return self.down <= self.loop.now() < self.up
 
-    def connect(self, address: object, until: int) -> Coroutine["AgentConnection"]:
+    def connect(self, address: object, until: int) -> Coroutine["FakeServiceConnection"]:
         self.calls.append(self.loop.now())
         yield from wait(self.loop.now())
-        if self.failing() and self.fails == "refused":
+        if self.failing() and self.failure == "refused":
             raise ConnectionEndedError(Ending.CONNECT_REFUSED)
-        if self.failing() and self.fails == "no descriptor":
+        if self.failing() and self.failure == "no descriptor":
             raise ConnectionEndedError(Ending.FAILED_HERE)
-        if self.failing() and self.fails == "never up":
+        if self.failing() and self.failure == "never up":
             yield from wait(until)
             raise ConnectionEndedError(Ending.CONNECT_TIMED_OUT)
-        return AgentConnection(self, self.fails if self.failing() else "")
+        return FakeServiceConnection(self, self.failure if self.failing() else "")
 
 
-class AgentConnection:
-    """Danger: a connection that failed once stays so, also when the discovery service is back."""
+class FakeServiceConnection:
+    """A connection to the fake service; one that failed keeps failing after the service is back."""
 
-    def __init__(self, agent: Agent, fails: str) -> None:
-        self.agent, self.fails, self.loop = agent, fails, agent.loop
-        self.head = self.told = self.whole = False
+    def __init__(self, service: FakeService, failure: str) -> None:
+        self.service, self.failure, self.loop = service, failure, service.loop
+        self.head = self.list_sent = self.full_list = False
 
     def close(self) -> None: ...
 
     def request_bytes(self, method: str, target: str, headers: object) -> bytes:
-        self.whole = "follow" not in target
+        self.full_list = "follow" not in target
         return b""
 
     def write(self, data: bytes, until: int) -> Coroutine[None]:
         yield from wait(self.loop.now())
 
     def next_event(self, until: int) -> Coroutine[Any]:
-        agent = self.agent
+        service = self.service
         yield from wait(self.loop.now())
         if not self.head:
             self.head = True
-            if self.fails == "hung":
+            if self.failure == "hung":
                 yield from wait(until)
                 raise ConnectionEndedError(Ending.STALLED)
-            status = 503 if self.fails == "refused by an answer" else 200
+            status = 503 if self.failure == "refused by an answer" else 200
             return h11.Response(status_code=status, headers=[])
-        if not self.fails and agent.failing():
-            self.fails = agent.fails  # an open watch
-        if not self.fails:
-            if not self.told and self.loop.now() >= agent.change_at:
-                self.told = True
-                return h11.Data(data=told(entry(), whole=self.whole).encode())
-            if self.whole and not self.told:
-                self.told = True
-                return h11.Data(data=told(entry(status="up"), index=41, whole=True).encode())
-            if self.whole:
+        if not self.failure and service.failing():
+            self.failure = service.failure  # fails an open watch too
+        if not self.failure:
+            if not self.list_sent and self.loop.now() >= service.change_at:
+                self.list_sent = True
+                return h11.Data(data=list_json(entry(), full=self.full_list).encode())
+            if self.full_list and not self.list_sent:
+                self.list_sent = True
+                return h11.Data(data=list_json(entry(status="up"), index=41, full=True).encode())
+            if self.full_list:
                 return h11.EndOfMessage()
-            # the change, the next empty line, or the beginning of the failure
-            times = [self.loop.now() + 2 * SECOND, agent.change_at, agent.down]
+            # wait for the change, the next empty line or the start of the failure, whichever is first
+            times = [self.loop.now() + 2 * SECOND, service.change_at, service.down]
             due = min(t for t in times if t > self.loop.now())
             yield from wait(min(until, due))
             if until < due:
                 raise ConnectionEndedError(Ending.STALLED)
             return h11.Data(data=b"\n")
-        if self.fails in ("ended", "refused", "no descriptor", "refused by an answer"):
+        if self.failure in ("ended", "refused", "no descriptor", "refused by an answer"):
             raise ConnectionEndedError(Ending.RESET)
-        if self.fails == "nonsense":
-            self.fails = "ended"
+        if self.failure == "nonsense":
+            self.failure = "ended"
             return h11.Data(data=b"nope\n")
         yield from wait(until)
         raise ConnectionEndedError(Ending.STALLED)
 
 
-def told_at(
-    agent: Agent, loop: VirtualLoop, until: int, pace: CallPace | None, seed: int, known: bool = True
+def arrival_time(
+    service: FakeService, loop: VirtualLoop, until: int, pace: CallPace | None, seed: int, known: bool = True
 ) -> int:
-    """When the discovery service's change arrives; ``pace``: it is asked for. Without a known list, as after
-    a move, the whole list comes first."""
+    """When the discovery service's change arrives at the client, or NEVER. ``pace``: when to call a service
+    that is asked. Without a known list, as after a switch, the full list comes first."""
     found: list[int] = []
 
-    def listed(news: api.WorkerList) -> None:
-        if news.kind is api.ListKind.LOST:
+    def listed(update: api.WorkerList) -> None:
+        if update.kind is api.ListKind.LOST:
             assert pace is not None
             loop.call_at(loop.now() + pace.failed(), client.subscribe)
-        elif any(e.state is api.WorkerState.DRAINING for e in news.entries):
+        elif any(e.state is api.WorkerState.DRAINING for e in update.entries):
             found.append(loop.now())
         elif pace is not None:
             pace.answered()
 
     client = discovery.DiscoveryClient(loop, ("d", 1), listed, on_request=pace is not None, seed=seed)  # type: ignore[arg-type]
-    client.start(json.loads(told(entry(status="up"), index=41, whole=True)) if known else {})
+    client.start(json.loads(list_json(entry(status="up"), index=41, full=True)) if known else {})
     if pace is not None:
         loop.call_at(loop.now() + pace.first(), client.subscribe)
     loop.run(until)
@@ -635,32 +645,33 @@
 
 
 TIMES = st.integers(0, 8_000)
-# of a larger fleet's first calls a service that answers 8 a second can't answer all in time
+# dispatchers of the largest fleet whose first calls a service that answers 8 a second answers in time
 ANSWERED_IN_TIME = pacing.ANSWERED_WITHIN // pacing.APART
 
 
-@given(st.sampled_from(FAILS), TIMES, st.integers(1, 20_000), TIMES, st.integers(0, 99), st.booleans())
-def test_what_a_discovery_service_that_pushes_has_when_it_is_back_is_known_within_the_grace(
-    fails: str, down: int, lasts: int, change: int, seed: int, known: bool
+@given(st.sampled_from(FAILURES), TIMES, st.integers(1, 20_000), TIMES, st.integers(0, 99), st.booleans())
+def test_a_change_is_known_within_the_grace_once_a_service_that_pushes_is_back(
+    failure: str, down: int, lasts: int, change: int, seed: int, known: bool
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
         loop = VirtualLoop()
         up = (down + lasts) * MS
-        agent = Agent(loop, fails, down * MS, up, change * MS)
-        patch.setattr(discovery, "connect", agent.connect)
-        arrived = told_at(agent, loop, up + 10 * SECOND, None, seed, known)
-        reached = max(agent.change_at, up if agent.change_at >= agent.down else 0)
-        # a watch that was open, or had its head, when it fell silent has the clock of silences
-        silent = fails in ("hung", "never up", "silent after its head")
-        assert arrived <= reached + (TOLD - 2 * SECOND if silent else GRACE)
-        if fails in ("hung", "never up") and lasts > 3_000:  # nothing is left of the watch
+        service = FakeService(loop, failure, down * MS, up, change * MS)
+        patch.setattr(discovery, "connect", service.connect)
+        arrived = arrival_time(service, loop, up + 10 * SECOND, None, seed, known)
+        reached = max(service.change_at, up if service.change_at >= service.down else 0)
+        # a watch that fell silent after its response began is only ended by _SILENCE_TIMEOUT
+        silent = failure in ("hung", "never up", "silent after its head")
+        assert arrived <= reached + (KNOWN_WITHIN - 2 * SECOND if silent else GRACE)
+        # here the watch has ended before the service is back
+        if failure in ("hung", "never up") and lasts > 3_000:
             assert arrived <= reached + GRACE
-        # each try is the whole list and a watch at most
-        assert all(c - a >= 50 * MS for a, c in zip(agent.calls, agent.calls[2:], strict=False))
+        # each attempt is at most a full list and a watch
+        assert all(c - a >= 50 * MS for a, c in zip(service.calls, service.calls[2:], strict=False))
 
 
 @given(
-    st.sampled_from(FAILS),
+    st.sampled_from(FAILURES),
     st.integers(0, 20_000),
     st.integers(1, 20_000),
     st.integers(-8_000, 8_000),
@@ -668,24 +679,24 @@
     st.sampled_from([1, 10, 40]),
     st.integers(0, 99),
 )
-def test_what_a_discovery_service_that_is_asked_has_is_known_before_it_counts_as_told(
-    fails: str, down: int, lasts: int, change: int, dispatchers: int, within: int, seed: int
+def test_a_change_is_known_in_time_from_a_service_that_is_asked(
+    failure: str, down: int, lasts: int, change: int, dispatchers: int, within: int, seed: int
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
         loop = VirtualLoop()
         up = (down + lasts) * MS
-        agent = Agent(loop, fails, down * MS, up, max(0, down + change) * MS)
-        patch.setattr(discovery, "connect", agent.connect)
+        service = FakeService(loop, failure, down * MS, up, max(0, down + change) * MS)
+        patch.setattr(discovery, "connect", service.connect)
         pace = CallPace(dispatchers, within * SECOND, random.Random(seed))
-        arrived = told_at(agent, loop, up + 40 * SECOND, pace, seed)
-        # where it was down at the first call, it could not be reached before it was back
-        missed = agent.change_at >= agent.down or agent.down <= agent.calls[0] < up
-        reached = max(agent.change_at, up if missed else 0)
-        assert arrived < reached + TOLD - SECOND // 2
+        arrived = arrival_time(service, loop, up + 40 * SECOND, pace, seed)
+        # if it was down at the first call, it could not be reached before it was back
+        missed = service.change_at >= service.down or service.down <= service.calls[0] < up
+        reached = max(service.change_at, up if missed else 0)
+        assert arrived < reached + KNOWN_WITHIN - SECOND // 2
 
 
 @given(st.integers(1, 1_024), st.integers(0, 40), st.integers(0, 30), st.integers(0, 99))
-def test_a_limit_a_pause_and_an_answer_fit_before_a_change_counts_as_told(
+def test_a_time_out_a_retry_delay_and_an_answer_fit_before_a_change_counts_as_known(
     dispatchers: int, within: int, failures: int, seed: int
 ) -> None:
     pace = CallPace(dispatchers, within * SECOND, random.Random(seed))
@@ -693,14 +704,14 @@
     pauses = [pace.failed() for _ in range(failures + 1)]
     answer_comes = 1 * SECOND
     lost = max(discovery._SILENCE_TIMEOUT, discovery._RESPONSE_TIMEOUT)
-    assert all(lost + pause + answer_comes < TOLD for pause in pauses)
-    # the first call may be refused, too
-    assert first + pauses[0] <= TOLD - SECOND // 2
+    assert all(lost + pause + answer_comes < KNOWN_WITHIN for pause in pauses)
+    # the first call may be refused as well
+    assert first + pauses[0] <= KNOWN_WITHIN - SECOND // 2
     assert min(pauses) >= 250 * MS
 
 
 @given(st.integers(40, 1_024), st.integers(1, 40), st.integers(0, 8), st.integers(0, 99))
-def test_the_calls_of_a_fleet_are_spread_also_where_all_fail_at_once(
+def test_calls_of_a_fleet_are_spread_even_if_all_fail_at_once(
     dispatchers: int, within: int, failures: int, seed: int
 ) -> None:
     paces = [
@@ -714,8 +725,9 @@
 
 
 def calls_when_a_service_is_back(dispatchers: int, guarded: bool) -> tuple[int, int]:
-    """Of a fleet whose calls all failed in one instant, to a service that answers 8 a second, refuses after
-    2 s and serves what it refused all the same: the calls, and the dispatchers answered, within a minute."""
+    """Simulates a fleet whose calls all failed at one instant, and a service that answers 8 calls a second,
+    refuses after 2 s and still spends its time on what it refused. Returns the number of calls and of
+    dispatchers answered within a minute. ``guarded``: the calls back off after late refusals."""
     paces = [CallPace(dispatchers, 10 * SECOND, random.Random(n)) for n in range(dispatchers)]
     due = [(pace.failed(), n) for n, pace in enumerate(paces)]
     heapq.heapify(due)
@@ -732,19 +744,19 @@
 
 
 @pytest.mark.parametrize("dispatchers", [3, 24, 40, 48, 60])
-def test_a_service_that_is_back_is_not_jammed_for_ever(dispatchers: int) -> None:
+def test_a_service_that_is_back_recovers_from_overload(dispatchers: int) -> None:
     calls, answered = calls_when_a_service_is_back(dispatchers, guarded=True)
     assert answered == dispatchers
     assert calls <= 3 * dispatchers
 
 
-def test_what_jams_it_is_the_call_after_one_that_was_refused_late() -> None:
+def test_without_backoff_after_late_refusals_the_overload_persists() -> None:
     calls, answered = calls_when_a_service_is_back(60, guarded=False)
     assert answered < 30
     assert calls > 400
 
 
-def test_the_decisions_tell_a_late_refusal_from_a_silence_and_a_lost_watch() -> None:
+def test_the_decision_logic_backs_off_after_a_late_refusal_only() -> None:
     def next_call(waited: int, listed: bool) -> int:
         world = World(make_settings(asks_for_list=True, dispatchers=200), entries(2), seed=5)
         while not any(isinstance(action, api.Subscribe) for action in world.actions):
