--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -42,7 +42,7 @@
         c1 send {job("j2")}
         p1 expect X-Request-ID: j2
         """,
-    # danger: call-backs overtake the 202, come twice, and come for what is over
+    # call-backs may overtake the 202, arrive twice, or arrive for jobs that are over
     "call-back before the 202, twice, late and unknown": f"""
         c1 send {job()}
         p1 expect in$
@@ -58,8 +58,8 @@
         c2 expect HTTP/1.1 204
         c1 silent 30
         """,
-    # danger: a worker that lost the job must not end another worker's call
-    "call-back from a worker that does not have the call": f"""
+    # a worker that lost the job must not end another worker's attempt
+    "call-back from a worker that does not have the attempt": f"""
         c1 send {job()}
         p1 expect in$
         p1 send {ACCEPTED}
@@ -69,7 +69,7 @@
         c2 send {call_back("done", result="right")}
         c1 expect right$
         """,
-    "a safe job that failed goes out again": f"""
+    "a safe job that failed is sent again": f"""
         c1 send {job()}
         p1 expect in$
         p1 send {answer(500)}
@@ -78,7 +78,7 @@
         c2 send {call_back("done", source="p2", result="out")}
         c1 expect 200 .*out$
         """,
-    # danger: a 503 proves nothing by itself, and a booking must not run twice
+    # a 503 alone doesn't prove that a booking did not run, and it must not run twice
     "a booking after a bare 503 is failed, not sent again or refused": f"""
         c1 send {job(path="book/x")}
         p1 expect in$
@@ -86,13 +86,13 @@
         c1 expect HTTP/1.1 500
         p2 silent 50
         """,
-    "a booking proven not processed goes out again": f"""
+    "a booking proven not processed is sent again": f"""
         c1 send {job(path="book/x")}
         p1 expect in$
         p1 send {NOT_PROCESSED}
         p2 expect X-Request-ID: j1
         """,
-    "a returned booking goes out again": f"""
+    "a returned booking is sent again": f"""
         c1 send {job(path="book/x")}
         p1 expect in$
         p1 send {ACCEPTED}
@@ -117,20 +117,20 @@
         c1 send {job(path="book/x")}
         p2 expect X-Request-ID: j1
         """,
-    # danger: a hung worker says nothing; the client is answered at its deadline all the same
-    "silence to the deadline": f"""
+    # a hung worker sends nothing; the client still gets an answer at its deadline
+    "no answer up to the deadline": f"""
         c1 send {job(path="book/x", ms=1500)}
         p1 expect in$
         c1 expect HTTP/1.1 500
         """,
-    "silence after the 202 is given up by DELETE": f"""
+    "no answer after the 202: cancelled by DELETE": f"""
         c1 send {job(ms=1500)}
         p1 expect in$
         p1 send {ACCEPTED}
         c1 expect HTTP/1.1 503 .*Retry-After: 0.2
         p1 expect DELETE /jobs/j1 HTTP
         """,
-    "a client that leaves has its call given up": f"""
+    "the job of a client that disconnects is cancelled": f"""
         c1 send {job()}
         p1 expect in$
         p1 send {ACCEPTED}
@@ -141,8 +141,8 @@
         c2 send {call_back("done", result="late")}
         c2 expect HTTP/1.1 204
         """,
-    # danger: until the worker knows that a call is given up, a repeat would be a second copy
-    "a DELETE that did not get through is sent again": f"""
+    # until the worker knows that the attempt is cancelled, a repeat would be a second copy
+    "a DELETE that failed is sent again": f"""
         c1 send {job()}
         p1 expect in$
         p1 send {ACCEPTED}
@@ -157,8 +157,8 @@
         p1 send {answer(404)}
         p1 silent 200
         """,
-    # danger: a connection the worker has closed would swallow the next request
-    "a closed pooled connection is not used again": f"""
+    # a request on a connection that the worker has closed would be lost
+    "a pooled connection that was closed is not used again": f"""
         c1 send {job()}
         p1 expect in$
         p1 send {ACCEPTED}
@@ -171,31 +171,31 @@
         c2 send {call_back("done", "j2", result="b")}
         c1 expect b$
         """,
-    "an answer that says close is not pooled": f"""
+    "a connection with Connection: close is not pooled": f"""
         c1 send {job()}
         p1 expect in$
         p1 send {answer(202, CLOSE)}
         p1 ended
         """,
-    # danger: a worker that answers with garbage may have run the job
-    "garbage instead of an answer": f"""
+    # a worker that sends a malformed response may have run the job
+    "a malformed response": f"""
         c1 send {job(path="book/x")}
         p1 expect in$
         p1 send hello?\\r\\n\\r\\n
         c1 expect HTTP/1.1 500
         """,
-    "pieces of a request": f"""
+    "a request in pieces": f"""
         c1 send {job()[:40]}
         wait 20
         c1 send {job()[40:]}
         p1 expect in$
         """,
-    "a content type beyond ASCII passes on": f"""
+    "a content type beyond ASCII is forwarded": f"""
         c1 send {job(more=CONTENT_TYPE)}
         p1 expect Content-Type: text/\\xe9\\r\\n.*in$
         """,
-    # danger: without it, a worker can't know the repeat of a keyed job that has run
-    "an idempotency key passes on, also to the next worker": f"""
+    # without it, a worker can't recognize the repeat of a keyed job that has run
+    "an idempotency key is forwarded, also to the next worker": f"""
         c1 send {job(more=IDEMPOTENT)}
         p1 expect Idempotency-Key: 6d18-fb\\r\\n.*in$
         p1 send {answer(500)}
@@ -205,7 +205,7 @@
         c1 send POST /map HTTP/1.1\\r\\nHost: b\\r\\nExpect: 100-continue\\r\\nContent-Length: 2\\r\\n\\r\\n
         c1 expect HTTP/1.1 100
         """,
-    "the key in the cookie says where first fit starts": f"""
+    "the key in the cookie selects where first fit starts": f"""
         c1 send {job(more=KEYED)}
         p2 expect in$
         """,
@@ -215,41 +215,44 @@
         """,
 }
 
-BAD = {
+REJECTED = {
     "no id": (job().replace("X-Request-ID", "X-Other"), 400),
-    "an id that would break a path": (job("a/b"), 400),
-    "no time": (job().replace("X-Timeout-Ms", "X-Other"), 400),
-    "time 0": (job(ms=0), 400),
-    "a negative time": (job(ms=-5), 400),
-    "an absurd time": (job(ms=10**30), 400),
-    "slots that are no number": (job(more="X-Attrs: slots=many\\r\\n"), 400),
-    "slots without end": (job(more="X-Attrs: slots=inf\\r\\n"), 400),
-    "slots that are not a number": (job(more="X-Attrs: slots=nan\\r\\n"), 400),
+    "an id with a slash": (job("a/b"), 400),
+    "no time-out": (job().replace("X-Timeout-Ms", "X-Other"), 400),
+    "a time-out of 0": (job(ms=0), 400),
+    "a negative time-out": (job(ms=-5), 400),
+    "a time-out that is too large": (job(ms=10**30), 400),
+    "slots that are text": (job(more="X-Attrs: slots=many\\r\\n"), 400),
+    "slots that are infinite": (job(more="X-Attrs: slots=inf\\r\\n"), 400),
+    "slots that are NaN": (job(more="X-Attrs: slots=nan\\r\\n"), 400),
     "attributes without a value": (job(more="X-Attrs: slots\\r\\n"), 400),
-    # danger: what one reader takes for the body holds a request for another
-    "a length and chunks": (
+    # request smuggling: what is the body for one reader holds a request for another
+    "both Content-Length and chunks": (
         job(more="Transfer-Encoding: chunked\\r\\n", body="0\\r\\n\\r\\n" + job("hidden")),
         400,
     ),
     "two ids": (job(more="X-Request-ID: j2\\r\\n"), 400),
     "two idempotency keys": (job(more=IDEMPOTENT * 2), 400),
     "two tenants": (job(more="X-Tenant-Id: a\\r\\nX-Tenant-Id: b\\r\\n"), 400),
-    "two times": (job(more="X-Timeout-Ms: 5\\r\\n"), 400),
-    "a length of thousands of digits": (
+    "two time-outs": (job(more="X-Timeout-Ms: 5\\r\\n"), 400),
+    "a Content-Length of thousands of digits": (
         job().replace("Content-Length: 2", f"Content-Length: {'9' * 9000}"),
         400,
     ),
-    "a negative length": (job().replace("Content-Length: 2", "Content-Length: -2"), 400),
-    "a length without end": (job().replace("Content-Length: 2", "Content-Length: 99999999999"), 413),
+    "a negative Content-Length": (job().replace("Content-Length: 2", "Content-Length: -2"), 400),
+    "a Content-Length that is too large": (
+        job().replace("Content-Length: 2", "Content-Length: 99999999999"),
+        413,
+    ),
     "chunks of a byte each": (
         job().replace("Content-Length: 2\\r\\n\\r\\nin", "Transfer-Encoding: chunked\\r\\n\\r\\n")
         + "1\\r\\nx\\r\\n" * 40_000,
         413,
     ),
     "not HTTP": ("hello there\\r\\n\\r\\n", 400),
-    "two lengths": (job(more="Content-Length: 7\\r\\n"), 400),
-    "a body too large by its length": (job(body="x" * (BODY_LIMIT + 1)), 413),
-    "a chunked body too large": (
+    "two values of Content-Length": (job(more="Content-Length: 7\\r\\n"), 400),
+    "a body over the limit": (job(body="x" * (BODY_LIMIT + 1)), 413),
+    "a chunked body over the limit": (
         job().replace("Content-Length: 2\\r\\n\\r\\nin", "Transfer-Encoding: chunked\\r\\n\\r\\n")
         + f"{BODY_LIMIT + 1:x}\\r\\n{'x' * (BODY_LIMIT + 1)}\\r\\n0\\r\\n\\r\\n",
         413,
@@ -258,12 +261,12 @@
     "a call-back by GET": (get("/callback"), 405),
     "readiness by POST": (post("", "/-/ready"), 405),
     "an unknown path": (get("/nowhere"), 404),
-    "a class nobody knows": (job(path="unknown/x"), 404),
-    "a head too large": (job(more=f"X-Long: {'x' * 40000}\\r\\n"), 431),
+    "an unknown class": (job(path="unknown/x"), 404),
+    "a head over the limit": (job(more=f"X-Long: {'x' * 40000}\\r\\n"), 431),
     "an absolute target": (get("http://elsewhere/"), 404),
     "a call-back that is not JSON": (post("{"), 400),
-    "a call-back nested without end": (post("[" * 60000), 400),
-    "a call-back that is no object": (post("[1]"), 400),
+    "a call-back nested too deeply": (post("[" * 60000), 400),
+    "a call-back that is not an object": (post("[1]"), 400),
     "a call-back without an id": (post('{"from":"p1","state":"done"}'), 400),
     "a call-back in an unknown state": (call_back("dancing"), 400),
     "a call-back whose result is no text": (call_back("done", result=7), 400),
@@ -278,101 +281,101 @@
     Harness().run(SCENARIOS[name])
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_bad_input_is_answered_and_serving_goes_on(name: str, caplog: pytest.LogCaptureFixture) -> None:
-    sent, status = BAD[name]
+@pytest.mark.parametrize("name", REJECTED)
+def test_rejected_input_is_answered_and_serving_goes_on(name: str, caplog: pytest.LogCaptureFixture) -> None:
+    sent, status = REJECTED[name]
     Harness().run(f"c1 send {sent}\nc1 expect ^HTTP/1.1 {status} \nc2 send {job('ok')}\np1 expect : ok")
 
 
-def test_an_id_under_way_is_not_taken_twice() -> None:
-    # danger: two jobs under one id could not be told apart in call-backs
+def test_an_id_in_progress_is_rejected() -> None:
+    # call-backs could not tell two jobs with one id apart
     Harness().run(f"c1 send {job()}\np1 expect in$\nc2 send {job()}\nc2 expect ^HTTP/1.1 409")
 
 
-def test_ready_only_with_a_list() -> None:
+def test_ready_only_with_a_list_of_workers() -> None:
     Harness().run(f"c1 send {get('/-/ready')}\nc1 expect ^HTTP/1.1 200")
-    stage = Harness(known=False)
-    news = stage.list_chunk(stage.entry("p1"), full=True).split("\r\n")[1].strip()
-    stage.run(
+    harness = Harness(known=False)
+    full_list = harness.list_chunk(harness.entry("p1"), full=True).split("\r\n")[1].strip()
+    harness.run(
         f"""c1 send {get("/-/ready")}
         c1 expect ^HTTP/1.1 503
         d expect GET /api/targets HTTP
-        d send HTTP/1.1 200 X\\r\\nContent-Length: {len(news)}\\r\\n\\r\\n{news}
+        d send HTTP/1.1 200 X\\r\\nContent-Length: {len(full_list)}\\r\\n\\r\\n{full_list}
         c1 send {get("/-/ready")}
         c1 expect HTTP/1.1 200 OK"""
     )
 
 
-def test_no_descriptor_left_is_survived(monkeypatch: pytest.MonkeyPatch) -> None:
-    # danger: accept fails at once as long as no descriptor is free, and the loop would spin or end
-    stage = Harness()
+def test_a_shortage_of_descriptors_is_survived(monkeypatch: pytest.MonkeyPatch) -> None:
+    # accept keeps failing while no descriptor is free; the loop must neither spin nor end
+    harness = Harness()
     real = socket.socket.accept
     fails = iter((True, True, False))
 
     def accept(self: socket.socket) -> tuple[socket.socket, object]:
-        if self is stage.dispatcher.listener and next(fails, False):
+        if self is harness.dispatcher.listener and next(fails, False):
             raise OSError(24, "Too many open files")
         return real(self)
 
     monkeypatch.setattr(socket.socket, "accept", accept)
-    stage.run(f"c1 send {job()}\np1 expect in$")
+    harness.run(f"c1 send {job()}\np1 expect in$")
 
 
-def test_connections_over_the_limit_wait_until_idle_ones_are_closed() -> None:
-    stage = Harness(sockets=38)  # room for three clients
+def test_connections_over_the_limit_wait_until_idle_ones_are_evicted() -> None:
+    harness = Harness(sockets=38)  # room for three clients
     idle = "".join(f"c{n} send {get('/-/ready')}\nc{n} expect 200\n" for n in range(1, 9))
-    stage.run(idle + f"c1 ended\nc9 send {job()}\np1 expect in$")
+    harness.run(idle + f"c1 ended\nc9 send {job()}\np1 expect in$")
 
 
-def test_a_request_that_stops_half_way_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    # danger: a client that freezes would keep its connection for ever
+def test_an_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    # a client that freezes would hold its connection for ever
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 200 * MS)
     Harness().run(f"c1 send {job()[:40]}\nc1 expect ^HTTP/1.1 408\nc1 ended")
 
 
-def test_a_connection_that_brings_no_request_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    # danger: hundreds that say nothing would hold the places of usual clients
+def test_a_connection_without_a_request_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    # hundreds of connections that send nothing would hold all connection slots
     monkeypatch.setattr(server, "_FIRST_BYTE_TIMEOUT", 200 * MS)
     Harness().run("c1 silent 100\nc1 ended")
 
 
-def test_silent_connections_make_room_for_one_that_asks(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connections_without_a_request_are_evicted_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "_FIRST_BYTE_TIMEOUT", 60_000 * MS)
-    stage = Harness(sockets=38)  # room for three clients
+    harness = Harness(sockets=38)  # room for three clients
     silent = "".join(f"c{n} silent 1\n" for n in range(1, 6))
-    stage.run(f"{silent}c6 send {job()[:40]}\nc9 send {job()}\np1 expect in$\nc1 ended\nc6 ended")
+    harness.run(f"{silent}c6 send {job()[:40]}\nc9 send {job()}\np1 expect in$\nc1 ended\nc6 ended")
 
 
-def test_a_fast_sender_lets_the_others_have_their_turn() -> None:
-    stage = Harness()
-    stage.step(f"c1 send {job(body='x' * (BODY_LIMIT + 1))}")
-    stage.step("c1 expect ^HTTP/1.1 413")
-    sock = stage.peers["c1"].sock
+def test_a_fast_sender_does_not_block_the_loop() -> None:
+    harness = Harness()
+    harness.step(f"c1 send {job(body='x' * (BODY_LIMIT + 1))}")
+    harness.step("c1 expect ^HTTP/1.1 413")
+    sock = harness.peers["c1"].sock
     assert sock is not None
     turns = 0
     try:
-        while turns < 1000:  # it takes away a little in each turn, and in all no more than its limit
+        while turns < 1000:  # each turn discards a little input, up to a limit in total
             with suppress(BlockingIOError):
                 while sock.send(b"x" * 65536):
                     pass
-            stage.dispatcher.loop.turn()
+            harness.dispatcher.loop.turn()
             turns += 1
     except ConnectionError:
         pass
-    stage.close()
+    harness.close()
     assert 3 < turns < 1000
 
 
-def test_requests_that_stop_half_way_share_a_limit_on_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_requests_share_a_limit_on_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 60_000 * MS)
-    stage = Harness(sockets=1024, memory_mb=1)  # half a megabyte for all of them
+    harness = Harness(sockets=1024, memory_mb=1)  # half a megabyte for all of them
     half = job().replace("Content-Length: 2", "Content-Length: 60000") + "x" * 50_000
-    stage.run(
+    harness.run(
         "".join(f"c{n} send {half}\nwait 20\n" for n in range(1, 13)) + "c1 ended\nc2 ended\nc12 silent 20"
     )
 
 
-def test_an_idle_connection_is_closed_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_idle_connection_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "_IDLE_TIMEOUT", 200 * MS)
     Harness().run(f"c1 send {get('/-/ready')}\nc1 expect 200\nc1 ended")
 
@@ -384,26 +387,26 @@
     )
 
 
-def test_the_pool_gives_up_its_oldest_connection_when_it_is_full() -> None:
-    # danger: with few sockets, idle connections to quiet workers kept out those to busy ones
-    stage = Harness(sockets=36)  # room for one idle connection to workers
-    stage.run(served("j1", "p1") + served("j2", "p2", KEYED) + "p1 ended")
+def test_a_full_pool_closes_its_oldest_connection() -> None:
+    # guards against idle connections to little-used workers that leave none for the busy ones
+    harness = Harness(sockets=36)  # room for one idle connection to workers
+    harness.run(served("j1", "p1") + served("j2", "p2", KEYED) + "p1 ended")
 
 
-def test_many_that_connect_at_once_do_not_use_up_the_places() -> None:
-    # danger: a connection ended before its task had run kept its place for ever
-    stage = Harness(sockets=38)
-    peers = [Peer(stage.address) for _ in range(12)]
+def test_a_burst_of_connections_does_not_use_up_the_slots() -> None:
+    # guards against a connection that is ended before its task has run and holds its slot for ever
+    harness = Harness(sockets=38)
+    peers = [Peer(harness.address) for _ in range(12)]
     for peer in peers:
         peer.connect()
-    stage.run_for(0.1)
+    harness.run_for(0.1)
     for peer in peers:
         peer.close()
-    stage.run("".join(f"c{n} send {job(f'j{n}')}\np{n} expect in$\n" for n in (1, 2)))
+    harness.run("".join(f"c{n} send {job(f'j{n}')}\np{n} expect in$\n" for n in (1, 2)))
 
 
-def test_a_decision_that_fails_does_not_end_the_program(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage = Harness()
+def test_an_exception_in_the_decision_logic_does_not_end_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = Harness()
     real = Dispatcher.handle
     fails = iter((True,))
 
@@ -413,22 +416,22 @@
         return real(self, now, events)
 
     monkeypatch.setattr(Dispatcher, "handle", handle)
-    # the first job's arrival is lost with the failure, and yet it gets its one answer
-    stage.run(
+    # the first job's arrival is lost with the exception, but the job still gets its one answer
+    harness.run(
         f"c1 send {job('j1', ms=200)}\nc1 expect HTTP/1.1 500\nc2 send {job('j2')}\np1 expect : j2.*in$"
     )
 
 
-def test_nothing_stays_of_finished_jobs() -> None:
-    # danger: a job withdrawn while held, or one whose call was given up, would stay for ever
-    stage = Harness(workers=0)
+def test_finished_jobs_are_not_held_in_memory() -> None:
+    # guards against jobs that stay in memory when withdrawn while queued or after a cancelled attempt
+    harness = Harness(workers=0)
     rounds = "".join(f"c1 send {job(f'j{n}')}\nwait 10\nc1 close\nwait 10\n" for n in range(3))
-    stage.run(rounds)
-    assert stage.dispatcher.host.owed == 0
-    assert stage.dispatcher.host.held_in_memory == 0
+    harness.run(rounds)
+    assert harness.dispatcher.host.owed == 0
+    assert harness.dispatcher.host.held_in_memory == 0
 
 
-def test_a_trace_tells_each_event_and_action(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_trace_has_each_event_and_action(capsys: pytest.CaptureFixture[str]) -> None:
     Harness(traced=True).run(served("j1", "p1"))
     seen = capsys.readouterr().out
     for word in ("WorkerList", "JobArrived", "Send", "connect", "AttemptEnded", "outcome"):
