--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients' connections, each order of events forced: how they end, who leaves when, who has the places."""
+"""Clients' connections, with each order of events forced: how they end, disconnects, connection slots."""
 
 import errno
 import socket
@@ -22,17 +22,17 @@
 ACCEPTED = answer(202)
 READY = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
 UPGRADE = "Connection: upgrade\\r\\nUpgrade: h2c\\r\\n"
-LAST = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\nConnection: close\\r\\n\\r\\n"
+READY_AND_CLOSE = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\nConnection: close\\r\\n\\r\\n"
 CRLF = "\\r\\n"
-WITHIN = 0.1  # seconds from a client's leaving to the end of its job
+WITHDRAWN_WITHIN = 0.1  # seconds from a client's disconnect to the withdrawal of its job
 
 
-class Sent:
-    """Counts the attempts that go out."""
+class SentAttempts:
+    """Records the attempts that are sent."""
 
-    def __init__(self, stage: Harness) -> None:
+    def __init__(self, harness: Harness) -> None:
         self.ids: list[str] = []
-        stage.dispatcher.host.attempt_observer = self
+        harness.dispatcher.host.attempt_observer = self
 
     def sent(self, attempt: Attempt) -> None:
         self.ids.append(attempt.job.payload.id)
@@ -45,7 +45,7 @@
 
 
 @pytest.fixture
-def stages() -> Iterator[Callable[..., Harness]]:
+def new_harness() -> Iterator[Callable[..., Harness]]:
     made: list[Harness] = []
 
     def make(**more: object) -> Harness:
@@ -53,28 +53,28 @@
         return made[-1]
 
     yield make
-    for stage in made:
-        stage.close()
+    for harness in made:
+        harness.close()
 
 
-def steps(stage: Harness, scenario: str) -> None:
+def run_steps(harness: Harness, scenario: str) -> None:
     for line in scenario.strip().splitlines():
-        stage.step(line.strip())
+        harness.step(line.strip())
 
 
-# A client that leaves
+# Clients that disconnect
 
-LEAVES = {
+DISCONNECTS = {
     "closes": "c1 close",
     "resets": "c1 reset",
-    "ends its side": "c1 half-close",
-    "leaves after half a request more": f"c1 send {job('j2')[:40]}\nc1 close",
-    "leaves after requests more": f"c1 send {job('j2') * 3}\nc1 close",
-    # danger: its end stands behind more than the buffers take
-    "leaves behind full buffers": f"c1 fill {job('j2') * 100}\nc1 close",
+    "shuts down its side": "c1 half-close",
+    "closes after half of another request": f"c1 send {job('j2')[:40]}\nc1 close",
+    "closes after further requests": f"c1 send {job('j2') * 3}\nc1 close",
+    # its end of stream comes after more input than the buffers hold
+    "closes behind full buffers": f"c1 fill {job('j2') * 100}\nc1 close",
 }
-STAGES = {  # what goes before it leaves, and what would have its job sent on after that
-    "held": ("hold\nc1 send {job}\nwait 20", "wait 200"),
+PHASES = {  # the steps before the disconnect, and those that would make the dispatcher send the job after it
+    "queued": ("hold\nc1 send {job}\nwait 20", "wait 200"),
     "connecting": ("p1 full\np2 full\nc1 send {job}\nwait 20", "wait 250"),
     "waiting for the 202": ("c1 send {job}\np1 expect in$", "p1 close"),
     "waiting for the answer": (
@@ -88,419 +88,434 @@
 }
 
 
-@pytest.mark.parametrize("leaves", LEAVES)
-@pytest.mark.parametrize("when", STAGES)
-def test_one_that_leaves_takes_its_job_back(stages: Callable[..., Harness], when: str, leaves: str) -> None:
-    stage = stages()
-    sent = Sent(stage)
-    before, after = STAGES[when]
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+@pytest.mark.parametrize("when", PHASES)
+def test_a_disconnect_withdraws_the_job(
+    new_harness: Callable[..., Harness], when: str, disconnect: str
+) -> None:
+    harness = new_harness()
+    sent = SentAttempts(harness)
+    before, after = PHASES[when]
     for line in before.format(job=job()).splitlines():
-        if line == "hold":  # the decisions' next turn does not come yet
-            stage.dispatcher.host._next_at = stage.dispatcher.loop.now() + 200 * MS
+        if line == "hold":  # delays the next turn of the decision logic
+            harness.dispatcher.host._next_at = harness.dispatcher.loop.now() + 200 * MS
         else:
-            stage.step(line)
-    assert stage.dispatcher.host.owed == 1
-    steps(stage, LEAVES[leaves])
-    stage.run_until("its job is withdrawn", lambda: stage.dispatcher.host.owed == 0, WITHIN)
+            harness.step(line)
+    assert harness.dispatcher.host.owed == 1
+    run_steps(harness, DISCONNECTS[disconnect])
+    harness.run_until("its job is withdrawn", lambda: harness.dispatcher.host.owed == 0, WITHDRAWN_WITHIN)
     count = len(sent.ids)
-    steps(stage, after)
-    stage.run_for(0.1)
+    run_steps(harness, after)
+    harness.run_for(0.1)
     assert len(sent.ids) == count
-    assert sent.ids == ([] if when == "held" else ["j1"])
+    assert sent.ids == ([] if when == "queued" else ["j1"])
 
 
-@pytest.mark.parametrize("leaves", ["closes", "ends its side", "leaves after half a request more"])
-def test_one_that_has_left_before_its_job_is_read_gets_none(
-    stages: Callable[..., Harness], leaves: str
+@pytest.mark.parametrize(
+    "disconnect", ["closes", "shuts down its side", "closes after half of another request"]
+)
+def test_a_job_of_a_client_that_has_disconnected_is_not_sent(
+    new_harness: Callable[..., Harness], disconnect: str
 ) -> None:
-    stage = stages()
-    sent = Sent(stage)
-    # on one that has rested, the job is taken and its attempt sent in one turn of the loop
-    steps(stage, f"c1 send {READY}\nc1 expect ready\nwait 20\nc1 send {job()}\n{LEAVES[leaves]}\nwait 50")
+    harness = new_harness()
+    sent = SentAttempts(harness)
+    # on an idle connection, the job is taken and its attempt sent in one turn of the loop
+    run_steps(
+        harness,
+        f"c1 send {READY}\nc1 expect ready\nwait 20\nc1 send {job()}\n{DISCONNECTS[disconnect]}\nwait 50",
+    )
     assert sent.ids == []
-    assert stage.dispatcher.clients.has_connections is False
+    assert harness.dispatcher.clients.has_connections is False
 
 
-def test_one_that_leaves_at_the_moment_of_the_answer_holds_nothing(stages: Callable[..., Harness]) -> None:
-    stage = stages()
-    steps(
-        stage, f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}"
+def test_a_disconnect_at_the_moment_of_the_answer_leaks_nothing(new_harness: Callable[..., Harness]) -> None:
+    harness = new_harness()
+    run_steps(
+        harness,
+        f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}",
     )
-    steps(stage, "c1 close\nc2 expect 204\nc2 close")
-    stage.run_until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 0.5)
-    assert stage.dispatcher.host.held_in_memory == 0
+    run_steps(harness, "c1 close\nc2 expect 204\nc2 close")
+    harness.run_until("all is closed", lambda: not harness.dispatcher.clients.has_connections, 0.5)
+    assert harness.dispatcher.host.held_in_memory == 0
 
 
-def test_requests_more_are_served_one_after_the_other_if_their_sender_stays(
-    stages: Callable[..., Harness],
+def test_pipelined_requests_are_served_one_after_the_other(
+    new_harness: Callable[..., Harness],
 ) -> None:
-    stage = stages(workers=1)
-    steps(stage, f"c1 send {job('j1')}\np1 expect in$\nc1 send {job('j2')[:50]}\nwait 20\np1 send {ACCEPTED}")
-    steps(stage, f"c1 send {job('j2')[50:]}\nwait 20\nc2 send {call_back('done', 'j1', result='a')}")
-    steps(stage, f"c1 expect a$\np1 expect : j2.*in$\np1 send {ACCEPTED}")
-    steps(stage, f"c2 send {call_back('done', 'j2', result='b')}\nc1 expect 200 .*b$\nc1 silent 20")
+    harness = new_harness(workers=1)
+    run_steps(
+        harness, f"c1 send {job('j1')}\np1 expect in$\nc1 send {job('j2')[:50]}\nwait 20\np1 send {ACCEPTED}"
+    )
+    run_steps(harness, f"c1 send {job('j2')[50:]}\nwait 20\nc2 send {call_back('done', 'j1', result='a')}")
+    run_steps(harness, f"c1 expect a$\np1 expect : j2.*in$\np1 send {ACCEPTED}")
+    run_steps(harness, f"c2 send {call_back('done', 'j2', result='b')}\nc1 expect 200 .*b$\nc1 silent 20")
 
 
-def test_with_a_gap_in_what_was_sent_early_nothing_of_it_is_served(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
+def test_after_a_gap_in_pipelined_input_nothing_of_it_is_served(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(http, "_READ_AHEAD_MAX_BYTES", 1000)
-    stage = stages()
-    sent = Sent(stage)
-    steps(stage, f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nc1 send {job('j2')}\nwait 20")
-    steps(stage, f"c1 send {job('j3') * 10}\nwait 20\nc1 send {job('j4')}\nwait 20")
-    steps(stage, f"c2 send {call_back('done', result='x')}\nc1 expect 200 .*Connection: close.*x$\nc1 ended")
+    harness = new_harness()
+    sent = SentAttempts(harness)
+    run_steps(harness, f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nc1 send {job('j2')}\nwait 20")
+    run_steps(harness, f"c1 send {job('j3') * 10}\nwait 20\nc1 send {job('j4')}\nwait 20")
+    run_steps(
+        harness, f"c2 send {call_back('done', result='x')}\nc1 expect 200 .*Connection: close.*x$\nc1 ended"
+    )
     assert sent.ids == ["j1"]
 
 
-def test_what_comes_beyond_a_request_is_kept_up_to_a_limit(stages: Callable[..., Harness]) -> None:
-    # danger: hundreds that send without end would together hold more memory than there is
-    stage = stages(
-        workers=6, memory_mb=1
-    )  # half a megabyte for what is not whole, half of that for what comes early
-    steps(stage, "".join(f"c{n} send {job(f'j{n}')}\n" for n in range(1, 7)) + "wait 50")
+def test_pipelined_input_is_buffered_up_to_a_limit(new_harness: Callable[..., Harness]) -> None:
+    # hundreds of clients that send without end would together exceed the memory
+    # half a megabyte for incomplete requests, half of that for pipelined input
+    harness = new_harness(workers=6, memory_mb=1)
+    run_steps(harness, "".join(f"c{n} send {job(f'j{n}')}\n" for n in range(1, 7)) + "wait 50")
     for _ in range(10):
-        steps(stage, "".join(f"c{n} fill {job('more')}\n" for n in range(1, 7)))
-        stage.run_for(0.01)
+        run_steps(harness, "".join(f"c{n} fill {job('more')}\n" for n in range(1, 7)))
+        harness.run_for(0.01)
     held = sum(
-        connection.buffered_bytes for connection, _ in stage.dispatcher.clients.awaiting_answer.values()
+        connection.buffered_bytes for connection, _ in harness.dispatcher.clients.awaiting_answer.values()
     )
-    assert len(stage.dispatcher.clients.awaiting_answer) == 6
+    assert len(harness.dispatcher.clients.awaiting_answer) == 6
     assert 0 < held <= 256 * 1024
     for n in range(1, 7):
-        stage.peers[f"c{n}"].close()
-    stage.run_until("all have left", lambda: stage.dispatcher.host.owed == 0, 1.0)
-    stage.run_until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 2.0)
-    assert stage.dispatcher.clients._slots._buffered_bytes == 0
+        harness.peers[f"c{n}"].close()
+    harness.run_until("all jobs are withdrawn", lambda: harness.dispatcher.host.owed == 0, 1.0)
+    harness.run_until("all is closed", lambda: not harness.dispatcher.clients.has_connections, 2.0)
+    assert harness.dispatcher.clients._slots._buffered_bytes == 0
 
 
-# The end of a connection
+# The end of connections
 
 
-def end_idle(stage: Harness, patch: pytest.MonkeyPatch) -> None:
-    stage.dispatcher.clients.close_idle()
+def stop_when_idle(harness: Harness, patch: pytest.MonkeyPatch) -> None:
+    harness.dispatcher.clients.close_idle()
 
 
-def end_new(stage: Harness, patch: pytest.MonkeyPatch) -> None:
-    stage.run_for(0.25)
-    stage.dispatcher.clients.close_idle()
+def stop_when_new(harness: Harness, patch: pytest.MonkeyPatch) -> None:
+    harness.run_for(0.25)
+    harness.dispatcher.clients.close_idle()
 
 
-def make_room(stage: Harness, patch: pytest.MonkeyPatch) -> None:
-    steps(stage, "".join(f"c{n} send {READY}\nc{n} expect 200\n" for n in range(2, 5)))
+def fill_slots(harness: Harness, patch: pytest.MonkeyPatch) -> None:
+    run_steps(harness, "".join(f"c{n} send {READY}\nc{n} expect 200\n" for n in range(2, 5)))
 
 
-def let_time_pass(stage: Harness, patch: pytest.MonkeyPatch) -> None:
-    stage.run_for(0.3)
+def wait_for_timeout(harness: Harness, patch: pytest.MonkeyPatch) -> None:
+    harness.run_for(0.3)
 
 
 ENDS = {
-    "at the order to stop": (READY, end_idle),
-    "at the order to stop, before any request": ("", end_new),
-    "for another": (READY, make_room),
-    "after a time of rest": (READY, let_time_pass),
-    "after a time without any request": ("", let_time_pass),
-    "after an answer that is the last": (
-        LAST,
-        let_time_pass,
+    "when stopping": (READY, stop_when_idle),
+    "when stopping, before any request": ("", stop_when_new),
+    "evicted for another": (READY, fill_slots),
+    "idle time-out": (READY, wait_for_timeout),
+    "time-out without any request": ("", wait_for_timeout),
+    "after the last response": (
+        READY_AND_CLOSE,
+        wait_for_timeout,
     ),
-    "after an answer to what is malformed": ("hello\\r\\n\\r\\n", let_time_pass),
+    "after a response to malformed input": ("hello\\r\\n\\r\\n", wait_for_timeout),
 }
 
 
 @pytest.mark.parametrize("name", ENDS)
-def test_a_request_that_crosses_the_end_is_neither_served_nor_reset(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, name: str
+def test_a_request_that_crosses_the_shutdown_is_neither_served_nor_reset(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, name: str
 ) -> None:
-    # danger: a close over unread bytes resets the connection, and with it goes the answer before it
+    # a close with unread input resets the connection, and the response before it may be lost
     first, end = ENDS[name]
-    if end is let_time_pass:
+    if end is wait_for_timeout:
         monkeypatch.setattr(server, "_IDLE_TIMEOUT", 100 * MS)
         monkeypatch.setattr(server, "_FIRST_BYTE_TIMEOUT", 100 * MS)
-    stage = stages(sockets=38)  # room for three clients
-    sent = Sent(stage)
-    client = socket.create_connection(stage.address)
+    harness = new_harness(sockets=38)  # room for three clients
+    sent = SentAttempts(harness)
+    client = socket.create_connection(harness.address)
     crossed: list[int] = []
 
-    def crossing(name: str) -> None:
+    def send_before(name: str) -> None:
         real = getattr(Connection, name, None)
 
-        def first_the_request(self: Connection) -> None:
+        def send_request_first(self: Connection) -> None:
             if not crossed and self.sock.getpeername() == client.getsockname():
                 crossed.append(1)
                 client.sendall(job("crossing").encode().decode("unicode_escape").encode("latin-1"))
             assert real is not None
             real(self)
 
-        monkeypatch.setattr(Connection, name, first_the_request, raising=False)
+        monkeypatch.setattr(Connection, name, send_request_first, raising=False)
 
-    crossing("shutdown_write")
-    crossing("close")
+    send_before("shutdown_write")
+    send_before("close")
     client.sendall(first.replace("\\r", "\r").replace("\\n", "\n").encode())
-    stage.run_for(0.02)
-    end(stage, monkeypatch)
-    stage.run_until("the request has crossed the end", lambda: crossed, 3.0)
-    stage.run_for(0.05)
+    harness.run_for(0.02)
+    end(harness, monkeypatch)
+    harness.run_until("the request has crossed the shutdown", lambda: crossed, 3.0)
+    harness.run_for(0.05)
     seen = b""
-    while data := client.recv(65536):  # a reset is an error here
+    while data := client.recv(65536):  # raises if the connection is reset
         seen += data
-    assert client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # nor after the end of the other side
+    # nor was it reset after the end of the stream
+    assert client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
     assert seen.count(b"HTTP/1.1") == bool(first)
     client.close()
-    stage.run_for(0.05)
+    harness.run_for(0.05)
     assert sent.ids == []
 
 
 @pytest.mark.parametrize("limit", ["_IDLE_TIMEOUT", "_FIRST_BYTE_TIMEOUT"])
-def test_a_request_that_comes_in_the_turn_in_which_the_time_is_over_is_served(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, limit: str
+def test_a_request_in_the_turn_of_the_time_out_is_served(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, limit: str
 ) -> None:
     monkeypatch.setattr(server, limit, 100 * MS)
-    stage = stages()
-    steps(stage, f"c1 send {READY}\nc1 expect 200\nwait 10" if limit == "_IDLE_TIMEOUT" else "c1 silent 10")
-    found = stage.dispatcher.clients._slots
-    (connection,) = [*found.idle, *found.reading]
-    loop = stage.dispatcher.loop
-    # called between the poll that found nothing and the limit's own timer
-    loop.call_at(connection.last_used_at + 100 * MS - 1, stage.step, f"c1 send {job()}")
-    steps(stage, "p1 expect in$\nc1 silent 10")
+    harness = new_harness()
+    run_steps(
+        harness, f"c1 send {READY}\nc1 expect 200\nwait 10" if limit == "_IDLE_TIMEOUT" else "c1 silent 10"
+    )
+    slots = harness.dispatcher.clients._slots
+    (connection,) = [*slots.idle, *slots.reading]
+    loop = harness.dispatcher.loop
+    # called between the poll that found nothing and the timer of the time-out
+    loop.call_at(connection.last_used_at + 100 * MS - 1, harness.step, f"c1 send {job()}")
+    run_steps(harness, "p1 expect in$\nc1 silent 10")
 
 
-def test_a_connection_has_no_place_while_it_is_read_out(stages: Callable[..., Harness]) -> None:
-    # danger: peers that never close their side would keep others out for a second each
-    stage = stages(sockets=38)  # room for three clients
-    begun = stage.dispatcher.loop.now()
-    steps(stage, "".join(f"c{n} send {LAST}\nc{n} expect ready\n" for n in range(1, 13)))
-    steps(stage, f"c20 send {job()}\np1 expect in$")
-    assert stage.dispatcher.loop.now() < begun + 1000 * MS
+def test_a_lingering_connection_has_no_slot(new_harness: Callable[..., Harness]) -> None:
+    # peers that never close their side would each hold a slot for a second
+    harness = new_harness(sockets=38)  # room for three clients
+    begun = harness.dispatcher.loop.now()
+    run_steps(harness, "".join(f"c{n} send {READY_AND_CLOSE}\nc{n} expect ready\n" for n in range(1, 13)))
+    run_steps(harness, f"c20 send {job()}\np1 expect in$")
+    assert harness.dispatcher.loop.now() < begun + 1000 * MS
 
 
 # Stopping
 
 
-def test_what_was_sent_at_once_before_the_end_is_answered_before_it(stages: Callable[..., Harness]) -> None:
-    # danger: read before the shutdown it was taken; read after it, it must not be sent on
-    stage = stages(workers=1)
-    steps(stage, f"c1 send {job('j1')}{job('j2')}\np1 expect : j1.*in$\np1 send {ACCEPTED}")
-    stage.dispatcher.clients.close_idle()
-    steps(stage, f"c2 send {call_back('done', 'j1', result='a')}\nc1 expect a$\np1 expect : j2.*in$")
-    steps(stage, f"p1 send {ACCEPTED}\nc3 send {call_back('done', 'j2', result='b')}")
-    steps(stage, "c1 expect 200 .*Connection: close.*b$\nc1 ended\nc1 close\nc2 close\nc3 close")
-    stage.run_until("all is closed", lambda: not stage.dispatcher.clients.has_connections, 0.5)
+def test_pipelined_requests_are_answered_before_the_stop(new_harness: Callable[..., Harness]) -> None:
+    # a request read before the shutdown has to be served; one read after it must not be sent to a worker
+    harness = new_harness(workers=1)
+    run_steps(harness, f"c1 send {job('j1')}{job('j2')}\np1 expect : j1.*in$\np1 send {ACCEPTED}")
+    harness.dispatcher.clients.close_idle()
+    run_steps(harness, f"c2 send {call_back('done', 'j1', result='a')}\nc1 expect a$\np1 expect : j2.*in$")
+    run_steps(harness, f"p1 send {ACCEPTED}\nc3 send {call_back('done', 'j2', result='b')}")
+    run_steps(harness, "c1 expect 200 .*Connection: close.*b$\nc1 ended\nc1 close\nc2 close\nc3 close")
+    harness.run_until("all is closed", lambda: not harness.dispatcher.clients.has_connections, 0.5)
 
 
-def test_one_that_always_has_another_in_is_ended_all_the_same(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
+def test_a_client_that_never_stops_sending_does_not_prevent_the_stop(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "LINGER_TIMEOUT", 200 * MS)
-    stage = stages()
-    steps(stage, f"c1 send {READY}\nc1 expect 200\nc1 fill {READY * 1000}")
-    stage.dispatcher.clients.close_idle()
-    stage.run_until("it is ended", lambda: stage.peers["c1"].ended, 1.0)
-    assert b"Connection: close" in stage.peers["c1"].received
+    harness = new_harness()
+    run_steps(harness, f"c1 send {READY}\nc1 expect 200\nc1 fill {READY * 1000}")
+    harness.dispatcher.clients.close_idle()
+    harness.run_until("the connection ends", lambda: harness.peers["c1"].ended, 1.0)
+    assert b"Connection: close" in harness.peers["c1"].received
 
 
-def test_a_connection_that_has_just_come_up_may_bring_its_request_while_stopping(
-    stages: Callable[..., Harness],
+def test_a_new_connection_may_send_its_request_while_stopping(
+    new_harness: Callable[..., Harness],
 ) -> None:
-    # danger: a new connection that is closed with no answer is a refusal that nobody needed
-    stage = stages()
-    steps(stage, "c1 silent 20\nc2 silent 20")
-    stage.dispatcher.clients.close_idle()
-    steps(stage, f"c1 silent 20\nc1 send {job()}\np1 expect in$\nc2 ended")
+    # a new connection closed without an answer would be a refusal without need
+    harness = new_harness()
+    run_steps(harness, "c1 silent 20\nc2 silent 20")
+    harness.dispatcher.clients.close_idle()
+    run_steps(harness, f"c1 silent 20\nc1 send {job()}\np1 expect in$\nc2 ended")
 
 
-# Answers to those who read slowly
+# Clients that read slowly
 
 
-def slow_reader(stage: Harness, ms: int) -> socket.socket:
-    """A client whose answer of 60 KB can't be written before it reads."""
+def slow_reader(harness: Harness, ms: int) -> socket.socket:
+    """A client whose response of 60 KB can't be written until it reads."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    client.connect(stage.address)
+    client.connect(harness.address)
     client.sendall(job(ms=ms).replace("\\r", "\r").replace("\\n", "\n").encode())
-    steps(stage, f"p1 expect in$\np1 send {ACCEPTED}")
-    ((connection, _),) = stage.dispatcher.clients.awaiting_answer.values()
+    run_steps(harness, f"p1 expect in$\np1 send {ACCEPTED}")
+    ((connection, _),) = harness.dispatcher.clients.awaiting_answer.values()
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    steps(stage, f"c2 send {call_back('done', result='x' * 60_000)}\nc2 expect 204\nc2 close")
+    run_steps(harness, f"c2 send {call_back('done', result='x' * 60_000)}\nc2 expect 204\nc2 close")
     return client
 
 
-def test_a_slow_reader_has_its_answer_up_to_its_time(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
+def test_a_slow_reader_gets_its_answer_up_to_its_deadline(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "_WRITE_TIMEOUT", 50 * MS)
-    stage = stages()
-    client = slow_reader(stage, 9000)
-    stage.run_for(0.3)
+    harness = new_harness()
+    client = slow_reader(harness, 9000)
+    harness.run_for(0.3)
     client.setblocking(False)
     seen = bytearray()
 
-    def whole() -> bool:
+    def complete() -> bool:
         with suppress(BlockingIOError):
             seen.extend(client.recv(2048))
         return seen.endswith(b"x" * 1000) and seen.count(b"x") >= 60_000
 
-    stage.run_until("the whole answer", whole, 5.0)
+    harness.run_until("the complete answer", complete, 5.0)
     client.close()
 
 
-def test_one_that_reads_nothing_holds_its_place_up_to_its_time(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
+def test_a_client_that_reads_nothing_holds_its_slot_up_to_its_deadline(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "_WRITE_TIMEOUT", 50 * MS)
     monkeypatch.setattr(server, "_ANSWER_GRACE", 100 * MS)
-    stage = stages()
-    client = slow_reader(stage, 300)
-    assert stage.dispatcher.clients.has_connections
-    stage.run_until("its place is free", lambda: not stage.dispatcher.clients.has_connections, 1.0)
+    harness = new_harness()
+    client = slow_reader(harness, 300)
+    assert harness.dispatcher.clients.has_connections
+    harness.run_until("its slot is free", lambda: not harness.dispatcher.clients.has_connections, 1.0)
     client.close()
 
 
-# Places
+# Connection slots
 
 
-def test_jobs_leave_places_to_call_backs(stages: Callable[..., Harness]) -> None:
-    # danger: with jobs in all places, no call-back comes in and each job waits for its time to be over
-    stage = stages(workers=12, sockets=48)  # ten places, nine of them for jobs
-    steps(stage, "".join(f"c{n} send {job(f'j{n}')}\n" for n in range(1, 10)) + "wait 50")
-    steps(stage, f"c10 send {job('j10')}\nc10 expect ^HTTP/1.1 503 .*Retry-After: 0.2.*many")
-    steps(stage, f"p1 expect : j1.*in\np1 send {ACCEPTED}")
-    steps(stage, f"c11 send {call_back('done', 'j1', result='x')}")
-    stage.run_until("the call-back is served", lambda: b"204" in stage.peers["c11"].received, 0.5)
-    steps(stage, f"c1 expect x$\nc1 send {job('j11')}")
-    stage.run_until("the next job is taken", lambda: stage.dispatcher.host.owed == 9, 0.5)
+def test_jobs_leave_slots_for_call_backs(new_harness: Callable[..., Harness]) -> None:
+    # with jobs in all slots, no call-back could come in and each job would wait for its deadline
+    harness = new_harness(workers=12, sockets=48)  # ten slots, nine of them for jobs
+    run_steps(harness, "".join(f"c{n} send {job(f'j{n}')}\n" for n in range(1, 10)) + "wait 50")
+    run_steps(harness, f"c10 send {job('j10')}\nc10 expect ^HTTP/1.1 503 .*Retry-After: 0.2.*many")
+    run_steps(harness, f"p1 expect : j1.*in\np1 send {ACCEPTED}")
+    run_steps(harness, f"c11 send {call_back('done', 'j1', result='x')}")
+    harness.run_until("the call-back is served", lambda: b"204" in harness.peers["c11"].received, 0.5)
+    run_steps(harness, f"c1 expect x$\nc1 send {job('j11')}")
+    harness.run_until("the next job is taken", lambda: harness.dispatcher.host.owed == 9, 0.5)
 
 
 @pytest.mark.parametrize("half", [job()[:40], job()[:-2]])
-def test_a_later_request_that_stops_half_way_makes_room_too(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, half: str
+def test_an_incomplete_later_request_is_evicted_too(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, half: str
 ) -> None:
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 60_000 * MS)
-    stage = stages(sockets=38)  # room for three clients
-    steps(
-        stage, "".join(f"c{n} send {READY}\nc{n} expect 200\nc{n} send {half}\nwait 5\n" for n in (1, 2, 3))
+    harness = new_harness(sockets=38)  # room for three clients
+    run_steps(
+        harness, "".join(f"c{n} send {READY}\nc{n} expect 200\nc{n} send {half}\nwait 5\n" for n in (1, 2, 3))
     )
-    steps(stage, f"c4 send {job('j4')}\np1 expect : j4\nc1 ended\nc3 silent 5")
+    run_steps(harness, f"c4 send {job('j4')}\np1 expect : j4\nc1 ended\nc3 silent 5")
 
 
-def test_later_requests_that_stop_half_way_share_the_limit_on_memory(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
+def test_incomplete_later_requests_share_the_limit_on_memory(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 60_000 * MS)
-    stage = stages(sockets=1024, memory_mb=1)  # half a megabyte for all of them
+    harness = new_harness(sockets=1024, memory_mb=1)  # half a megabyte for all of them
     half = job().replace("Content-Length: 2", "Content-Length: 60000") + "x" * 50_000
-    steps(
-        stage, "".join(f"c{n} send {READY}\nc{n} expect 200\nc{n} send {half}\nwait 20\n" for n in range(13))
+    run_steps(
+        harness,
+        "".join(f"c{n} send {READY}\nc{n} expect 200\nc{n} send {half}\nwait 20\n" for n in range(13)),
     )
-    steps(stage, "c0 ended\nc1 ended\nc12 silent 20")
+    run_steps(harness, "c0 ended\nc1 ended\nc12 silent 20")
 
 
-def test_requests_sent_at_once_let_the_others_have_their_turn(stages: Callable[..., Harness]) -> None:
-    stage = stages()
-    steps(stage, f"c1 silent 10\nc1 send {READY * 200}")
+def test_pipelined_requests_do_not_block_the_loop(new_harness: Callable[..., Harness]) -> None:
+    harness = new_harness()
+    run_steps(harness, f"c1 silent 10\nc1 send {READY * 200}")
     turns = 0
-    while stage.peers["c1"].received.count(b"200 OK") < 200:
-        stage.dispatcher.loop.turn()
-        stage.peers["c1"].receive()
+    while harness.peers["c1"].received.count(b"200 OK") < 200:
+        harness.dispatcher.loop.turn()
+        harness.peers["c1"].receive()
         turns += 1
         assert turns < 1000
     assert turns >= 100
 
 
-def test_many_that_ask_at_once_are_read_in_several_turns_and_in_their_order(
-    stages: Callable[..., Harness],
+def test_a_burst_of_requests_is_read_in_order_over_several_turns(
+    new_harness: Callable[..., Harness],
 ) -> None:
-    # danger: in a turn that reads hundreds of requests, senders leave and their jobs are sent on
-    stage = stages(sockets=1024)
-    sent = Sent(stage)
-    peers = [socket.create_connection(stage.address) for _ in range(200)]
-    stage.run_for(0.1)
+    # in a turn that reads hundreds of requests, disconnects go unnoticed and the jobs would still be sent
+    harness = new_harness(sockets=1024)
+    sent = SentAttempts(harness)
+    peers = [socket.create_connection(harness.address) for _ in range(200)]
+    harness.run_for(0.1)
     for n, peer in enumerate(peers):
         peer.sendall(job(f"k{n}").replace("\\r", "\r").replace("\\n", "\n").encode())
-    host, most = stage.dispatcher.host, 0
+    host, most = harness.dispatcher.host, 0
     while host._numbers < 200:
         before = host._numbers
-        stage.dispatcher.loop.turn()
+        harness.dispatcher.loop.turn()
         most = max(most, host._numbers - before)
         if before < 100 <= host._numbers:
             for peer in peers:
                 peer.close()
             break
     assert most <= 64
-    stage.run_for(0.05)
+    harness.run_for(0.05)
     count = len(sent.ids)
-    assert host._numbers < 200  # whoever has left before its turn came has no job
+    assert host._numbers < 200  # clients that disconnected before their request was read have no job
     assert host.owed == 0
-    stage.run_for(0.2)
+    harness.run_for(0.2)
     assert len(sent.ids) == count
 
 
-def test_bodies_of_jobs_share_a_limit_on_memory(stages: Callable[..., Harness]) -> None:
-    # danger: hundreds that are sent at once would together hold more memory than there is
-    stage = stages(workers=12, sockets=1024, memory_mb=1)  # half a megabyte for all of them
+def test_bodies_of_jobs_share_a_limit_on_memory(new_harness: Callable[..., Harness]) -> None:
+    # hundreds of bodies sent at once would together exceed the memory
+    harness = new_harness(workers=12, sockets=1024, memory_mb=1)  # half a megabyte for all of them
     large = {n: job(f"j{n}", body="x" * 60_000) for n in range(1, 10)}
-    steps(stage, "".join(f"c{n} send {large[n]}\nwait 10\n" for n in range(1, 10)))
-    steps(stage, f"c9 expect ^HTTP/1.1 503 .*Retry-After: 0.2.*many\nc10 send {job('j10')}")
-    assert stage.dispatcher.host.owed == 8
-    steps(stage, f"c1 close\nwait 20\nc9 send {large[9]}\nwait 50\nc9 silent 10")
+    run_steps(harness, "".join(f"c{n} send {large[n]}\nwait 10\n" for n in range(1, 10)))
+    run_steps(harness, f"c9 expect ^HTTP/1.1 503 .*Retry-After: 0.2.*many\nc10 send {job('j10')}")
+    assert harness.dispatcher.host.owed == 8
+    run_steps(harness, f"c1 close\nwait 20\nc9 send {large[9]}\nwait 50\nc9 silent 10")
 
 
-def test_descriptors_that_run_out_are_left_to_others(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
+def test_a_shortage_of_descriptors_frees_some_for_others(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # danger: each one that is freed goes to the next that connects, none to the discovery service or a worker
-    stage = stages(sockets=96)  # forty places
-    real, opened = socket.socket.accept, stage.dispatcher.clients._slots
+    # a single descriptor that is freed goes to the next client, none to the discovery client or to a worker
+    harness = new_harness(sockets=96)  # forty slots
+    real, slots = socket.socket.accept, harness.dispatcher.clients._slots
 
     def accept(self: socket.socket) -> tuple[socket.socket, object]:
-        if self is stage.dispatcher.listener and opened.in_use >= 20:
+        if self is harness.dispatcher.listener and slots.in_use >= 20:
             raise OSError(24, "Too many open files")
         return real(self)
 
     monkeypatch.setattr(socket.socket, "accept", accept)
-    steps(stage, "".join(f"c{n} send {READY}\nc{n} expect 200\n" for n in range(1, 41)) + "wait 50")
-    assert 8 <= opened.in_use <= 17
-    steps(stage, f"c50 send {job()}\np1 expect in$")
+    run_steps(harness, "".join(f"c{n} send {READY}\nc{n} expect 200\n" for n in range(1, 41)) + "wait 50")
+    assert 8 <= slots.in_use <= 17
+    run_steps(harness, f"c50 send {job()}\np1 expect in$")
 
 
-def test_no_small_write_is_held_back(stages: Callable[..., Harness]) -> None:
-    stage = stages()
-    steps(stage, f"c1 send {job()}\np1 expect in$")
-    ((connection, _),) = stage.dispatcher.clients.awaiting_answer.values()
+def test_small_writes_are_not_delayed(new_harness: Callable[..., Harness]) -> None:
+    harness = new_harness()
+    run_steps(harness, f"c1 send {job()}\np1 expect in$")
+    ((connection, _),) = harness.dispatcher.clients.awaiting_answer.values()
     assert connection.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-# What is not a request in the form that is wanted
+# Requests that are not in the required form
 
-STALLS = {
-    "a head with no end": job()[:60],
+INCOMPLETE = {
+    "an incomplete head": job()[:60],
     "one byte": "P",
-    "a body with no end": job()[:-1],
-    "chunks with no end": job().replace(
+    "an incomplete body": job()[:-1],
+    "incomplete chunks": job().replace(
         "Content-Length: 2\\r\\n\\r\\nin", "Transfer-Encoding: chunked\\r\\n\\r\\n"
     )
     + "1\\r\\nx\\r\\n",
-    "a body that waits to be asked for": job(more="Expect: 100-continue\\r\\n")[:-2],
+    "a body after 100-continue that does not come": job(more="Expect: 100-continue\\r\\n")[:-2],
 }
-REFUSED = {
+REJECTED = {
     "a job by HTTP/1.0": (job().replace("HTTP/1.1", "HTTP/1.0"), "400"),
     "a job by HTTP/2": (job().replace("HTTP/1.1", "HTTP/2.0"), "400"),
-    "HTTP/2 from the start": ("PRI * HTTP/2.0\\r\\n\\r\\nSM\\r\\n\\r\\n", "404"),
+    "an HTTP/2 preface": ("PRI * HTTP/2.0\\r\\n\\r\\nSM\\r\\n\\r\\n", "404"),
     "a blank line": ("\\r\\n", "400"),
-    "a tunnel": ("CONNECT elsewhere:80 HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n", "40[45]"),
-    "the head of a job alone": ("HEAD /map/x HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n", "405"),
-    "the head of nothing": ("HEAD /nowhere HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n", "404"),
-    "a coding nobody knows": (job(more="Transfer-Encoding: gzip\\r\\n"), "501"),
+    "CONNECT": ("CONNECT elsewhere:80 HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n", "40[45]"),
+    "HEAD for a job": ("HEAD /map/x HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n", "405"),
+    "HEAD for an unknown path": ("HEAD /nowhere HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n", "404"),
+    "an unknown transfer coding": (job(more="Transfer-Encoding: gzip\\r\\n"), "501"),
     "an absolute target": (job().replace(" /map", " http://b/map"), "404"),
-    "no host": (job().replace("Host: b\\r\\n", ""), "400"),
-    "a body longer than its length": (job(body="in") + '"more":1}', "400"),
-    "a body twice as long as its length": (job(body="in") + "in", "400"),
-    "a line that is broken in the middle": (
+    "no Host header": (job().replace("Host: b\\r\\n", ""), "400"),
+    "a body longer than its Content-Length": (job(body="in") + '"more":1}', "400"),
+    "a body twice as long as its Content-Length": (job(body="in") + "in", "400"),
+    "a header line broken in the middle": (
         job().replace("X-Timeout-Ms: 9000", "X-Timeout\\r\\n-Ms: 9000"),
         "400",
     ),
-    "a chunk that is no number": (
+    "a chunk size that is not a number": (
         job().replace("Content-Length: 2\\r\\n\\r\\nin", "Transfer-Encoding: chunked\\r\\n\\r\\n")
         + "zz\\r\\n",
         "400",
@@ -509,128 +524,132 @@
 
 
 @pytest.mark.parametrize("again", [False, True])
-@pytest.mark.parametrize("name", STALLS)
-def test_a_request_that_never_ends_is_answered_and_closed(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, name: str, again: bool
+@pytest.mark.parametrize("name", INCOMPLETE)
+def test_an_incomplete_request_is_answered_and_closed(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch, name: str, again: bool
 ) -> None:
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 150 * MS)
-    stage = stages()
-    sent = Sent(stage)
-    steps(stage, f"c1 send {READY}\nc1 expect ready\n" if again else "c1 silent 1")
-    steps(stage, f"c1 send {STALLS[name]}")
-    stage.run_until("it is ended", lambda: stage.peers["c1"].ended, 0.5)
-    assert b"HTTP/1.1 408" in stage.peers["c1"].received
+    harness = new_harness()
+    sent = SentAttempts(harness)
+    run_steps(harness, f"c1 send {READY}\nc1 expect ready\n" if again else "c1 silent 1")
+    run_steps(harness, f"c1 send {INCOMPLETE[name]}")
+    harness.run_until("the connection ends", lambda: harness.peers["c1"].ended, 0.5)
+    assert b"HTTP/1.1 408" in harness.peers["c1"].received
     assert sent.ids == []
 
 
-def test_bytes_that_come_one_by_one_have_one_limit_together(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
+def test_the_time_out_covers_a_whole_request_sent_byte_by_byte(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "_REQUEST_TIMEOUT", 200 * MS)
-    stage = stages()
-    sent = Sent(stage)
+    harness = new_harness()
+    sent = SentAttempts(harness)
     text = iter(job().replace("\\r", "\r").replace("\\n", "\n").encode())
 
-    def one_more() -> bool:
-        peer = stage.peers["c1"]
+    def send_one_byte() -> bool:
+        peer = harness.peers["c1"]
         if peer.sock is not None and not peer.ended:
             with suppress(OSError):
                 peer.sock.send(bytes((next(text),)))
         return peer.ended
 
-    steps(stage, "c1 silent 1")
-    stage.run_until("it is ended", one_more, 0.6)
-    assert b"HTTP/1.1 408" in stage.peers["c1"].received
+    run_steps(harness, "c1 silent 1")
+    harness.run_until("the connection ends", send_one_byte, 0.6)
+    assert b"HTTP/1.1 408" in harness.peers["c1"].received
     assert sent.ids == []
 
 
-@pytest.mark.parametrize("name", REFUSED)
-def test_what_is_not_in_the_form_is_refused_and_never_sent_on(
-    stages: Callable[..., Harness], name: str
+@pytest.mark.parametrize("name", REJECTED)
+def test_a_request_in_the_wrong_form_is_rejected_and_never_sent(
+    new_harness: Callable[..., Harness], name: str
 ) -> None:
-    stage = stages()
-    sent = Sent(stage)
-    text, status = REFUSED[name]
-    steps(stage, f"c1 send {text}\nc1 expect ^HTTP/1.1 {status} \nwait 20")
+    harness = new_harness()
+    sent = SentAttempts(harness)
+    text, status = REJECTED[name]
+    run_steps(harness, f"c1 send {text}\nc1 expect ^HTTP/1.1 {status} \nwait 20")
     assert sent.ids == []
 
 
-def test_an_offer_to_change_the_protocol_is_passed_over(stages: Callable[..., Harness]) -> None:
-    stage = stages(workers=1)
-    steps(stage, f"c1 send {job(more=UPGRADE)}\np1 expect in$")
-    steps(stage, f"p1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}")
-    steps(stage, "c1 expect ^HTTP/1.1 200 .*x$\nc1 ended")
+def test_an_upgrade_header_is_ignored(new_harness: Callable[..., Harness]) -> None:
+    harness = new_harness(workers=1)
+    run_steps(harness, f"c1 send {job(more=UPGRADE)}\np1 expect in$")
+    run_steps(harness, f"p1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}")
+    run_steps(harness, "c1 expect ^HTTP/1.1 200 .*x$\nc1 ended")
 
 
-# Ids that come again
+# Repeated ids
 
 
-def test_an_id_is_under_way_until_its_last_call_is_called_off(stages: Callable[..., Harness]) -> None:
-    # danger: taken beside a call that is being called off, its call-backs and its DELETE would meet both
-    stage = stages(workers=1)
-    steps(stage, f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nwait 20\nc1 close")
-    steps(stage, "p1 expect DELETE /jobs/j1 HTTP")
-    steps(stage, f"c2 send {job()}\nc2 expect ^HTTP/1.1 409\np1 send {answer(204)}\nwait 20")
-    steps(stage, f"c3 send {job()}\np1 expect POST .*: j1.*in$")
+def test_an_id_is_in_progress_until_its_last_attempt_is_cancelled(
+    new_harness: Callable[..., Harness],
+) -> None:
+    # the call-backs and the DELETE of an attempt that is being cancelled would apply to a new job with its id
+    harness = new_harness(workers=1)
+    run_steps(harness, f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nwait 20\nc1 close")
+    run_steps(harness, "p1 expect DELETE /jobs/j1 HTTP")
+    run_steps(harness, f"c2 send {job()}\nc2 expect ^HTTP/1.1 409\np1 send {answer(204)}\nwait 20")
+    run_steps(harness, f"c3 send {job()}\np1 expect POST .*: j1.*in$")
 
 
 @pytest.mark.parametrize("who", ["c1", "c3"])
-def test_an_id_may_come_again_once_it_is_answered(stages: Callable[..., Harness], who: str) -> None:
-    stage = stages(workers=1)
-    steps(stage, f"c1 send {job()}\np1 expect in$\n{who} send {job()}" if who == "c3" else f"c1 send {job()}")
-    steps(stage, "c3 expect ^HTTP/1.1 409" if who == "c3" else "p1 expect in$")
-    steps(stage, f"p1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}\nc1 expect x$")
-    steps(stage, f"{who} send {job()}\np1 expect : j1.*in$")
+def test_an_id_may_be_used_again_once_it_is_answered(new_harness: Callable[..., Harness], who: str) -> None:
+    harness = new_harness(workers=1)
+    run_steps(
+        harness, f"c1 send {job()}\np1 expect in$\n{who} send {job()}" if who == "c3" else f"c1 send {job()}"
+    )
+    run_steps(harness, "c3 expect ^HTTP/1.1 409" if who == "c3" else "p1 expect in$")
+    run_steps(harness, f"p1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}\nc1 expect x$")
+    run_steps(harness, f"{who} send {job()}\np1 expect : j1.*in$")
 
 
-def test_the_id_of_a_booking_that_ran_is_not_taken_again(stages: Callable[..., Harness]) -> None:
-    """Guards against a booking run twice for a client that lost its answer and asks again (bcef66)."""
-    stage = stages(workers=1)
+def test_the_id_of_a_booking_that_ran_is_rejected(new_harness: Callable[..., Harness]) -> None:
+    """Guards against a booking that runs twice for a client that lost its answer and asks again (bcef66)."""
+    harness = new_harness(workers=1)
     booked = job(path="book/x")
-    steps(stage, f"c1 send {booked}\np1 expect in$\np1 send {ACCEPTED}")
-    steps(stage, f"c2 send {call_back('done', result='x')}\nc1 expect x$")
-    steps(stage, f"c3 send {booked}\nc3 expect ^HTTP/1.1 500")
-    assert not stage.peers["p1"].received
-    # one that never ran may come again
-    steps(stage, f"c1 send {job('j2', 'book/x', 1000)}\np1 expect : j2.*in$")
-    steps(stage, f"p1 send {NOT_PROCESSED}\nc1 expect 503")
-    steps(stage, f"c3 send {job('j2', 'book/x')}\np1 expect : j2.*in$")
-
-
-def test_a_job_that_waited_to_be_accepted_has_less_time_left(
-    stages: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
+    run_steps(harness, f"c1 send {booked}\np1 expect in$\np1 send {ACCEPTED}")
+    run_steps(harness, f"c2 send {call_back('done', result='x')}\nc1 expect x$")
+    run_steps(harness, f"c3 send {booked}\nc3 expect ^HTTP/1.1 500")
+    assert not harness.peers["p1"].received
+    # the id of one that never ran may be used again
+    run_steps(harness, f"c1 send {job('j2', 'book/x', 1000)}\np1 expect : j2.*in$")
+    run_steps(harness, f"p1 send {NOT_PROCESSED}\nc1 expect 503")
+    run_steps(harness, f"c3 send {job('j2', 'book/x')}\np1 expect : j2.*in$")
+
+
+def test_waiting_for_accept_reduces_the_time_left(
+    new_harness: Callable[..., Harness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a worker told more time than its client has, after accept has failed (bcef66)."""
-    stage = stages(workers=1)
+    """Guards against a worker that gets more time than its client has, after accept failed (bcef66)."""
+    harness = new_harness(workers=1)
     accept, until = server.accept, time.monotonic() + 0.3
 
     def failing(listener: socket.socket) -> Any:
         if time.monotonic() < until:
-            raise OSError(errno.ENFILE, "for a moment")
+            raise OSError(errno.ENFILE, "temporary")
         return accept(listener)
 
     monkeypatch.setattr(server, "accept", failing)
-    steps(stage, f"c1 send {job(ms=2000)}\np1 expect X-Timeout-Ms: 1[0-7][0-9][0-9]\\r.*in$")
-    steps(stage, f"p1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}\nc1 expect x$")
-    steps(stage, f"c1 send {job('j2', ms=2000)}\np1 expect X-Timeout-Ms: (2000|19[0-9][0-9])\\r.*in$")
+    run_steps(harness, f"c1 send {job(ms=2000)}\np1 expect X-Timeout-Ms: 1[0-7][0-9][0-9]\\r.*in$")
+    run_steps(harness, f"p1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}\nc1 expect x$")
+    run_steps(harness, f"c1 send {job('j2', ms=2000)}\np1 expect X-Timeout-Ms: (2000|19[0-9][0-9])\\r.*in$")
 
 
-# Room
+# Eviction
 
 
-def test_one_that_comes_ends_one_idle_connection_and_no_more(stages: Callable[..., Harness]) -> None:
-    # danger: room made for nobody closed a connection on which the next request was on its way
-    stage = stages(workers=1, sockets=38)  # room for three clients
+def test_a_new_connection_evicts_one_idle_connection_only(new_harness: Callable[..., Harness]) -> None:
+    # guards against an eviction without need, which loses a request that is on its way
+    harness = new_harness(workers=1, sockets=38)  # room for three clients
     for n in (1, 2, 3):
-        steps(stage, f"c{n} send {READY}\nc{n} expect 200")
-    steps(stage, f"c4 send {READY}\nc4 expect 200\nc1 ended\nc2 silent 50\nc3 silent 1")
+        run_steps(harness, f"c{n} send {READY}\nc{n} expect 200")
+    run_steps(harness, f"c4 send {READY}\nc4 expect 200\nc1 ended\nc2 silent 50\nc3 silent 1")
 
 
 # Tenants
 
 
-class Heard:
-    """Of which tenant each job is that waits."""
+class TenantRecorder:
+    """Records the tenant of each job that waits."""
 
     def __init__(self) -> None:
         self.tenants: list[str | None] = []
@@ -645,13 +664,13 @@
     def ended(self, now: int, number: int) -> None: ...
 
 
-def test_a_job_is_of_the_tenant_that_it_names_where_the_settings_know_it(
-    stages: Callable[..., Harness],
+def test_a_job_has_the_tenant_it_names_if_the_settings_know_it(
+    new_harness: Callable[..., Harness],
 ) -> None:
-    # danger: counted for nobody, the flood of one tenant is paid for by all
+    # if its jobs were counted for no tenant, all others would pay for the flood of one
     realms = [{"name": "north", "share": 0.5, "allowancePerS": 10.0}]
-    stage = stages(workers=1, settings=read_settings({**SETTINGS, "realms": realms}))
-    stage.dispatcher.host.waits = heard = Heard()
+    harness = new_harness(workers=1, settings=read_settings({**SETTINGS, "realms": realms}))
+    harness.dispatcher.host.waits = recorder = TenantRecorder()
     for n, name in enumerate(("north", " north ", "south", "")):
-        steps(stage, f"c{n} send {job(f'j{n}', more=f'X-Tenant-Id: {name}' + CRLF)}\nwait 20")
-    assert heard.tenants == ["north", "north", None, None]
+        run_steps(harness, f"c{n} send {job(f'j{n}', more=f'X-Tenant-Id: {name}' + CRLF)}\nwait 20")
+    assert recorder.tenants == ["north", "north", None, None]
