--- a/ironbarrow/wire/http.py
+++ b/ironbarrow/wire/http.py
@@ -29,9 +29,8 @@
     method: str = ""
     target: str = ""
     status: int = 0
-    headers: dict[str, str] = field(
-        default_factory=dict
-    )  # names in lower case; of repeated ones, the first value
+    # names in lower case; of repeated ones, the first value
+    headers: dict[str, str] = field(default_factory=dict)
     repeated: set[str] = field(default_factory=set)  # names of headers that came more than once
     body: bytes = b""
     keep_alive: bool = True  # the connection may carry a further message
