--- a/ironbarrow/fronts/server.py
+++ b/ironbarrow/fronts/server.py
@@ -440,7 +440,7 @@
     def _route(self, request: Message, time_left: int) -> dict[str, Any]:
         """Class, key, tenant and terms of a job by the operators' routes, or RequestRejectedError.
 
-        Must be the last check: whoever holds a ticket has to submit the job.
+        Must be the last check: once a ticket is issued, the job has to be submitted.
         """
         from ironbarrow.routing.request import PathError, make_request
         from ironbarrow.routing.router import Ticket, arrival
--- a/ironbarrow/transport/http.py
+++ b/ironbarrow/transport/http.py
@@ -360,8 +360,8 @@
         if error_number:
             raise _connect_error(error_number)
     except OSError as error:
-        # callers handle ConnectionEndedError only: an OSError would end their task without a reply to whoever
-        # waits for it
+        # callers handle ConnectionEndedError only: an OSError would end their task, and its job would get no
+        # outcome
         sock.close()
         raise ConnectionEndedError(Ending.FAILED_HERE, str(error)) from None
     except BaseException:
