--- a/ironbarrow/fronts/requests.py
+++ b/ironbarrow/fronts/requests.py
@@ -64,10 +64,10 @@
     RequestRejectedError (400)."""
     headers = request.headers
     if request.http_version != "1.1":
-        raise RequestRejectedError(400, "jobs are accepted over HTTP/1.1 only")
+        raise RequestRejectedError(400, "jobs come by HTTP/1.1 alone")
     if request.repeated & _SINGLE_VALUED_HEADERS:
         raise RequestRejectedError(
-            400, f"repeated headers: {', '.join(sorted(request.repeated & _SINGLE_VALUED_HEADERS))}"
+            400, f"repeated: {', '.join(sorted(request.repeated & _SINGLE_VALUED_HEADERS))}"
         )
     job_id = headers.get("x-request-id", "").strip()
     # the id goes into a header and into a path of requests to workers
--- a/ironbarrow/fronts/server.py
+++ b/ironbarrow/fronts/server.py
@@ -320,7 +320,7 @@
         if not connection.read_ahead(self._slots.read_ahead_budget()):
             return None
         if not can_start_request(connection.unread):
-            raise ConnectionEndedError(Ending.MALFORMED, "the body is longer than its Content-Length")
+            raise ConnectionEndedError(Ending.MALFORMED, "the body is longer than its length")
         answers: list[Answer | None] = []
 
         def on_answer(answer: Answer | None) -> None:
@@ -335,7 +335,7 @@
         if not client_present:
             return None
         if answers[0] is None:
-            raise RequestRejectedError(409, "another request has this X-Request-ID")
+            raise RequestRejectedError(409, "another request is under this X-Request-ID")
         return answers[0]
 
     def _await_answer(self, connection: Connection, answers: "list[Answer | None]") -> Coroutine[bool]:
@@ -407,14 +407,14 @@
         """Submits a job. Returns the function to call when the client disconnects or has its answer; raises
         RequestRejectedError if the job is not accepted."""
         if self.fleet_jobs is None and self._host.knows(payload.id):
-            raise RequestRejectedError(409, "a job with this X-Request-ID is in progress")
+            raise RequestRejectedError(409, "a job with this X-Request-ID is under way")
         if self._host.must_not_run_again(payload.id):
             # the client may have lost the answer and sent the request again
             raise RequestRejectedError(500, "a job with this X-Request-ID may have run")
         if not self._slots.has_room_for_job(len(payload.body)):
             # nothing was sent to a worker, so a retry is harmless
             raise RequestRejectedError(
-                503, "too many jobs in progress", self._retry_after_headers(_FULL_RETRY_AFTER)
+                503, "too many jobs wait here", self._retry_after_headers(_FULL_RETRY_AFTER)
             )
         if self.router is not None:
             placement |= self._route(request, placement["time_left"])
