--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -21,8 +21,8 @@
 from ironbarrow.backs.invoker import HttpInvoker
 from ironbarrow.config.loader import Config, ConfigError
 from ironbarrow.core.host import Host
-from ironbarrow.discovery.client import Discovery
-from ironbarrow.fronts.clients import Clients
+from ironbarrow.discovery.client import DiscoveryClient
+from ironbarrow.fronts.server import HttpServer
 from ironbarrow.runtime.loop import MS, SECOND, Loop
 from ironbarrow.runtime.retry import until_it_goes
 from ironbarrow.runtime.sockets import listen
@@ -105,11 +105,11 @@
 
             self._operations = Operations(self.loop, self.host, config.folder, config.name)
         list_on_request = config.settings.asks_for_list
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             self.loop, config.discovery, self._on_worker_list, on_request=list_on_request, seed=config.seed
         )
         if list_on_request:
-            self.host.follow = self.discovery.ask
+            self.host.follow = self.discovery.subscribe
         spare = (
             _available_descriptors(config.sockets)
             - _RESERVED_DESCRIPTORS
@@ -128,14 +128,14 @@
             most=spare - spare * 5 // 8 + _RESERVED_DESCRIPTORS // 2,
         )
         self.host.invoker = self.invoker
-        self.clients = Clients(
+        self.clients = HttpServer(
             self.loop,
             self.host,
             self.listener,
             self._on_call_back,
             self.invoker.free_descriptors,
-            most=spare * 5 // 8,
-            most_buffered=max(1, config.memory_mb - _PROGRAM_MB) * _MB // 2,
+            max_connections=spare * 5 // 8,
+            max_buffered_bytes=max(1, config.memory_mb - _PROGRAM_MB) * _MB // 2,
         )
         self._router: Any = None
         if config.routes is not None:
@@ -172,7 +172,7 @@
             raise ConfigError(str(error)) from None
         except OSError as error:
             raise ConfigError(f"{path}: listen: cannot listen on this address: {error}") from None
-        self.clients.shared = self.fleet.adapter
+        self.clients.fleet_jobs = self.fleet.adapter
 
     def _open_hand_over(self, config: Config) -> None:
         """Opens the channel over which this process hands its jobs over to the one that replaces it.
@@ -254,7 +254,7 @@
         """
         table = self._load_routes(config)
         self._set_routes(table)
-        self.discovery.move(config.discovery)
+        self.discovery.switch_to(config.discovery)
         fixed = (
             "name",
             "listen",
@@ -371,7 +371,7 @@
         other_owed = self._upgrade.owed + self._upgrade.handed_over if self._upgrade is not None else 0
         other_owed += self.fleet.adapter.owed if self.fleet is not None else 0
         # danger: a connection whose peer never closes its side would delay the end until SIGKILL
-        has_open_connections = self.clients.busy and self.loop.now() < self._connections_until
+        has_open_connections = self.clients.has_connections and self.loop.now() < self._connections_until
         if self.host.owed or other_owed or has_open_connections:
             self.loop.call_at(self.loop.now() + _DONE_CHECK_INTERVAL, self._finish_when_done)
         elif self.fleet is None:
