--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -98,7 +98,7 @@
         )
         self.host = Host(self.loop, config.settings, config.seed, traced=config.traced)
         self._operations: Any = None
-        self.admin: socket.socket | None = None
+        self.admin_listener: socket.socket | None = None
         if config.admin is not None:
             # imported here, so that a start without an operators' address does not load it
             from ironbarrow.admin.operations import Operations
@@ -128,7 +128,7 @@
             most=spare - spare * 5 // 8 + _RESERVED_DESCRIPTORS // 2,
         )
         self.host.invoker = self.invoker
-        self.clients = HttpServer(
+        self.server = HttpServer(
             self.loop,
             self.host,
             self.listener,
@@ -152,8 +152,8 @@
                 # in a fleet, the other members take over the jobs that a process leaves
                 self._open_hand_over(config)
             admin = config.admin
-            self.admin = until_it_goes(lambda: listen(admin))
-            Door(self.loop, self.admin, self._operations)
+            self.admin_listener = until_it_goes(lambda: listen(admin))
+            Door(self.loop, self.admin_listener, self._operations)
 
     def _join_fleet(self, config: Config, path: Path) -> None:
         """Makes this process a member of the fleet that the file at ``path`` describes; from here on its
@@ -172,7 +172,7 @@
             raise ConfigError(str(error)) from None
         except OSError as error:
             raise ConfigError(f"{path}: listen: cannot listen on this address: {error}") from None
-        self.clients.fleet_jobs = self.fleet.adapter
+        self.server.fleet_jobs = self.fleet.adapter
 
     def _open_hand_over(self, config: Config) -> None:
         """Opens the channel over which this process hands its jobs over to the one that replaces it.
@@ -186,7 +186,7 @@
         try:
             folder = config.folder
             self._upgrade = until_it_goes(
-                lambda: Upgrade(self.loop, self.host, self.clients, self.invoker, folder, config.name)
+                lambda: Upgrade(self.loop, self.host, self.server, self.invoker, folder, config.name)
             )
         except OSError as error:
             log.warning("hand-over to a new process is off", folder=str(config.folder), error=str(error))
@@ -255,7 +255,7 @@
         table = self._load_routes(config)
         self._set_routes(table)
         self.discovery.switch_to(config.discovery)
-        fixed = (
+        restart_only = (
             "name",
             "listen",
             "admin",
@@ -266,7 +266,7 @@
             "connect_timeout",
             "idle_limit",
         )
-        need_restart = [name for name in fixed if getattr(self._config, name) != getattr(config, name)]
+        need_restart = [name for name in restart_only if getattr(self._config, name) != getattr(config, name)]
         log.info("reloaded", discovery="{}:{}".format(*config.discovery), waits_for_start=need_restart)
 
     def _load_routes(self, config: Config) -> Any:
@@ -291,7 +291,7 @@
             self._router = Router(table)
         else:
             self._router.replace(table)
-        self.clients.router = self._router
+        self.server.router = self._router
 
     def close(self) -> None:
         """Closes all connections and descriptors."""
@@ -306,8 +306,8 @@
             self._upgrade.close()
         if self.fleet is not None:
             self.fleet.close()
-        if self.admin is not None:
-            self.admin.close()
+        if self.admin_listener is not None:
+            self.admin_listener.close()
 
     def _on_signal(self, number: int, frame: FrameType | None) -> None:
         self.loop.soon(self.stop)
@@ -364,14 +364,14 @@
 
     def _close_idle(self) -> None:
         self.loop.soon(self._finish_when_done)  # danger: the program must end even if the next line raises
-        self.clients.close_idle()
+        self.server.close_idle()
 
     def _finish_when_done(self) -> None:
         # danger: the listener stays open to the end, because workers' call-backs arrive through it
         other_owed = self._upgrade.owed + self._upgrade.handed_over if self._upgrade is not None else 0
         other_owed += self.fleet.adapter.owed if self.fleet is not None else 0
         # danger: a connection whose peer never closes its side would delay the end until SIGKILL
-        has_open_connections = self.clients.has_connections and self.loop.now() < self._connections_until
+        has_open_connections = self.server.has_connections and self.loop.now() < self._connections_until
         if self.host.owed or other_owed or has_open_connections:
             self.loop.call_at(self.loop.now() + _DONE_CHECK_INTERVAL, self._finish_when_done)
         elif self.fleet is None:
--- a/ironbarrow/lab/scale/hollow_dispatchers.py
+++ b/ironbarrow/lab/scale/hollow_dispatchers.py
@@ -147,7 +147,7 @@
             self.listener.getsockname()[:2],
             make_service=partial(HollowMember, counts=self._counts),
         )
-        self.clients.fleet_jobs = self.fleet.adapter
+        self.server.fleet_jobs = self.fleet.adapter
 
     def _on_worker_list(self, news: api.WorkerList) -> None:
         super()._on_worker_list(news)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -195,7 +195,9 @@
                 text = text.replace(known, address)
             if name not in self.peers:
                 admin_address = (
-                    self.dispatcher.admin.getsockname() if self.dispatcher.admin is not None else None
+                    self.dispatcher.admin_listener.getsockname()
+                    if self.dispatcher.admin_listener is not None
+                    else None
                 )
                 self.peers[name] = Peer(admin_address if name.startswith("o") else self.address)
             self._run_peer_step(line, self.peers[name], verb, text)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -98,7 +98,7 @@
 
 
 def test_without_an_address_there_is_no_door() -> None:
-    assert Harness().dispatcher.admin is None
+    assert Harness().dispatcher.admin_listener is None
 
 
 @given(st.lists(st.tuples(st.sampled_from(["a", 'b"\n']), st.sampled_from([*OUTCOMES, "attempt"]))))
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -125,7 +125,7 @@
         f"c1 send {READY}\nc1 expect ready\nwait 20\nc1 send {job()}\n{DISCONNECTS[disconnect]}\nwait 50",
     )
     assert sent.ids == []
-    assert harness.dispatcher.clients.has_connections is False
+    assert harness.dispatcher.server.has_connections is False
 
 
 def test_a_disconnect_at_the_moment_of_the_answer_leaks_nothing(new_harness: Callable[..., Harness]) -> None:
@@ -135,7 +135,7 @@
         f"c1 send {job()}\np1 expect in$\np1 send {ACCEPTED}\nc2 send {call_back('done', result='x')}",
     )
     run_steps(harness, "c1 close\nc2 expect 204\nc2 close")
-    harness.run_until("all is closed", lambda: not harness.dispatcher.clients.has_connections, 0.5)
+    harness.run_until("all is closed", lambda: not harness.dispatcher.server.has_connections, 0.5)
     assert harness.dispatcher.host.held_in_memory == 0
 
 
@@ -174,27 +174,27 @@
         run_steps(harness, "".join(f"c{n} fill {job('more')}\n" for n in range(1, 7)))
         harness.run_for(0.01)
     held = sum(
-        connection.buffered_bytes for connection, _ in harness.dispatcher.clients.awaiting_answer.values()
+        connection.buffered_bytes for connection, _ in harness.dispatcher.server.awaiting_answer.values()
     )
-    assert len(harness.dispatcher.clients.awaiting_answer) == 6
+    assert len(harness.dispatcher.server.awaiting_answer) == 6
     assert 0 < held <= 256 * 1024
     for n in range(1, 7):
         harness.peers[f"c{n}"].close()
     harness.run_until("all jobs are withdrawn", lambda: harness.dispatcher.host.owed == 0, 1.0)
-    harness.run_until("all is closed", lambda: not harness.dispatcher.clients.has_connections, 2.0)
-    assert harness.dispatcher.clients._slots._buffered_bytes == 0
+    harness.run_until("all is closed", lambda: not harness.dispatcher.server.has_connections, 2.0)
+    assert harness.dispatcher.server._slots._buffered_bytes == 0
 
 
 # The end of connections
 
 
 def stop_when_idle(harness: Harness, patch: pytest.MonkeyPatch) -> None:
-    harness.dispatcher.clients.close_idle()
+    harness.dispatcher.server.close_idle()
 
 
 def stop_when_new(harness: Harness, patch: pytest.MonkeyPatch) -> None:
     harness.run_for(0.25)
-    harness.dispatcher.clients.close_idle()
+    harness.dispatcher.server.close_idle()
 
 
 def fill_slots(harness: Harness, patch: pytest.MonkeyPatch) -> None:
@@ -272,7 +272,7 @@
     run_steps(
         harness, f"c1 send {READY}\nc1 expect 200\nwait 10" if limit == "_IDLE_TIMEOUT" else "c1 silent 10"
     )
-    slots = harness.dispatcher.clients._slots
+    slots = harness.dispatcher.server._slots
     (connection,) = [*slots.idle, *slots.reading]
     loop = harness.dispatcher.loop
     # called between the poll that found nothing and the timer of the time-out
@@ -296,11 +296,11 @@
     # a request read before the shutdown has to be served; one read after it must not be sent to a worker
     harness = new_harness(workers=1)
     run_steps(harness, f"c1 send {job('j1')}{job('j2')}\np1 expect : j1.*in$\np1 send {ACCEPTED}")
-    harness.dispatcher.clients.close_idle()
+    harness.dispatcher.server.close_idle()
     run_steps(harness, f"c2 send {call_back('done', 'j1', result='a')}\nc1 expect a$\np1 expect : j2.*in$")
     run_steps(harness, f"p1 send {ACCEPTED}\nc3 send {call_back('done', 'j2', result='b')}")
     run_steps(harness, "c1 expect 200 .*Connection: close.*b$\nc1 ended\nc1 close\nc2 close\nc3 close")
-    harness.run_until("all is closed", lambda: not harness.dispatcher.clients.has_connections, 0.5)
+    harness.run_until("all is closed", lambda: not harness.dispatcher.server.has_connections, 0.5)
 
 
 def test_a_client_that_never_stops_sending_does_not_prevent_the_stop(
@@ -309,7 +309,7 @@
     monkeypatch.setattr(server, "LINGER_TIMEOUT", 200 * MS)
     harness = new_harness()
     run_steps(harness, f"c1 send {READY}\nc1 expect 200\nc1 fill {READY * 1000}")
-    harness.dispatcher.clients.close_idle()
+    harness.dispatcher.server.close_idle()
     harness.run_until("the connection ends", lambda: harness.peers["c1"].ended, 1.0)
     assert b"Connection: close" in harness.peers["c1"].received
 
@@ -320,7 +320,7 @@
     # a new connection closed without an answer would be a refusal without need
     harness = new_harness()
     run_steps(harness, "c1 silent 20\nc2 silent 20")
-    harness.dispatcher.clients.close_idle()
+    harness.dispatcher.server.close_idle()
     run_steps(harness, f"c1 silent 20\nc1 send {job()}\np1 expect in$\nc2 ended")
 
 
@@ -334,7 +334,7 @@
     client.connect(harness.address)
     client.sendall(job(ms=ms).replace("\\r", "\r").replace("\\n", "\n").encode())
     run_steps(harness, f"p1 expect in$\np1 send {ACCEPTED}")
-    ((connection, _),) = harness.dispatcher.clients.awaiting_answer.values()
+    ((connection, _),) = harness.dispatcher.server.awaiting_answer.values()
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     run_steps(harness, f"c2 send {call_back('done', result='x' * 60_000)}\nc2 expect 204\nc2 close")
     return client
@@ -366,8 +366,8 @@
     monkeypatch.setattr(server, "_ANSWER_GRACE", 100 * MS)
     harness = new_harness()
     client = slow_reader(harness, 300)
-    assert harness.dispatcher.clients.has_connections
-    harness.run_until("its slot is free", lambda: not harness.dispatcher.clients.has_connections, 1.0)
+    assert harness.dispatcher.server.has_connections
+    harness.run_until("its slot is free", lambda: not harness.dispatcher.server.has_connections, 1.0)
     client.close()
 
 
@@ -466,7 +466,7 @@
 ) -> None:
     # a single descriptor that is freed goes to the next client, none to the discovery client or to a worker
     harness = new_harness(sockets=96)  # forty slots
-    real, slots = socket.socket.accept, harness.dispatcher.clients._slots
+    real, slots = socket.socket.accept, harness.dispatcher.server._slots
 
     def accept(self: socket.socket) -> tuple[socket.socket, object]:
         if self is harness.dispatcher.listener and slots.in_use >= 20:
@@ -482,7 +482,7 @@
 def test_small_writes_are_not_delayed(new_harness: Callable[..., Harness]) -> None:
     harness = new_harness()
     run_steps(harness, f"c1 send {job()}\np1 expect in$")
-    ((connection, _),) = harness.dispatcher.clients.awaiting_answer.values()
+    ((connection, _),) = harness.dispatcher.server.awaiting_answer.values()
     assert connection.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -204,8 +204,8 @@
     monkeypatch.setattr(http.socket.socket, "close", failing)
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {answer(500)}", "c1 expect HTTP/1.1 500"):
         stage.step(line)
-    stage.dispatcher.clients.close_idle()
-    stage.run_until("all places are free", lambda: not stage.dispatcher.clients.has_connections)
+    stage.dispatcher.server.close_idle()
+    stage.run_until("all places are free", lambda: not stage.dispatcher.server.has_connections)
     stage.dispatcher.invoker.free_descriptors()
     assert stage.dispatcher.invoker._open == 0
     monkeypatch.undo()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -691,18 +691,18 @@
     path.write_text(SERVED)
     stage = Harness(routes=path)
     try:
-        running = stage.dispatcher.clients.router
+        running = stage.dispatcher.server.router
         assert isinstance(running, Router)
         before = running.table
         for wrong in (SERVED.replace("attempts = 1", "attempts = 9"), 'include = ["gone.toml"]\n' + SERVED):
             path.write_text(wrong)
             with pytest.raises(ConfigError, match=r"routes\.toml|gone\.toml"):
                 stage.dispatcher.reload(replace(stage.config, discovery=("127.0.0.1", 1)))
-            assert stage.dispatcher.clients.router.table is before  # type: ignore[union-attr]
+            assert stage.dispatcher.server.router.table is before  # type: ignore[union-attr]
             assert stage.dispatcher.discovery._source.address == stage.config.discovery
         path.write_text(SERVED.replace('name = "few"', 'name = "fewer"'))
         stage.dispatcher.reload(stage.config)
-        assert stage.dispatcher.clients.router is running
+        assert stage.dispatcher.server.router is running
         assert running.table.routes[0].route.name == "fewer"
     finally:
         stage.close()
