--- a/ironbarrow/core/host.py
+++ b/ironbarrow/core/host.py
@@ -16,8 +16,8 @@
 from ironbarrow.core.attempt import Progress, restarted
 from ironbarrow.core.endings import Ending, outcome_of
 from ironbarrow.core.event_log import EventLog
-from ironbarrow.core.figures import Figures
 from ironbarrow.core.jobs import NO_TERMS, Answer, Attempt, Job, Payload, Terms, Verdict
+from ironbarrow.core.metrics import Figures
 from ironbarrow.core.recent_ids import RecentIds
 from ironbarrow.runtime.clock import Clock
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,7 +15,7 @@
 from ironbarrow.admin import door
 from ironbarrow.admin.bans import Bans
 from ironbarrow.admin.keep import BanFile
-from ironbarrow.core.figures import OUTCOMES, Figures
+from ironbarrow.core.metrics import OUTCOMES, Figures
 from tests.scenario import Stage, answer, call_back, job, post
 
 ACCEPTED = answer(202)
