--- a/benchmarks/fleet_price.py
+++ b/benchmarks/fleet_price.py
@@ -238,7 +238,7 @@
     def turn_until(until: float, done: Any = lambda: False) -> None:
         while time.time() < until and not done():
             loop.call_at(loop.now() + 20 * MS, lambda: None)
-            loop.turn()
+            loop.run_once()
 
     try:
         turn_until(time.time() + 20, lambda: len(ready) == count)
--- a/ironbarrow/core/host.py
+++ b/ironbarrow/core/host.py
@@ -393,7 +393,7 @@
         if not self._planned:
             self._planned = True
             if self.loop.now() >= self._next_at:
-                self.loop.soon(self._run)  # with all that came in the same turn of the loop
+                self.loop.call_soon(self._run)  # with all that came in the same turn of the loop
             else:
                 self.loop.call_at(self._next_at, self._run)
 
--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -19,7 +19,7 @@
 from ironbarrow.discovery.client import Discovery
 from ironbarrow.fronts.clients import Clients
 from ironbarrow.runtime.loop import MS, SECOND, Loop
-from ironbarrow.runtime.retry import until_it_goes
+from ironbarrow.runtime.retry import retry_transient
 from ironbarrow.runtime.sockets import listen
 
 log = structlog.get_logger()
@@ -74,14 +74,14 @@
 
     def __init__(self, config: Config, listener: socket.socket | None = None) -> None:
         # danger: a start that fails for a moment's lack of something is a crash to whoever waits for it
-        self.loop = until_it_goes(lambda: Loop(_task_failed))
+        self.loop = retry_transient(lambda: Loop(_task_failed))
         self._stopping = False
         self._gone_at = 0  # ns, once it is told to stop
         self._signals = False  # they write to the loop
         self.pace = Pace.of(config.settings)
         self._config = config
-        self.listener = listener or until_it_goes(
-            lambda: listen(config.listen, shared=config.admin is not None)
+        self.listener = listener or retry_transient(
+            lambda: listen(config.listen, reuse_port=config.admin is not None)
         )
         self.host = Host(self.loop, config.settings, config.seed, traced=config.traced)
         self._operations: Any = None
@@ -135,7 +135,7 @@
                 # with a fleet, what a process leaves is taken over by the others
                 self._open_channel(config)
             admin = config.admin
-            self.admin = until_it_goes(lambda: listen(admin))
+            self.admin = retry_transient(lambda: listen(admin))
             Door(self.loop, self.admin, self._operations)
 
     def _join(self, config: Config, path: Path) -> None:
@@ -165,7 +165,7 @@
 
         try:
             folder = config.folder
-            self._upgrade = until_it_goes(
+            self._upgrade = retry_transient(
                 lambda: Upgrade(self.loop, self.host, self.clients, self.invoker, folder, config.name)
             )
         except OSError as error:
@@ -207,7 +207,7 @@
         Danger: unhandled, the signal ends the program and all it has taken.
         """
         self._wake_on_signals()
-        signal.signal(signal.SIGHUP, lambda number, frame: self.loop.soon(self._reload, read))
+        signal.signal(signal.SIGHUP, lambda number, frame: self.loop.call_soon(self._reload, read))
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # one may wait from before
 
     def _wake_on_signals(self) -> None:
@@ -282,7 +282,7 @@
             self.admin.close()
 
     def _signalled(self, number: int, frame: FrameType | None) -> None:
-        self.loop.soon(self.stop)
+        self.loop.call_soon(self.stop)
 
     def stop(self) -> None:
         """Takes what still comes for a short while, finishes what was taken, then ends ``run``."""
@@ -331,7 +331,7 @@
         self.loop.stop()
 
     def _close_idle(self) -> None:
-        self.loop.soon(self._stop_when_done)  # danger: whatever fails here, the end has to come
+        self.loop.call_soon(self._stop_when_done)  # danger: whatever fails here, the end has to come
         self.clients.close_idle()
 
     def _stop_when_done(self) -> None:
--- a/ironbarrow/discovery/client.py
+++ b/ironbarrow/discovery/client.py
@@ -166,7 +166,7 @@
         source = self._source
         if not active:
             if source.task is not None:
-                self._loop.soon(source.task.cancel)
+                self._loop.call_soon(source.task.cancel)
         elif source.task is None or source.task.done:
             source.task = self._loop.spawn(self._follow(source))
 
--- a/ironbarrow/fleet/links/links.py
+++ b/ironbarrow/fleet/links/links.py
@@ -210,7 +210,7 @@
             # danger: of a dead peer that something still listens for, each try would be a line
             peer.told_at = self._loop.now()
             log.debug("link broken", peer=peer.name, address=peer.address, reason=str(error))
-        self._loop.soon(self._broke, peer.name)
+        self._loop.call_soon(self._broke, peer.name)
 
     def _connect(self, peer: _Peer) -> Coroutine[None]:
         peer.opened_at = self._loop.now()
--- a/ironbarrow/fleet/service.py
+++ b/ironbarrow/fleet/service.py
@@ -155,14 +155,14 @@
             # danger: a clock that was set back makes this incarnation look like an earlier one than its last;
             # two processes of one name would renew against each other for ever
             if self._loop.now() - self._began < _RENEW_WITHIN:
-                self._loop.soon(self.renew, news.by.start)
+                self._loop.call_soon(self.renew, news.by.start)
             else:
                 log.error("another process goes by this name", name=self.name, incarnation=str(news.by))
 
     def _plan_soon(self) -> None:
         if not self._planning and not self._closed:
             self._planning = True
-            self._loop.soon(self._plan)
+            self._loop.call_soon(self._plan)
 
     def _plan(self) -> None:
         """Once in a turn of the loop, however many messages it brought."""
--- a/ironbarrow/fleet/takeover/process.py
+++ b/ironbarrow/fleet/takeover/process.py
@@ -54,7 +54,7 @@
         self._rules = rules_of(host.settings, self.fleet, passed)
         self.service = make_service(loop, self.fleet, name, site, "{}:{}".format(*front))
         self.work = Work(loop, host, back, self.service.order)
-        self.work.superseded = lambda: loop.soon(self._superseded)
+        self.work.superseded = lambda: loop.call_soon(self._superseded)
         self._begin(self.service)
         self.service.on_renewed(self._begin)
         self.service.on_news(self.work.told)
--- a/ironbarrow/fleet/takeover/work.py
+++ b/ironbarrow/fleet/takeover/work.py
@@ -136,7 +136,7 @@
         self._carry_out(actions)
         if self.machine.unflushed and not self._planned:
             self._planned = True
-            self._clock.soon(self._flush)  # with all that comes in this turn
+            self._clock.call_soon(self._flush)  # with all that comes in this turn
 
     def _flush(self) -> None:
         self._planned = False
--- a/ironbarrow/fronts/clients.py
+++ b/ironbarrow/fronts/clients.py
@@ -105,7 +105,7 @@
     @property
     def busy(self) -> bool:
         """Whether any connection is open or waits to be accepted."""
-        return self._places.taken > 0 or sockets.has_waiting(self._listener)
+        return self._places.taken > 0 or sockets.has_pending_connection(self._listener)
 
     def close_idle(self) -> None:
         """From now on no connection is kept: the idle ones end at once, the others after their answer, and
@@ -126,7 +126,7 @@
             yield Wait(self._listener.fileno(), READ, self._loop.now() + 3600 * SECOND)
             for _ in range(_ACCEPTS_AT_ONCE):
                 # danger: room made for nobody ends a connection on which the next request is on its way
-                if not sockets.has_waiting(self._listener):
+                if not sockets.has_pending_connection(self._listener):
                     self._not_accepted_since = 0
                     break
                 if not self._places.make_room():
@@ -212,7 +212,7 @@
     def _plan_next(self) -> None:
         if not self._next_planned:
             self._next_planned = True
-            self._loop.soon(self._wake_next)
+            self._loop.call_soon(self._wake_next)
 
     def _wake_next(self) -> None:
         self._next_planned = False
--- a/ironbarrow/handover/channel.py
+++ b/ironbarrow/handover/channel.py
@@ -14,7 +14,7 @@
 
 import structlog
 
-from ironbarrow.runtime.errors import Meaning, meaning_of
+from ironbarrow.runtime.errors import ErrorOrigin, origin_of
 from ironbarrow.runtime.loop import MS, READ, SECOND, Coroutine, Loop, Wait, sleep
 
 log = structlog.get_logger()
@@ -64,7 +64,7 @@
             self._forget(to)
             return False
         except OSError as error:
-            if meaning_of(error) is Meaning.HERE:
+            if origin_of(error) is ErrorOrigin.LOCAL:
                 return fd is None and self._keep(to, data)
             log.warning("message to the other process failed", error=str(error))
             return False
@@ -92,7 +92,7 @@
             except (ConnectionRefusedError, FileNotFoundError):
                 self._forget(to)
             except OSError as error:
-                if meaning_of(error) is Meaning.HERE:
+                if origin_of(error) is ErrorOrigin.LOCAL:
                     self._loop.call_at(self._loop.now() + _AGAIN, self._flush)
                     return
                 log.warning("message to the other process failed", error=str(error))
--- a/ironbarrow/lab/capacity/lists.py
+++ b/ironbarrow/lab/capacity/lists.py
@@ -114,4 +114,4 @@
         if loop.now() > until:
             raise RuntimeError("the list did not come in time")
         loop.call_at(loop.now() + SECOND // 100, lambda: None)
-        loop.turn()
+        loop.run_once()
--- a/ironbarrow/lab/fleet/links.py
+++ b/ironbarrow/lab/fleet/links.py
@@ -199,7 +199,7 @@
                 for after in self._links.fate(sender, target):
                     out.put(whole, after)
         yield from self._until_open(sender, target)
-        self._loop.soon(ended)
+        self._loop.call_soon(ended)
 
 
 class _Out:
--- a/ironbarrow/lab/fleet/work.py
+++ b/ironbarrow/lab/fleet/work.py
@@ -44,8 +44,8 @@
         self.over = False
         self.now = clock.now
 
-    def soon(self, call: Callable[..., None], *args: Any) -> None:
-        self._clock.soon(self._run, call, args)
+    def call_soon(self, call: Callable[..., None], *args: Any) -> None:
+        self._clock.call_soon(self._run, call, args)
 
     def call_at(self, due: int, call: Callable[..., None], *args: Any) -> Timer:
         timer = Timer(call, args)
@@ -303,7 +303,7 @@
             self.net.order(seat.name, lambda node, now: node.carry_out(gathered))
 
         work = Work(clock, host, back, carry_out)
-        work.superseded = lambda: clock.soon(self._renew, seat.name)
+        work.superseded = lambda: clock.call_soon(self._renew, seat.name)
         work.adopted = lambda news: self.adoptions.append((seat.name, news))
         entries = tuple(
             api.WorkerEntry(worker=name, state=api.WorkerState.UP, zone=self.settings.zone)
@@ -399,13 +399,13 @@
                 repeat=marked,
             )
 
-        process.clock.soon(taken)
+        process.clock.call_soon(taken)
 
     def again(self, order: Order, at: str | None = None) -> None:
         """The client leaves the connection and comes again."""
         process = self.processes[order.at]
         if order.left is not None and not process.clock.over:
-            process.clock.soon(order.left)
+            process.clock.call_soon(order.left)
         if order in self._waiting[order.at]:
             self._waiting[order.at].remove(order)
         self._try(order, at)
--- a/ironbarrow/lab/live/run.py
+++ b/ironbarrow/lab/live/run.py
@@ -348,7 +348,7 @@
 
     def _turn(self, most: int) -> None:
         self.loop.call_at(self.loop.now() + most, _nothing)
-        self.loop.turn()
+        self.loop.run_once()
 
     def _play(self) -> Result:
         started_at = self.recorder.started_at = self.loop.now()
--- a/ironbarrow/lab/scale/hollow_dispatchers.py
+++ b/ironbarrow/lab/scale/hollow_dispatchers.py
@@ -188,11 +188,11 @@
     def run(self) -> None:
         """Until the leading loop is stopped."""
         while not self._leading.stopped:
-            wait = min(loop.idle_for() for loop in self._loops.values())
+            wait = min(loop.poll_timeout_s() for loop in self._loops.values())
             ready = {fd for fd, _ in self._epoll.poll(wait)}
             for fd, loop in list(self._loops.items()):
-                if fd in ready or loop.idle_for() <= 0:
-                    loop.turn(wait=False)
+                if fd in ready or loop.poll_timeout_s() <= 0:
+                    loop.run_once(wait=False)
 
 
 class Party:
--- a/ironbarrow/lab/sim/clock.py
+++ b/ironbarrow/lab/sim/clock.py
@@ -26,7 +26,7 @@
     def now(self) -> int:
         return self._now
 
-    def soon(self, call: Callable[..., None], *args: Any) -> None:
+    def call_soon(self, call: Callable[..., None], *args: Any) -> None:
         self._soon.append((call, args))
 
     def call_at(self, due: int, call: Callable[..., None], *args: Any) -> Timer:
@@ -73,8 +73,8 @@
         self.over = False
         self.now = clock.now
 
-    def soon(self, call: Callable[..., None], *args: Any) -> None:
-        self._clock.soon(self.run, call, args)
+    def call_soon(self, call: Callable[..., None], *args: Any) -> None:
+        self._clock.call_soon(self.run, call, args)
 
     def call_at(self, due: int, call: Callable[..., None], *args: Any) -> Timer:
         return self._clock.call_at(due, self.run, call, args)
--- a/ironbarrow/runtime/__init__.py
+++ b/ironbarrow/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The loop and the sockets under everything else; knows no protocol and no job."""
+"""Event loop, timers and sockets. Depends on no protocol and on nothing job-related."""
--- a/ironbarrow/runtime/clock.py
+++ b/ironbarrow/runtime/clock.py
@@ -1,4 +1,4 @@
-"""What drives time: the one interface that the loop and a simulated clock both provide."""
+"""The clock interface that the event loop and the simulated clocks implement."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -8,7 +8,7 @@
 
 
 class Timer:
-    """A call to come; ``cancel`` takes it back."""
+    """A scheduled call. ``call`` is None once it is cancelled."""
 
     __slots__ = ("args", "call")
 
@@ -17,18 +17,20 @@
         self.args = args
 
     def cancel(self) -> None:
-        # danger: a cancelled timer stays in the heap until it is due; it must not hold a job alive
+        """Prevents the call. Has no effect once it has run."""
+        # A cancelled timer stays in the heap until it is due, so it drops its references to jobs here.
         self.call, self.args = None, ()
 
 
 class Clock(Protocol):
-    """Time in whole nanoseconds that only goes forward, and calls at a time."""
+    """Monotonic time in integer nanoseconds, and scheduled calls."""
 
     def now(self) -> int:
-        """The present time, ns."""
+        """The current time in ns."""
 
-    def soon(self, call: Callable[..., None], *args: Any) -> None:
-        """Calls at the present time, after what runs now."""
+    def call_soon(self, call: Callable[..., None], *args: Any) -> None:
+        """Schedules a call for the current time, after the code that is running now."""
 
     def call_at(self, due: int, call: Callable[..., None], *args: Any) -> Timer:
-        """Calls at ``due`` (ns), or as soon as possible after it; calls of one time in order."""
+        """Schedules a call for ``due`` (ns) or as soon as possible after it. Calls that are due at the same
+        time run in the order in which they were scheduled."""
--- a/ironbarrow/runtime/errors.py
+++ b/ironbarrow/runtime/errors.py
@@ -1,19 +1,19 @@
-"""What a failed system call tells of: the peer, the way to it, or this machine alone. No input or output."""
+"""Classifies failed socket calls: caused by the peer, by the network, or by this machine. No I/O."""
 
 import errno
 from enum import Enum, auto
 
 
-class Meaning(Enum):
-    """Whom an error tells of."""
+class ErrorOrigin(Enum):
+    """Where the cause of a socket error lies."""
 
-    PEER = auto()  # the other side ended the connection, or refuses it
-    WAY = auto()  # the connection failed; the other side may know nothing of it
-    HERE = auto()  # this machine lacks something for a moment: nothing has happened to the connection
+    PEER = auto()  # the peer closed, reset or refused the connection
+    NETWORK = auto()  # the connection failed; the peer may not have noticed
+    LOCAL = auto()  # a temporary shortage of resources on this machine; the connection is unaffected
 
 
-_BY_PEER = frozenset((errno.ECONNRESET, errno.EPIPE, errno.ECONNREFUSED, errno.ECONNABORTED))
-_HERE = frozenset(
+_PEER_ERRORS = frozenset((errno.ECONNRESET, errno.EPIPE, errno.ECONNREFUSED, errno.ECONNABORTED))
+_LOCAL_ERRORS = frozenset(
     (
         errno.EINTR,
         errno.EAGAIN,
@@ -28,8 +28,8 @@
 )
 
 
-def meaning_of(error: OSError) -> Meaning:
-    """What the error of a call on a socket says."""
-    if isinstance(error, BlockingIOError | InterruptedError) or error.errno in _HERE:
-        return Meaning.HERE
-    return Meaning.PEER if error.errno in _BY_PEER else Meaning.WAY
+def origin_of(error: OSError) -> ErrorOrigin:
+    """The origin of an error that a call on a socket raised."""
+    if isinstance(error, BlockingIOError | InterruptedError) or error.errno in _LOCAL_ERRORS:
+        return ErrorOrigin.LOCAL
+    return ErrorOrigin.PEER if error.errno in _PEER_ERRORS else ErrorOrigin.NETWORK
--- a/ironbarrow/runtime/loop.py
+++ b/ironbarrow/runtime/loop.py
@@ -1,7 +1,7 @@
-"""One thread, one epoll: generators as coroutines, timers, one clock. Knows no protocol.
+"""A single-threaded event loop on epoll, with generators as coroutines, timers and a monotonic clock.
 
-A coroutine yields a ``Wait`` and is resumed with True when its descriptor is ready or somebody
-woke it, and with False when the wait's time limit has passed.
+A coroutine yields a ``Wait``. It is resumed with True when the descriptor is ready or ``Task.wake`` was
+called, and with False when the time limit of the wait has passed.
 """
 
 import itertools
@@ -16,21 +16,22 @@
 from typing import Any, NamedTuple, TypeVar
 
 from ironbarrow.runtime.clock import MS, SECOND, Timer
-from ironbarrow.runtime.errors import Meaning, meaning_of
+from ironbarrow.runtime.errors import ErrorOrigin, origin_of
 
 __all__ = ["HANGUP", "MS", "READ", "SECOND", "WRITE", "Coroutine", "Loop", "Task", "Timer", "Wait", "sleep"]
 
 READ = select.EPOLLIN | select.EPOLLRDHUP
 WRITE = select.EPOLLOUT
 HANGUP = select.EPOLLRDHUP
-_LONGEST_POLL_S = 3600.0
-_WATCH_AGAIN = 5 * MS  # where the system lacked memory for watching a descriptor
-_SWEEP_AT = 1024  # timers in the heap at which cancelled ones are taken out
+_MAX_POLL_S = 3600.0
+_WATCH_RETRY_PAUSE = 5 * MS  # after epoll_ctl failed for a temporary lack of memory
+_MIN_COMPACT_SIZE = 1024  # least number of timers in the heap at which cancelled ones are removed
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """What a coroutine waits for: a descriptor's readiness (-1: only to be woken), until a time."""
+    """What a coroutine waits for: ``fd`` is ready for one of the events in ``mask`` (-1: only ``Task.wake``),
+    or the time ``until`` (ns) has come."""
 
     fd: int
     mask: int
@@ -44,7 +45,7 @@
 class Task:
     """A running coroutine."""
 
-    __slots__ = ("_loop", "_timer", "_wait", "coroutine", "done", "turn")
+    __slots__ = ("_loop", "_timer", "_wait", "coroutine", "done", "wait_id")
 
     def __init__(self, loop: "Loop", coroutine: Coroutine[None]) -> None:
         self._loop = loop
@@ -52,98 +53,100 @@
         self._timer: Timer | None = None
         self.coroutine = coroutine
         self.done = False
-        self.turn = 0  # which wait it is in; a wake meant for an earlier one is dropped
+        self.wait_id = 0  # number of the current wait; wake-ups for an earlier one are ignored
 
     def wake(self) -> None:
-        """Ends the present wait early, with True, in the loop's next turn."""
-        self._loop.soon(self._resume, self.turn, True)
+        """Ends the current wait early: the coroutine is resumed with True after the code that runs now."""
+        self._loop.call_soon(self._resume, self.wait_id, True)
 
     def cancel(self) -> None:
-        """Ends the coroutine where it waits; its ``finally`` blocks run now."""
+        """Ends the coroutine where it waits. Its ``finally`` blocks run before this returns."""
         if not self.done and not self.coroutine.gi_running:  # type: ignore[attr-defined]
-            self._leave()
-            self._end()
+            self._cancel_wait()
+            self._finish()
 
-    def _end(self, error: Exception | None = None) -> None:
+    def _finish(self, error: Exception | None = None) -> None:
         self.done = True
-        self._loop.ended(self, error)
+        self._loop.task_ended(self, error)
         try:
             self.coroutine.close()
-        except Exception as last:  # noqa: BLE001 - last lines that fail must not keep others from theirs
-            self._loop.ended(self, last)
+        except Exception as close_error:  # noqa: BLE001 - a failing ``finally`` must not stop other tasks' cleanup
+            self._loop.task_ended(self, close_error)
 
-    def _leave(self) -> None:
+    def _cancel_wait(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if self._wait is not None:
-            self._loop.forget(self._wait.fd, self._resume, self.turn)
+            self._loop.unwatch(self._wait.fd, self._resume, self.wait_id)
             self._wait = None
 
-    def _resume(self, turn: int, ready: bool) -> None:
-        if self.done or turn != self.turn:
+    def _resume(self, wait_id: int, ready: bool) -> None:
+        if self.done or wait_id != self.wait_id:
             return
-        self._leave()
-        self.turn += 1
+        self._cancel_wait()
+        self.wait_id += 1
         self._loop.current = self
         try:
-            wait = self.coroutine.send(ready) if turn else next(self.coroutine)
+            wait = self.coroutine.send(ready) if wait_id else next(self.coroutine)
         except StopIteration:
             self.done = True
-            self._loop.ended(self)
+            self._loop.task_ended(self)
             return
-        except Exception as error:  # noqa: BLE001 - one failed connection must not end the program
+        except Exception as error:  # noqa: BLE001 - one failed task must not end the process
             self.done = True
-            self._loop.ended(self, error)
+            self._loop.task_ended(self, error)
             return
         finally:
             self._loop.current = None
         self._wait = wait
-        self._timer = self._loop.call_at(wait.until, self._resume, self.turn, False)
+        self._timer = self._loop.call_at(wait.until, self._resume, self.wait_id, False)
         if wait.fd >= 0:
-            self._watch(wait, self.turn)
+            self._watch(wait, self.wait_id)
 
-    def _watch(self, wait: Wait, turn: int) -> None:
-        if self.done or turn != self.turn:
+    def _watch(self, wait: Wait, wait_id: int) -> None:
+        if self.done or wait_id != self.wait_id:
             return
         try:
-            self._loop.watch(wait.fd, wait.mask, self._resume, turn)
+            self._loop.watch(wait.fd, wait.mask, self._resume, wait_id)
         except OSError as error:
-            if meaning_of(error) is Meaning.HERE:
-                # danger: ended for a moment's lack, a listener would never take anybody in again
-                self._loop.call_at(self._loop.now() + _WATCH_AGAIN, self._watch, wait, turn)
+            if origin_of(error) is ErrorOrigin.LOCAL:
+                # If a temporary lack of memory ended the task of a listener, no further connection would
+                # ever be accepted.
+                self._loop.call_at(self._loop.now() + _WATCH_RETRY_PAUSE, self._watch, wait, wait_id)
                 return
-            # danger: nothing would ever resume it, and what it holds would stay taken
-            self._leave()
-            self._end(error)
+            # Nothing would ever resume the task, and the resources that it holds would leak.
+            self._cancel_wait()
+            self._finish(error)
 
 
 class _Watch(NamedTuple):
-    """Who is called when a descriptor is ready."""
+    """The call to make when a descriptor is ready."""
 
     call: Callable[[int, bool], None]
-    turn: int  # the task's
-    since: int  # the loop's turn in which it began
+    wait_id: int  # of the task
+    iteration: int  # of the loop, in which the watch was registered
 
 
 class Loop:
     """Runs tasks and timers until stopped."""
 
     def __init__(self, on_error: Callable[[Exception], None]) -> None:
-        # danger: list entries carry Unix times, and the module's clock may not go back when Unix time does
+        # Entries of the worker list carry Unix times, but the decision module's clock must not go back when
+        # the system clock is set back.
         self._offset = time.time_ns() - time.monotonic_ns()
         self._epoll = select.epoll()
         self._watched: dict[int, _Watch] = {}
-        self._turns = 0
+        self._iteration = 0
         self._timers: list[tuple[int, int, Timer]] = []
-        self._count = itertools.count()
-        self._soon: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
+        self._timer_numbers = itertools.count()
+        self._ready: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._on_error = on_error
         self.stopped = False
         self._closed = False
         self._tasks: set[Task] = set()
         self.current: Task | None = None  # the task that runs now
-        self._sweep_at = _SWEEP_AT
+        self._compact_at = _MIN_COMPACT_SIZE
         self._wake_read, self._wake_write = os.pipe()
         os.set_blocking(self._wake_read, False)
         os.set_blocking(self._wake_write, False)
@@ -156,123 +159,135 @@
 
     @property
     def wake_fd(self) -> int:
-        """For ``signal.set_wakeup_fd``: a byte written here ends the poll."""
+        """Descriptor for ``signal.set_wakeup_fd``: a byte written to it ends the poll."""
         return self._wake_write
 
     def now(self) -> int:
-        """Unix time at the start and monotonic progress since, in nanoseconds."""
+        """Unix time at the creation of the loop plus the monotonic time since then, in ns."""
         return self._offset + time.monotonic_ns()
 
     @property
-    def pending(self) -> int:
-        """Timers that are kept, cancelled ones included."""
+    def timer_count(self) -> int:
+        """Number of timers in the heap, including cancelled ones."""
         return len(self._timers)
 
     def spawn(self, coroutine: Coroutine[None]) -> Task:
+        """Starts a coroutine after the code that is running now."""
         task = Task(self, coroutine)
         self._tasks.add(task)
-        self.soon(task._resume, 0, True)
+        self.call_soon(task._resume, 0, True)
         return task
 
-    def soon(self, call: Callable[..., None], *args: Any) -> None:
-        """Calls in this turn of the loop, after what runs now."""
-        self._soon.append((call, args))
+    def call_soon(self, call: Callable[..., None], *args: Any) -> None:
+        """Schedules a call without delay, after the code that is running now."""
+        self._ready.append((call, args))
 
     def call_at(self, due: int, call: Callable[..., None], *args: Any) -> Timer:
+        """Schedules a call for ``due`` (ns). Calls that are due at the same time run in the order in which
+        they were scheduled."""
         timer = Timer(call, args)
-        heappush(self._timers, (due, next(self._count), timer))
+        heappush(self._timers, (due, next(self._timer_numbers), timer))
         return timer
 
-    def watch(self, fd: int, mask: int, call: Callable[[int, bool], None], turn: int) -> None:
-        """Calls when the descriptor is ready, from the next turn on; an OSError if it can't be watched."""
+    def watch(self, fd: int, mask: int, call: Callable[[int, bool], None], wait_id: int) -> None:
+        """Registers a call for when the descriptor is ready, from the next iteration on. Raises OSError if
+        epoll rejects the descriptor."""
         self._epoll.register(fd, mask)
-        self._watched[fd] = _Watch(call, turn, self._turns)
+        self._watched[fd] = _Watch(call, wait_id, self._iteration)
 
-    def forget(self, fd: int, call: Callable[[int, bool], None], turn: int) -> None:
-        """Danger: after a close, the number may be another one's, which stays watched for it."""
+    def unwatch(self, fd: int, call: Callable[[int, bool], None], wait_id: int) -> None:
+        """Ends a watch. After a close, the descriptor's number may have been reused: then the watch of the
+        new owner stays, as ``call`` and ``wait_id`` don't match."""
         found = self._watched.get(fd)
-        if found is None or found.call != call or found.turn != turn:
+        if found is None or found.call != call or found.wait_id != wait_id:
             return
         del self._watched[fd]
         try:
             self._epoll.unregister(fd)
         except OSError:
-            return  # closed while it was watched: epoll has let go of it by itself
+            return  # closed while it was watched: epoll has already removed it
 
-    def ended(self, task: Task, error: Exception | None = None) -> None:
+    def task_ended(self, task: Task, error: Exception | None = None) -> None:
+        """Removes a task that has ended; reports the error that ended it."""
         self._tasks.discard(task)
         if error is not None:
-            self._tell(error)
+            self._report_error(error)
 
     def stop(self) -> None:
+        """Makes ``run`` return after the current iteration."""
         self.stopped = True
 
     def run(self) -> None:
-        """Runs until ``stop``."""
+        """Runs iterations until ``stop`` is called."""
         while not self.stopped:
-            self.turn()
+            self.run_once()
 
     def fileno(self) -> int:
-        """A descriptor that is readable when one of the watched ones is ready: for a poll over many loops."""
+        """The epoll descriptor, readable when a watched one is ready: for polling several loops at once."""
         return self._epoll.fileno()
 
-    def idle_for(self) -> float:
-        """Seconds until the next timer is due, 0 if something waits to be run."""
-        return self._poll_time()
+    def poll_timeout_s(self) -> float:
+        """Seconds until the next timer is due; 0 if a scheduled call is ready to run."""
+        return self._poll_timeout_s()
 
-    def turn(self, *, wait: bool = True) -> None:
-        """Waits for what comes next, unless ``wait`` is off, and runs all that is due."""
-        self._turns += 1
-        for fd, _ in self._epoll.poll(self._poll_time() if wait else 0.0):
+    def run_once(self, *, wait: bool = True) -> None:
+        """Runs one iteration: polls, waiting for the next event if ``wait`` is set, then runs all calls that
+        are due."""
+        self._iteration += 1
+        for fd, _ in self._epoll.poll(self._poll_timeout_s() if wait else 0.0):
             if fd == self._wake_read:
                 with suppress(BlockingIOError):
                     os.read(fd, 4096)
                 continue
             found = self._watched.get(fd)
-            # danger: a call may close a descriptor whose event is still to come in this turn, and the next
-            # socket gets its number: a connection on its way would be taken for one that is up
-            if found is not None and found.since != self._turns:
-                self._guarded(found.call, (found.turn, True))
+            # A call may close a descriptor whose event is still to be handled in this iteration, and a new
+            # socket may reuse its number. Taken for the new socket's, the event would make a connection in
+            # progress look established.
+            if found is not None and found.iteration != self._iteration:
+                self._call_safely(found.call, (found.wait_id, True))
         now = self.now()
         due: list[Timer] = []
         while self._timers and self._timers[0][0] <= now:
             due.append(heappop(self._timers)[2])
-        # danger: what these set for a time that is past waits for the next turn; else it would keep
-        # descriptors waiting, for ever where each sets the next
+        # Timers that these calls set for a time in the past wait for the next iteration. Otherwise a timer
+        # that always sets the next one would keep the loop from polling descriptors.
         for timer in due:
             if timer.call is not None:
-                self._guarded(timer.call, timer.args)
-        for _ in range(len(self._soon)):
-            self._guarded(*self._soon.popleft())
-        if len(self._timers) > self._sweep_at:
-            # danger: each wait leaves a cancelled timer with a far-off time; unswept, the heap grows
+                self._call_safely(timer.call, timer.args)
+        for _ in range(len(self._ready)):
+            self._call_safely(*self._ready.popleft())
+        if len(self._timers) > self._compact_at:
+            # Each wait leaves a cancelled timer that may be due much later; the heap would grow without
+            # limit.
             self._timers = sorted(item for item in self._timers if item[2].call is not None)
-            self._sweep_at = max(_SWEEP_AT, 2 * len(self._timers))
+            self._compact_at = max(_MIN_COMPACT_SIZE, 2 * len(self._timers))
 
-    def _guarded(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Danger: one event that something fails on must not end the program and all it has taken."""
+    def _call_safely(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
+        """Makes a call and reports its exception: one failing event must not end the process and lose all
+        accepted jobs."""
         try:
             call(*args)
-        except Exception as error:  # noqa: BLE001 - whatever fails is logged, and the loop goes on
-            self._tell(error)
+        except Exception as error:  # noqa: BLE001 - any failure is reported, and the loop continues
+            self._report_error(error)
 
-    def _tell(self, error: Exception) -> None:
-        """Danger: a log that can't be written, with its reader gone, must not end the program either."""
+    def _report_error(self, error: Exception) -> None:
+        """Passes an error to ``on_error``. A failure there is ignored: a log whose reader is gone must not
+        end the process."""
         with suppress(Exception):
             self._on_error(error)
 
-    def _poll_time(self) -> float:
-        if self._soon:
+    def _poll_timeout_s(self) -> float:
+        if self._ready:
             return 0.0
         while self._timers and self._timers[0][2].call is None:
             heappop(self._timers)
         if not self._timers:
-            return _LONGEST_POLL_S
-        return min(_LONGEST_POLL_S, max(0.0, (self._timers[0][0] - self.now()) / SECOND))
+            return _MAX_POLL_S
+        return min(_MAX_POLL_S, max(0.0, (self._timers[0][0] - self.now()) / SECOND))
 
     def close(self) -> None:
-        """Ends every task and lets go of the descriptors, once."""
-        if self._closed:  # danger: the numbers may be another one's by now
+        """Cancels all tasks and closes the loop's descriptors. Further calls have no effect."""
+        if self._closed:  # the descriptors' numbers may have been reused by now
             return
         self._closed = True
         for task in list(self._tasks):
@@ -283,5 +298,5 @@
 
 
 def sleep(until: int) -> Coroutine[bool]:
-    """Waits until a time; True if woken before it."""
+    """Waits until a time (ns). Returns True if the task was woken earlier."""
     return (yield Wait(-1, 0, until))
--- a/ironbarrow/runtime/retry.py
+++ b/ironbarrow/runtime/retry.py
@@ -1,27 +1,31 @@
-"""Calls of the start that are made again where this machine lacks something for a moment. They may block."""
+"""Retries blocking calls during start-up that fail for a temporary lack of local resources."""
 
 import errno
 import time
 from collections.abc import Callable
 from typing import TypeVar
 
-from ironbarrow.runtime.errors import Meaning, meaning_of
+from ironbarrow.runtime.errors import ErrorOrigin, origin_of
 
 T = TypeVar("T")
 
-START_LIMIT_S = 5.0
-_PAUSE_S = 0.02
+START_TIMEOUT_S = 5.0
+_RETRY_PAUSE_S = 0.02
 
 
-def until_it_goes(call: Callable[[], T], limit_s: float = START_LIMIT_S) -> T:
-    """What the call gives back. An OSError that tells of more than a moment's lack passes on, as does one
-    after ``limit_s`` seconds; an address that is in use is no such lack."""
-    last = time.monotonic() + limit_s
+def retry_transient(call: Callable[[], T], timeout_s: float = START_TIMEOUT_S) -> T:
+    """Returns the result of ``call``, which is repeated while it fails for a temporary lack of local
+    resources.
+
+    Raises the OSError of any other failure, an address in use included, and the last one once ``timeout_s``
+    seconds have passed. Blocks meanwhile.
+    """
+    deadline = time.monotonic() + timeout_s
     while True:
         try:
             return call()
         except OSError as error:
-            momentary = meaning_of(error) is Meaning.HERE and error.errno != errno.EADDRINUSE
-            if not momentary or time.monotonic() >= last:
+            transient = origin_of(error) is ErrorOrigin.LOCAL and error.errno != errno.EADDRINUSE
+            if not transient or time.monotonic() >= deadline:
                 raise
-        time.sleep(_PAUSE_S)
+        time.sleep(_RETRY_PAUSE_S)
--- a/ironbarrow/runtime/sockets.py
+++ b/ironbarrow/runtime/sockets.py
@@ -1,4 +1,4 @@
-"""Addresses and TCP sockets, none of which ever blocks."""
+"""Addresses and non-blocking TCP sockets."""
 
 import errno
 import select
@@ -7,8 +7,8 @@
 
 Address = tuple[str, int]
 _BACKLOG = 1024
-# that one connection broke before it was accepted, with what accept(2) passes on from the network
-_BROKEN = frozenset(
+# errors of accept(2) that concern one connection, which failed before it was accepted; the listener is fine
+_CONNECTION_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
         errno.ECONNRESET,
@@ -21,38 +21,34 @@
         errno.EHOSTUNREACH,
         errno.ENETUNREACH,
         errno.ETIMEDOUT,
-        errno.EPERM,  # a firewall's rule
+        errno.EPERM,  # rejected by a firewall rule
     )
 )
-_MOST_BROKEN = 16  # in a row: the listener is ready again if there are more
+_MAX_FAILED_ACCEPTS = 16  # in a row; if there are more, the listener stays readable and is polled again
 
 
-def parse_address(text: str, least_port: int = 1) -> Address:
-    """``host:port``, as a socket wants it; a ValueError says what is wrong."""
+def parse_address(text: str, min_port: int = 1) -> Address:
+    """Parses ``host:port``. Raises ValueError if the text is malformed or the port is out of range."""
     host, colon, port = text.rpartition(":")
-    if (
-        not colon
-        or not host
-        or not port.isascii()
-        or not port.isdigit()
-        or not least_port <= int(port) < 65536
-    ):
+    if not colon or not host or not port.isascii() or not port.isdigit() or not min_port <= int(port) < 65536:
         raise ValueError(f"not host:port: {text[:80]!r}")
     return host, int(port)
 
 
 def stream_socket(address: Address) -> socket.socket:
-    """A new non-blocking TCP socket of the address's family; an OSError if there is none left."""
+    """A new non-blocking TCP socket of the address's family. Raises OSError, e.g. without descriptors
+    left."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     return sock
 
 
-def listen(address: Address, *, shared: bool = False) -> socket.socket:
-    """A listening socket; ``shared``: others may listen at the same address. An OSError if it can't be."""
+def listen(address: Address, *, reuse_port: bool = False) -> socket.socket:
+    """A listening socket. ``reuse_port`` allows other processes to listen on the same address. Raises OSError
+    if the address can't be bound."""
     sock = stream_socket(address)
     try:
-        if shared:
+        if reuse_port:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
@@ -63,15 +59,16 @@
     return sock
 
 
-def send_at_once(sock: socket.socket) -> None:
-    """Small writes are not held back. A connection that can't have this is used all the same."""
+def disable_nagle(sock: socket.socket) -> None:
+    """Turns off Nagle's algorithm, so that small writes are sent at once. Errors are ignored: the connection
+    works without it, too."""
     with suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def has_waiting(listener: socket.socket) -> bool:
-    """Whether a connection waits to be accepted; True where that can't be told."""
-    poll = select.poll()  # select() knows no descriptor of 1,024 or more
+def has_pending_connection(listener: socket.socket) -> bool:
+    """Whether a connection waits to be accepted; True if that can't be determined."""
+    poll = select.poll()  # select() does not support descriptors from 1024 on
     poll.register(listener, select.POLLIN)
     try:
         return bool(poll.poll(0))
@@ -80,22 +77,21 @@
 
 
 def accept(listener: socket.socket) -> socket.socket | None:
-    """The next connection that came in, or None; an OSError for want of descriptors, or for a listener that
-    can't accept any more, passes on.
+    """Accepts the next pending connection; None if there is none.
 
-    Danger: tried again at once for whatever goes wrong, a listener that is closed would never let the loop
-    go on.
+    Raises OSError if no descriptors are left or the listener can't accept any more. Such errors are not
+    retried here: with a closed listener, that would block the event loop for ever.
     """
-    for _ in range(_MOST_BROKEN):
+    for _ in range(_MAX_FAILED_ACCEPTS):
         try:
             sock, _address = listener.accept()
         except BlockingIOError:
             return None
         except OSError as error:
-            if error.errno not in _BROKEN:
+            if error.errno not in _CONNECTION_ERRORS:
                 raise
             continue
         sock.setblocking(False)
-        send_at_once(sock)
+        disable_nagle(sock)
         return sock
     return None
--- a/ironbarrow/transport/http.py
+++ b/ironbarrow/transport/http.py
@@ -10,7 +10,7 @@
 
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.runtime import sockets
-from ironbarrow.runtime.errors import Meaning, meaning_of
+from ironbarrow.runtime.errors import ErrorOrigin, origin_of
 from ironbarrow.runtime.loop import READ, WRITE, Coroutine, Wait
 from ironbarrow.runtime.sockets import Address
 from ironbarrow.wire.http import (
@@ -32,7 +32,7 @@
 
 def _failed(error: OSError) -> ConnectionEndedError:
     """How a connection has ended whose read or write failed."""
-    by_peer = meaning_of(error) is Meaning.PEER
+    by_peer = origin_of(error) is ErrorOrigin.PEER
     return ConnectionEndedError(Ending.RESET if by_peer else Ending.UNREACHABLE, str(error))
 
 
@@ -41,10 +41,10 @@
     if number == errno.ETIMEDOUT:
         return ConnectionEndedError(Ending.CONNECT_TIMED_OUT)
     ending = {
-        Meaning.PEER: Ending.CONNECT_REFUSED,
-        Meaning.WAY: Ending.UNREACHABLE,
-        Meaning.HERE: Ending.FAILED_HERE,
-    }[meaning_of(OSError(number, ""))]
+        ErrorOrigin.PEER: Ending.CONNECT_REFUSED,
+        ErrorOrigin.NETWORK: Ending.UNREACHABLE,
+        ErrorOrigin.LOCAL: Ending.FAILED_HERE,
+    }[origin_of(OSError(number, ""))]
     return ConnectionEndedError(ending, errno.errorcode.get(number, str(number)))
 
 
@@ -83,7 +83,7 @@
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
         except OSError as error:
-            return meaning_of(error) is not Meaning.HERE
+            return origin_of(error) is not ErrorOrigin.LOCAL
 
     def is_silent(self) -> bool:
         """Whether the idle connection is still open with nothing to read."""
@@ -122,7 +122,7 @@
             try:
                 data = self.sock.recv(_CHUNK)
             except OSError as error:
-                return meaning_of(error) is Meaning.HERE
+                return origin_of(error) is ErrorOrigin.LOCAL
             if not data:
                 return False
             if self.thrown_away or len(data) > min(room, _AHEAD_MOST - len(self._ahead)):
@@ -181,7 +181,7 @@
                 try:
                     return self.sock.recv(_CHUNK)
                 except OSError as error:
-                    if meaning_of(error) is not Meaning.HERE:
+                    if origin_of(error) is not ErrorOrigin.LOCAL:
                         raise _failed(error) from None
             self._reads = 0
             if not (yield Wait(self.sock.fileno(), READ, until)):
@@ -273,7 +273,7 @@
             try:
                 sent = self.sock.send(rest)
             except OSError as error:
-                if meaning_of(error) is not Meaning.HERE:
+                if origin_of(error) is not ErrorOrigin.LOCAL:
                     raise _failed(error) from None
             else:
                 rest = rest[sent:]
@@ -331,7 +331,7 @@
     except OSError as error:
         raise ConnectionEndedError(Ending.FAILED_HERE, str(error)) from None
     try:
-        sockets.send_at_once(sock)
+        sockets.disable_nagle(sock)
         number = sock.connect_ex(address)
         if number == errno.EINPROGRESS:
             poll = select.poll()
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -161,7 +161,7 @@
         end = time.monotonic() + seconds
         while not loop.stopped and time.monotonic() < end:
             loop.call_at(loop.now() + int(1e9 * max(0.0, min(0.002, end - time.monotonic()))), lambda: None)
-            loop.turn()
+            loop.run_once()
             for peer in self.peers.values():
                 peer.look()
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -399,7 +399,7 @@
     steps(stage, f"c1 silent 10\nc1 send {READY * 200}")
     turns = 0
     while stage.peers["c1"].seen.count(b"200 OK") < 200:
-        stage.dispatcher.loop.turn()
+        stage.dispatcher.loop.run_once()
         stage.peers["c1"].look()
         turns += 1
         assert turns < 1000
@@ -419,7 +419,7 @@
     host, most = stage.dispatcher.host, 0
     while host._numbers < 200:
         before = host._numbers
-        stage.dispatcher.loop.turn()
+        stage.dispatcher.loop.run_once()
         most = max(most, host._numbers - before)
         if before < 100 <= host._numbers:
             for peer in peers:
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -88,7 +88,7 @@
             assert not self.errors, self.errors
             assert self.loop.now() < end, "not in time"
             self.loop.call_at(self.loop.now() + 5 * MS, lambda: None)
-            self.loop.turn()
+            self.loop.run_once()
 
     def run(self, seconds: float) -> None:
         end = self.loop.now() + int(seconds * SECOND)
@@ -188,7 +188,7 @@
     a.add(failing)
     end = bench.loop.now() + SECOND // 2
     while bench.loop.now() < end:
-        bench.loop.turn()
+        bench.loop.run_once()
     assert 2 <= failing.tries <= 12
     assert {type(error) for error in bench.errors} == {KeyError}
     bench.errors.clear()
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -59,7 +59,7 @@
         until = self.loop.now() + length_ms * MS
         while self.loop.now() < until:
             self.loop.call_at(self.loop.now() + MS, lambda: None)
-            self.loop.turn()
+            self.loop.run_once()
 
     def say(self, end: socket.socket, numbers: range) -> None:
         end.sendall(b"".join(len(b"%d" % n).to_bytes(4, "big") + b"%d" % n for n in numbers))
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -379,7 +379,7 @@
         for part in parts:
             if not part.loop.stopped:
                 part.loop.call_at(part.loop.now() + int(seconds * 1e9 / 8), lambda: None)
-                part.loop.turn()
+                part.loop.run_once()
         for peer in self.peers.values():
             peer.look()
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -64,7 +64,7 @@
             if self.new is not None:
                 for _ in range(4):
                     self.new.loop.call_at(self.new.loop.now(), lambda: None)
-                    self.new.loop.turn()
+                    self.new.loop.run_once()
                 for peer in self.peers.values():
                     peer.look()
 
@@ -337,7 +337,7 @@
     again._upgrade.stray({"id": "j1", "from": "p1", "state": "done", "result": "out"})
 
     def is_sent() -> bool:
-        again.loop.turn(wait=False)
+        again.loop.run_once(wait=False)
         return not channel._waiting
 
     pair.until("sent after all", is_sent)
--- a/tests/test_invoker.py
+++ b/tests/test_invoker.py
@@ -625,7 +625,7 @@
         heapq.heappush(self._timers, (due, next(self._count), timer))
         return timer
 
-    def soon(self, call: Callable[..., None], *args: Any) -> None:
+    def call_soon(self, call: Callable[..., None], *args: Any) -> None:
         self.call_at(self._now, call, *args)
 
     def run(self, until: int) -> None:
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The loop: its clock, timers and tasks."""
+"""Tests of the event loop (clock, timers, tasks, descriptor watches) and of accepting connections."""
 
 import errno
 import os
@@ -17,13 +17,13 @@
 def test_the_clock_is_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     loop = Loop(print)
     assert abs(loop.now() - time.time_ns()) < 60 * SECOND
-    monkeypatch.setattr(time, "time_ns", lambda: 0)  # somebody sets the clock back
+    monkeypatch.setattr(time, "time_ns", lambda: 0)  # the system clock is set back
     seen = [loop.now() for _ in range(100)]
     assert all(a <= b for a, b in pairwise(seen))
     loop.close()
 
 
-def test_a_task_that_fails_ends_alone() -> None:
+def test_a_failing_task_does_not_stop_the_loop() -> None:
     errors: list[Exception] = []
     loop = Loop(errors.append)
     after: list[str] = []
@@ -33,14 +33,14 @@
         raise KeyError("broken")
 
     loop.spawn(failing())
-    loop.call_at(loop.now() + 20_000_000, lambda: (after.append("on"), loop.stop()))
+    loop.call_at(loop.now() + 20_000_000, lambda: (after.append("still running"), loop.stop()))
     loop.run()
     assert [type(error) for error in errors] == [KeyError]
-    assert after == ["on"]
+    assert after == ["still running"]
     loop.close()
 
 
-def test_a_wait_ends_by_data_by_time_or_by_a_wake() -> None:
+def test_a_wait_ends_by_data_by_timeout_or_by_a_wake() -> None:
     loop = Loop(print)
     read, write = os.pipe()
     found: list[bool] = []
@@ -49,7 +49,7 @@
         found.append((yield Wait(read, READ, loop.now() + 1)))
         os.write(write, b"x")
         found.append((yield Wait(read, READ, loop.now() + 60 * SECOND)))
-        loop.soon(task.wake)
+        loop.call_soon(task.wake)
         found.append((yield Wait(-1, 0, loop.now() + 60 * SECOND)))
         loop.stop()
 
@@ -61,19 +61,19 @@
     os.close(write)
 
 
-def test_cancelled_timers_do_not_pile_up() -> None:
-    # danger: every wait on a socket leaves a cancelled timer whose time is far off
+def test_cancelled_timers_do_not_accumulate() -> None:
+    # Every wait on a socket leaves a cancelled timer that may be due much later.
     loop = Loop(print)
     for _ in range(20_000):
         loop.call_at(loop.now() + 3600 * SECOND, print).cancel()
-        if loop.pending > 5_000:
+        if loop.timer_count > 5_000:
             loop.call_at(loop.now(), lambda: None)
-            loop.turn()
-    assert loop.pending < 10_000
+            loop.run_once()
+    assert loop.timer_count < 10_000
     loop.close()
 
 
-def test_a_cancelled_task_runs_its_last_lines() -> None:
+def test_a_cancelled_task_runs_its_finally_blocks() -> None:
     loop = Loop(print)
     ended: list[str] = []
 
@@ -85,44 +85,46 @@
 
     task = loop.spawn(waiting())
     loop.call_at(loop.now(), lambda: None)
-    loop.turn()
+    loop.run_once()
     task.cancel()
     task.cancel()
     assert ended == ["ended"]
     loop.close()
 
 
-def test_an_event_for_a_closed_descriptor_is_not_told_to_the_next_one_with_its_number() -> None:
-    # danger: a connection on its way would be taken for one that is up
+def test_an_event_for_a_closed_descriptor_does_not_reach_a_new_one_with_its_number() -> None:
+    # A connection in progress would be taken for an established one.
     loop = Loop(print)
     ends = [os.pipe() for _ in range(2)]
     told: list[str] = []
     opened: list[int] = []
 
-    def first(turn: int, ready: bool) -> None:
-        """Ends the other one, whose event is in the same batch, and opens one under its number."""
+    def first(wait_id: int, ready: bool) -> None:
+        """Closes the other descriptor, whose event is in the same batch, and opens a new one with its
+        number."""
         told.append("first")
-        (mine, other) = (ends[0][0], ends[1][0]) if turn == 0 else (ends[1][0], ends[0][0])
-        loop.forget(mine, first, turn)
-        loop.forget(other, first, 1 - turn)
+        (mine, other) = (ends[0][0], ends[1][0]) if wait_id == 0 else (ends[1][0], ends[0][0])
+        loop.unwatch(mine, first, wait_id)
+        loop.unwatch(other, first, 1 - wait_id)
         os.close(other)
         opened.extend(os.pipe())
-        assert other in opened, "the lowest number free is taken"
-        loop.watch(other, READ, lambda turn, ready: told.append("new"), 7)
+        assert other in opened, "the system assigns the lowest free number"
+        loop.watch(other, READ, lambda wait_id, ready: told.append("new"), 7)
 
-    for turn, (read, write) in enumerate(ends):
+    for wait_id, (read, write) in enumerate(ends):
         os.write(write, b"x")
-        loop.watch(read, READ, first, turn)
-    loop.soon(lambda: None)
-    loop.turn()
+        loop.watch(read, READ, first, wait_id)
+    loop.call_soon(lambda: None)
+    loop.run_once()
     assert told == ["first"]
     loop.close()
     for fd in {*ends[0], *ends[1], *opened}:
         os.close(fd)
 
 
-def test_a_watch_is_kept_when_who_had_the_number_before_lets_go() -> None:
-    # danger: closed by another one, a descriptor leaves its number to one whose watch would be lost
+def test_a_watch_is_kept_when_the_previous_owner_of_the_number_ends_its_own() -> None:
+    # A descriptor that is closed while a task still waits for it frees its number for a new one, whose watch
+    # would be removed when that task ends.
     loop = Loop(print)
     old, old_write = os.pipe()
     resumed: list[str] = []
@@ -131,27 +133,27 @@
         if (yield Wait(fd, READ, loop.now() + 60 * SECOND)):
             resumed.append(name)
 
-    def turn() -> None:
-        loop.soon(lambda: None)
-        loop.turn()
+    def iterate() -> None:
+        loop.call_soon(lambda: None)
+        loop.run_once()
 
-    before = loop.spawn(waiting("old", old))
-    turn()
+    old_task = loop.spawn(waiting("old", old))
+    iterate()
     os.close(old)
     new, new_write = os.pipe()
     assert new == old
     loop.spawn(waiting("new", new))
-    turn()
-    before.cancel()
+    iterate()
+    old_task.cancel()
     os.write(new_write, b"x")
-    turn()
+    iterate()
     assert resumed == ["new"]
     loop.close()
     for fd in (old_write, new, new_write):
         os.close(fd)
 
 
-def _closed_number() -> int:
+def _closed_descriptor() -> int:
     read, write = os.pipe()
     os.close(read)
     os.close(write)
@@ -159,9 +161,9 @@
 
 
 def _fails(loop: Loop, ends: tuple[int, int]) -> None:
-    def call(turn: int, ready: bool) -> None:
-        loop.forget(ends[0], call, turn)
-        raise KeyError("a watcher")
+    def call(wait_id: int, ready: bool) -> None:
+        loop.unwatch(ends[0], call, wait_id)
+        raise KeyError("failing watch")
 
     os.write(ends[1], b"x")
     loop.watch(ends[0], READ, call, 0)
@@ -178,8 +180,8 @@
 
 
 @pytest.mark.parametrize("log_fails", [False, True])
-@pytest.mark.parametrize("case", ["a watcher fails", "a closed descriptor", "a descriptor of another one's"])
-def test_what_fails_on_a_descriptor_does_not_end_the_loop(case: str, log_fails: bool) -> None:
+@pytest.mark.parametrize("case", ["a failing call", "a closed descriptor", "a descriptor watched by another"])
+def test_a_failure_on_a_descriptor_does_not_end_the_loop(case: str, log_fails: bool) -> None:
     errors: list[Exception] = []
 
     def on_error(error: Exception) -> None:
@@ -190,12 +192,12 @@
     loop = Loop(on_error)
     ends = os.pipe()
     ended: list[str] = []
-    if case == "a watcher fails":
+    if case == "a failing call":
         _fails(loop, ends)
         kind: type[Exception] = KeyError
         ended.append("second")
     elif case == "a closed descriptor":
-        _waits_for(loop, _closed_number(), lambda: ended.append("second"))
+        _waits_for(loop, _closed_descriptor(), lambda: ended.append("second"))
         kind = OSError
     else:
         _waits_for(loop, ends[0], lambda: ended.append("first"))
@@ -204,29 +206,29 @@
     loop.call_at(loop.now() + SECOND // 50, loop.stop)
     loop.run()
     assert [isinstance(error, kind) for error in errors] == [True]
-    assert ended == ["second"], "its own last lines have run, and those of the first one have not"
+    assert ended == ["second"], "the failed task's finally block has run, and the first task's has not"
     loop.close()
     for fd in ends:
         os.close(fd)
 
 
-def test_a_descriptor_closed_under_a_wait_is_let_go_of() -> None:
+def test_closing_the_loop_after_a_watched_descriptor_was_closed_raises_no_error() -> None:
     errors: list[Exception] = []
     loop = Loop(errors.append)
     read, write = os.pipe()
     ended: list[str] = []
     _waits_for(loop, read, lambda: ended.append("ended"))
-    loop.soon(lambda: None)
-    loop.turn()
+    loop.call_soon(lambda: None)
+    loop.run_once()
     os.close(read)
     loop.close()
-    loop.close()  # danger: done twice, it would close what others have under these numbers by now
+    loop.close()  # a second close must not close descriptors that have reused the loop's numbers
     assert ended == ["ended"]
     assert errors == []
     os.close(write)
 
 
-def test_last_lines_that_fail_leave_the_others_theirs() -> None:
+def test_a_failing_finally_block_does_not_keep_other_tasks_from_theirs() -> None:
     errors: list[Exception] = []
     loop = Loop(errors.append)
     ended: list[str] = []
@@ -235,17 +237,18 @@
         ended.append("failed")
         raise KeyError
 
-    for last in (fails, lambda: ended.append("ended"), fails):
-        _waits_for(loop, -1, last)
-    loop.soon(lambda: None)
-    loop.turn()
+    for cleanup in (fails, lambda: ended.append("ended"), fails):
+        _waits_for(loop, -1, cleanup)
+    loop.call_soon(lambda: None)
+    loop.run_once()
     loop.close()
     assert sorted(ended) == ["ended", "failed", "failed"]
     assert [type(error) for error in errors] == [KeyError, KeyError]
 
 
-def test_timers_that_are_due_at_once_leave_descriptors_their_turn() -> None:
-    # danger: a timer that sets the next one for a time that is past would keep the loop from all else
+def test_timers_that_are_due_at_once_do_not_starve_descriptors() -> None:
+    # A timer that always sets the next one for a time in the past would keep the loop from doing anything
+    # else.
     loop = Loop(print)
     read, write = os.pipe()
     os.write(write, b"x")
@@ -257,17 +260,17 @@
         loop.call_at(0, again)
 
     loop.call_at(0, again)
-    loop.watch(read, READ, lambda turn, ready: loop.stop(), 0)
+    loop.watch(read, READ, lambda wait_id, ready: loop.stop(), 0)
     loop.run()
     assert len(calls) == 1
-    loop.turn()
+    loop.run_once()
     assert len(calls) == 2
     loop.close()
     os.close(read)
     os.close(write)
 
 
-def test_timers_of_one_time_run_in_order_and_may_take_each_other_back() -> None:
+def test_timers_due_at_the_same_time_run_in_order_and_may_cancel_each_other() -> None:
     loop = Loop(print)
     calls: list[int] = []
     due = loop.now()
@@ -276,17 +279,17 @@
     loop.call_at(due - SECOND, calls.append, -1)
     loop.call_at(due, calls.append, 1)
     last = loop.call_at(due, calls.append, 2)
-    loop.turn()
-    loop.turn()
+    loop.run_once()
+    loop.run_once()
     assert calls == [-1, 0, 1, 3]
     loop.close()
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, lambda listener: listener.shutdown(socket.SHUT_RDWR)])
-def test_a_listener_that_has_ended_is_told_and_not_tried_for_ever(
+def test_accept_raises_for_a_closed_listener_and_does_not_retry_for_ever(
     end: Callable[[socket.socket], None],
 ) -> None:
-    # danger: the one thread would neither wait nor end
+    # The event loop's only thread would be blocked for ever.
     listener = listen(("127.0.0.1", 0))
     end(listener)
     with pytest.raises(OSError):
@@ -294,7 +297,7 @@
     listener.close()
 
 
-def test_connections_that_broke_before_they_were_accepted_are_passed_over(
+def test_connections_that_failed_before_they_were_accepted_are_skipped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     listener = listen(("127.0.0.1", 0))
@@ -312,12 +315,12 @@
     found.close()
     broken.extend([ConnectionAbortedError(103, "x")] * 1000)
     assert accept(listener) is None
-    assert broken, "the loop has its turn in between"
+    assert broken, "accept returns to the event loop after a limited number of failures"
     client.close()
     listener.close()
 
 
-def test_a_wait_outlasts_a_descriptor_that_can_not_be_watched_for_a_moment(
+def test_a_wait_survives_a_temporary_failure_to_watch_its_descriptor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a listener that ends for good when epoll_ctl lacks memory once (bcef66)."""
@@ -327,7 +330,7 @@
 
     def watch(*args: Any) -> None:
         if failures:
-            raise OSError(failures.pop(), "for a moment")
+            raise OSError(failures.pop(), "temporary failure")
         real(*args)
 
     def reader() -> Coroutine[None]:
@@ -336,10 +339,10 @@
 
     monkeypatch.setattr(loop, "watch", watch)
     loop.spawn(reader())
-    loop.turn(wait=False)
+    loop.run_once(wait=False)
     theirs.send(b"here")
     while not seen:
-        loop.turn()
+        loop.run_once()
     assert seen == [(True, b"here")] and failures == []
     loop.close()
     ours.close()
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -355,7 +355,7 @@
             with suppress(BlockingIOError):
                 while sock.send(b"x" * 65536):
                     pass
-            stage.dispatcher.loop.turn()
+            stage.dispatcher.loop.run_once()
             turns += 1
     except ConnectionError:
         pass
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -150,7 +150,7 @@
             pass
         loop.call_at(loop.now() + 120 * MS, loop.stop)
 
-    loop.soon(stand_still)
+    loop.call_soon(stand_still)
     loop.run()
     loop.close()
     taken = meter.take()
@@ -353,7 +353,7 @@
         limit = loop.now() + 30 * SECOND
         while not holds() and loop.now() < limit:
             loop.call_at(loop.now() + 20 * MS, lambda: None)
-            loop.turn()
+            loop.run_once()
         return holds()
 
     try:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -277,7 +277,7 @@
         monkeypatch.setattr(Clients, "close_idle", fail)
     else:
         monkeypatch.setattr("ironbarrow.daemon.dispatcher.log", SimpleNamespace(info=fail, error=fail))
-    stage.dispatcher.loop.soon(stage.dispatcher.stop)
+    stage.dispatcher.loop.call_soon(stage.dispatcher.stop)
     stage.play("exits")
 
 
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,4 +1,5 @@
-"""A loop on a clock that jumps from one timer to the next, for coroutines that wait for nothing but time."""
+"""An event loop in virtual time: its clock jumps from one timer to the next. For coroutines that use no
+descriptors."""
 
 import heapq
 import itertools
@@ -10,7 +11,7 @@
 
 
 class VirtualLoop:
-    """As much of the loop as coroutines without descriptors need, on a clock that jumps."""
+    """The part of ``Loop`` that coroutines without descriptors need, in virtual time."""
 
     def __init__(self, start: int = 0) -> None:
         self.time, self.current = start, None
@@ -25,17 +26,17 @@
         heapq.heappush(self._heap, (max(due, self.time), next(self._count), timer))
         return timer
 
-    def soon(self, call: Callable[..., None], *args: Any) -> None:
+    def call_soon(self, call: Callable[..., None], *args: Any) -> None:
         self.call_at(self.time, call, *args)
 
     def spawn(self, coroutine: Coroutine[None]) -> Task:
         task = Task(self, coroutine)  # type: ignore[arg-type]
-        self.soon(task._resume, 0, True)
+        self.call_soon(task._resume, 0, True)
         return task
 
-    def forget(self, fd: int, call: Callable[[int, bool], None], turn: int) -> None: ...
+    def unwatch(self, fd: int, call: Callable[[int, bool], None], wait_id: int) -> None: ...
 
-    def ended(self, task: Task, error: Exception | None = None) -> None:
+    def task_ended(self, task: Task, error: Exception | None = None) -> None:
         if error is not None:
             raise error
 
