--- a/ironbarrow/admin/operations.py
+++ b/ironbarrow/admin/operations.py
@@ -36,13 +36,15 @@
         return self._bans.take_list(news)
 
     def is_ready(self) -> bool:
-        return self._host.listed and self.announced() and not self.stopping
+        return self._host.has_worker_list and self.announced() and not self.stopping
 
     def stats(self) -> str:
         listed = self._bans.listed
-        excluded = (self._bans.banned & listed) | (self._host.avoided & listed)
-        return self._host.figures.text(
-            in_flight=self._host.owed + self.kept(), workers_known=len(listed), workers_excluded=len(excluded)
+        excluded = (self._bans.banned & listed) | (self._host.ejected_workers & listed)
+        return self._host.metrics.render(
+            in_flight=self._host.unanswered + self.kept(),
+            workers_known=len(listed),
+            workers_excluded=len(excluded),
         )
 
     def worker_down(self, worker: str) -> bool:
@@ -73,4 +75,4 @@
     def _apply(self, banned: frozenset[str]) -> None:
         news = self._bans.set(banned)
         if news is not None:
-            self._host.workers_listed(news)
+            self._host.update_workers(news)
--- a/ironbarrow/backs/__init__.py
+++ b/ironbarrow/backs/__init__.py
@@ -1,1 +1,1 @@
-"""What carries attempts to workers."""
+"""Sending attempts to workers."""
--- a/ironbarrow/backs/delete.py
+++ b/ironbarrow/backs/delete.py
@@ -1,77 +1,83 @@
-"""One DELETE of a job at a worker, on an idle connection or a new one, and what came of it."""
+"""Sends the DELETE of a job to a worker, on an idle connection or a new one, and reports its result."""
 
 from collections import Counter
 from collections.abc import Callable
 
-from ironbarrow.backs.pool import Pools
-from ironbarrow.core.attempt import Observation, delete_answered
+from ironbarrow.backs.pool import ConnectionPools
+from ironbarrow.core.attempt import Observation, observation_of_delete_status
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.runtime.loop import MS, Coroutine, Loop, sleep
 from ironbarrow.runtime.sockets import Address
 from ironbarrow.transport.http import Connection
 
-# for the answer to a DELETE on a connection that had been idle, or of which no proof is needed; ns
-TOLD_LIMIT = 100 * MS
-_ROUND_TRIPS = 6  # at least so many times what connecting took: handshakes, the request and its answer
-_AT_ONCE = 32  # to one worker. Danger: hundreds to one that is cut off would take all descriptors
-_PAUSE = 50 * MS  # between two looks whether there are fewer
-# what no connection for a DELETE says; whatever else ended it is this machine's own trouble
-_UNSENT = {
+# for the answer to a DELETE on a reused idle connection, or to one whose answer is not needed as a proof; ns
+SHORT_DELETE_TIMEOUT = 100 * MS
+# least time for the answer, as a multiple of the time that connecting took: allows for distant workers
+_CONNECT_TIME_MULTIPLE = 6
+_MAX_CONCURRENT = 32  # per worker; hundreds to one that is cut off would use up all descriptors
+_POLL_PAUSE = 50 * MS  # between checks whether the number of concurrent DELETEs has fallen below the limit
+# the result of a DELETE by how connecting failed; any other failure is local to this machine
+_CONNECT_OBSERVATIONS = {
     Ending.CONNECT_REFUSED: Observation.DELETE_UNSENT,
     Ending.CONNECT_TIMED_OUT: Observation.DELETE_UNSENT,
 }
 
 
 class DeleteSender:
-    """Sends DELETEs. ``connect`` opens a connection to an address, for a worker and a purpose by name."""
+    """Sends DELETEs. ``connect`` opens a connection to an address; its other arguments are the worker's name
+    and the purpose of the connection, for the trace. ``in_flight`` counts the DELETEs per address."""
 
     def __init__(
-        self, loop: Loop, pools: Pools, connect: Callable[[Address, str, str], Coroutine[Connection]]
+        self,
+        loop: Loop,
+        pools: ConnectionPools,
+        connect: Callable[[Address, str, str], Coroutine[Connection]],
     ) -> None:
         self._loop, self._pools, self._connect = loop, pools, connect
-        self.under_way: Counter[Address] = Counter()
+        self.in_flight: Counter[Address] = Counter()
 
     def send(
-        self, address: Address, job_id: str, worker: str, limit: int, until: int
+        self, address: Address, job_id: str, worker: str, timeout: int, until: int
     ) -> Coroutine[Observation]:
-        """One DELETE, and what came of it. ``limit``: ns, to its answer on a new connection; ``until``: when
-        it need not be sent any more, ns."""
-        while self.under_way[address] >= _AT_ONCE:
+        """Sends one DELETE and returns its result. ``timeout``: for the answer on a new connection, ns;
+        ``until``: time (ns) from which it need not be sent any more."""
+        while self.in_flight[address] >= _MAX_CONCURRENT:
             if self._loop.now() >= until:
                 return Observation.DELETE_UNSENT
-            yield from sleep(self._loop.now() + _PAUSE)
-        self.under_way[address] += 1
+            yield from sleep(self._loop.now() + _POLL_PAUSE)
+        self.in_flight[address] += 1
         connection = self._pools.take(address, settled=False)
         try:
             if connection is not None:
-                observation = yield from self._send_on(connection, address, job_id, TOLD_LIMIT)
+                observation = yield from self._send_on(connection, address, job_id, SHORT_DELETE_TIMEOUT)
                 if observation is Observation.DELETE_ANSWERED:
                     return observation
-                # it may be cut off behind a connection that looks open, or have closed it meanwhile
+                # The worker may be cut off behind a connection that looks open, or may have closed it
+                # meanwhile.
             try:
-                asked_at = self._loop.now()
+                connect_started_at = self._loop.now()
                 connection = yield from self._connect(address, worker, "delete")
             except ConnectionEndedError as error:
-                return _UNSENT.get(error.ending, Observation.DELETE_FAILED_HERE)
-            limit = max(limit, _ROUND_TRIPS * (self._loop.now() - asked_at))
-            return (yield from self._send_on(connection, address, job_id, limit))
+                return _CONNECT_OBSERVATIONS.get(error.ending, Observation.DELETE_FAILED_HERE)
+            timeout = max(timeout, _CONNECT_TIME_MULTIPLE * (self._loop.now() - connect_started_at))
+            return (yield from self._send_on(connection, address, job_id, timeout))
         finally:
-            self.under_way[address] -= 1
-            if not self.under_way[address]:
-                del self.under_way[address]
+            self.in_flight[address] -= 1
+            if not self.in_flight[address]:
+                del self.in_flight[address]
 
     def _send_on(
-        self, connection: Connection, address: Address, job_id: str, limit: int
+        self, connection: Connection, address: Address, job_id: str, timeout: int
     ) -> Coroutine[Observation]:
-        """On that connection, which is kept for further use or closed."""
-        until = self._loop.now() + limit
+        """Sends a DELETE on this connection, which is then returned to the pool or closed."""
+        until = self._loop.now() + timeout
         headers = [("Host", "{}:{}".format(*address))]
         kept = False
         try:
             request = connection.request_bytes("DELETE", f"/jobs/{job_id}", headers)
             yield from connection.write(request, until)
             answer = yield from connection.read_message(until)
-            self._pools.put_back(address, connection)
+            self._pools.release(address, connection)
             kept = True
         except ConnectionEndedError as error:
             silent = error.ending is Ending.STALLED
@@ -79,4 +85,4 @@
         finally:
             if not kept:
                 connection.close()
-        return delete_answered(answer.status)
+        return observation_of_delete_status(answer.status)
--- a/ironbarrow/core/__init__.py
+++ b/ironbarrow/core/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs, attempts and endings: what every front and every back shares."""
+"""Jobs, attempts and how they end: shared by all fronts and backs, whatever their protocol."""
--- a/ironbarrow/core/endings.py
+++ b/ironbarrow/core/endings.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection, or what it carried, can end; and what that says to the module."""
+"""Every way in which a connection or an attempt can end, and the outcome reported to the decision module."""
 
 from enum import Enum, auto
 
@@ -6,45 +6,45 @@
 
 
 class Ending(Enum):
-    """How it ended. For an attempt, ``outcome_of`` tells the module's word for it."""
+    """How a connection or an attempt ended. ``outcome_of`` maps it to the decision module's outcome."""
 
-    # told by the worker
+    # reported by the worker
     DONE = auto()  # call-back: done
     FAILED = auto()  # call-back: failed
     RETURNED = auto()  # call-back: returned
     LOST = auto()  # call-back: lost
-    ERROR_ANSWER = auto()  # an answer that is neither 202 nor a proof of "never ran"
-    NOT_PROCESSED = auto()  # 503 or 504 with the proof
-    # on the way there
+    ERROR_ANSWER = auto()  # an answer that is neither 202 nor a proof that the job never ran
+    NOT_PROCESSED = auto()  # 503 or 504 with the header X-Not-Processed: 1
+    # before the request was written
     FAILED_HERE = (
         auto()
-    )  # this machine lacked a descriptor, an address or memory: it says nothing of the peer
+    )  # this machine lacked a descriptor, an address or memory: says nothing about the peer
     CONNECT_REFUSED = auto()
     CONNECT_TIMED_OUT = auto()
     DRAINED = auto()  # the worker was listed as draining or gone before the first byte went out
-    # the connection itself
-    CLOSED = auto()  # the peer closed it
-    RESET = auto()  # the peer reset it
-    UNREACHABLE = auto()  # it failed with no word of the peer's, who may know nothing of that
-    STALLED = auto()  # a time limit passed in silence
+    # of the connection
+    CLOSED = auto()  # closed by the peer
+    RESET = auto()  # reset by the peer
+    UNREACHABLE = auto()  # a network error; the peer may not have noticed
+    STALLED = auto()  # no data within a time limit
     MALFORMED = auto()  # not HTTP
     TOO_LARGE = auto()  # over a size limit
-    # this side's doing
-    TIMED_OUT = auto()  # nothing came by the time-out of the attempt
+    # decided by this dispatcher
+    TIMED_OUT = auto()  # no result within the attempt's time-out
     GIVEN_UP = auto()
     NOT_SENT = auto()  # the job was over, or had no attempts or no time left
 
 
 class ConnectionEndedError(Exception):
-    """A connection that can carry nothing more, and how it ended."""
+    """A connection has ended or can't be used any more; ``ending`` says how."""
 
     def __init__(self, ending: Ending, detail: str = "", status: int = 400) -> None:
         super().__init__(f"{ending.name}: {detail}" if detail else ending.name)
         self.ending = ending
-        self.status = status  # what to answer, if the peer can still be answered
+        self.status = status  # HTTP status to answer with, if the peer can still be answered
 
 
-_BREAKS = frozenset(
+_CONNECTION_FAILURES = frozenset(
     (
         Ending.CLOSED,
         Ending.RESET,
@@ -54,9 +54,10 @@
         Ending.TOO_LARGE,
     )
 )
-# before the last byte each of them closes the connection; GIVEN_UP does too, but there the worker may be
-# well, and as a failed connection it would be set aside (``Host`` tells the two apart)
-_UNSENT = _BREAKS | {Ending.TIMED_OUT}
+# Each of these closes the connection; if that is before the last byte of the request, the job never ran.
+# GIVEN_UP closes it, too, but is not reported as a failed connection, which would suspend a worker that may
+# be healthy. ``Host`` distinguishes the two.
+_NEVER_RAN_IF_UNWRITTEN = _CONNECTION_FAILURES | {Ending.TIMED_OUT}
 
 _OUTCOMES = {
     Ending.DONE: Outcome.OK,
@@ -64,8 +65,8 @@
     Ending.ERROR_ANSWER: Outcome.ERROR,
     Ending.RETURNED: Outcome.FULL,
     Ending.NOT_PROCESSED: Outcome.FULL,
-    # danger: reported as a failed connection, a drain or a lack of own sockets would count as the
-    # worker's failure and set it aside
+    # Reported as a failed connection, a drain or a lack of sockets on this machine would count as a failure
+    # of the worker and suspend it.
     Ending.DRAINED: Outcome.FULL,
     Ending.FAILED_HERE: Outcome.FULL,
     Ending.CONNECT_REFUSED: Outcome.CONNECT_FAILED,
@@ -84,11 +85,10 @@
 
 
 def outcome_of(ending: Ending, written: bool) -> Outcome:
-    """The module's outcome. ``written``: the request's last byte had been written when it ended.
+    """The decision module's outcome. ``written``: the last byte of the request had been written.
 
-    Danger: a break proves "never ran" only before that byte; after it, a job that must not run
-    twice may have run.
+    A connection failure proves that the job never ran only before that byte. After it the job may have run.
     """
-    if ending in _UNSENT and not written:
+    if ending in _NEVER_RAN_IF_UNWRITTEN and not written:
         return Outcome.CONNECT_FAILED
     return _OUTCOMES[ending]
--- a/ironbarrow/core/host.py
+++ b/ironbarrow/core/host.py
@@ -1,8 +1,9 @@
-"""The module's host: owns jobs and attempts, feeds events, carries out actions in order.
+"""The host of the decision module (``heathway``): owns jobs and attempts, passes events to the module and
+carries out its actions in order.
 
-It knows no wire protocol. A front (``fronts``) hands in jobs and is given their final
-answers; a back (``Invoker``) carries attempts to workers and tells how they ended. Both may be of
-any protocol: the decisions and the rules are the same.
+The host depends on no wire protocol. A front (``fronts``) submits jobs and receives their final answers; a
+back (``Invoker``) sends attempts to workers and reports how they ended. The decisions and the service rules
+are the same for all protocols.
 """
 
 from collections.abc import Callable
@@ -13,103 +14,104 @@
 from heathway import api
 from heathway.logic import Dispatcher
 from ironbarrow.core import rules, trace
-from ironbarrow.core.attempt import Progress, restarted
+from ironbarrow.core.attempt import Progress, restarted_after_write
 from ironbarrow.core.endings import Ending, outcome_of
 from ironbarrow.core.event_log import EventLog
-from ironbarrow.core.jobs import NO_TERMS, Answer, Attempt, Job, Payload, Terms, Verdict
-from ironbarrow.core.metrics import Figures
+from ironbarrow.core.jobs import DEFAULT_OPTIONS, Answer, Attempt, Job, JobOptions, Payload, Verdict
+from ironbarrow.core.metrics import Metrics
 from ironbarrow.core.recent_ids import RecentIds
 from ironbarrow.runtime.clock import Clock
 
 log = structlog.get_logger()
 
-# endings that are logged: those that no party tells of
-_NOTEWORTHY = frozenset((Ending.UNREACHABLE, Ending.FAILED_HERE, Ending.LOST, Ending.MALFORMED))
-_COUNTED_AS = {Verdict.SERVED: "served", Verdict.REFUSED: "refused", Verdict.FAILED: "failed"}
+# Endings that are logged and not only counted: no other party logs or reports them.
+_LOGGED_ENDINGS = frozenset((Ending.UNREACHABLE, Ending.FAILED_HERE, Ending.LOST, Ending.MALFORMED))
+_METRIC_OUTCOMES = {Verdict.SERVED: "served", Verdict.REFUSED: "refused", Verdict.FAILED: "failed"}
 
 
-class Waits(Protocol):
-    """Who follows how long each job waits, from taken to started. All are told on the loop's thread, and may
-    be told again what they know; times in ns."""
+class WaitObserver(Protocol):
+    """Observes how long each job waits, from its arrival to its start at a worker. Called on the event loop's
+    thread; a call may be repeated. Times in ns."""
 
     def waiting(
         self, now: int, number: int, since: int, tenant: str | None, job_class: str, slots: float
     ) -> None:
-        """The job waits, ``since`` when it was taken; also one that came back and has not run."""
+        """The job waits; it arrived at ``since``. Also called when an attempt ended without having run."""
 
     def started(self, now: int, number: int) -> None:
-        """A worker runs it, or has it where workers don't tell that."""
+        """A worker runs the job, or has been sent it if the workers do not report starts."""
 
     def ended(self, now: int, number: int) -> None:
-        """Nothing more is owed of it."""
+        """The job has its final answer, or its client has disconnected."""
 
 
 class AttemptObserver(Protocol):
-    """Who follows each attempt and how it ended; told on the loop's thread."""
+    """Observes each attempt and how it ended. Called on the event loop's thread."""
 
     def sent(self, attempt: "Attempt") -> None:
-        """It goes out now."""
+        """The attempt is about to be sent."""
 
     def started(self, attempt: "Attempt") -> None:
-        """Its worker runs it; not told by all."""
+        """The worker runs the attempt. Not all workers report this."""
 
     def ended(self, attempt: "Attempt", ending: Ending, report: api.LoadReport | None) -> None:
-        """It is over, once."""
+        """The attempt is over. Called once."""
 
 
 class Invoker(Protocol):
-    """What carries attempts to workers."""
+    """Sends attempts to workers, by one protocol."""
 
     def start(self, attempt: Attempt) -> None:
-        """Sends it; ``Host.attempt_ended`` tells of its end."""
+        """Sends an attempt; its end is reported to ``Host.attempt_ended``."""
 
     def give_up(self, attempt: Attempt, ending: Ending) -> None:
-        """Calls it off at the worker, and tells ``ending`` once it is proven that the attempt is over, unless
-        another came first. The host waits for that up to the job's deadline."""
+        """Cancels an attempt at its worker. Reports ``ending`` to ``Host.attempt_ended`` once the attempt is
+        proven to be over, unless another ending is reported first. The host waits for that until the job's
+        deadline."""
 
-    def let_go(self, attempt: Attempt) -> None:
-        """Closes what it holds of an attempt; nothing is told to the worker, nor of the attempt's end."""
+    def detach(self, attempt: Attempt) -> None:
+        """Releases an attempt's resources, without telling the worker and without reporting an end."""
 
     def probe(self, worker: str) -> None:
-        """Checks a worker; ``Host.probe_ended`` tells the result."""
+        """Probes a worker; the result is reported to ``Host.probe_ended``."""
 
     def close_idle(self, worker: str) -> None:
         """Closes the idle connections to a worker."""
 
 
 class Host:
-    """Drives one dispatcher of the module on a clock."""
+    """Drives one dispatcher of the decision module on a clock."""
 
     def __init__(self, loop: Clock, settings: api.Settings, seed: int, *, traced: bool = False) -> None:
         self.loop = loop
         self.traced = traced  # each event and action is logged
         self.settings = settings
         self.invoker: Invoker
-        # begins to follow the discovery service, or stops; where the decisions say when
-        self.follow: Callable[[bool], None] | None = None
-        # told of each attempt that has ended; where others may have to go on with its job
-        self.attempt_over: Callable[[Attempt], None] | None = None
-        self.waits: Waits | None = None
+        # Starts or stops following the discovery service; set if the decision module controls that.
+        self.set_subscribed: Callable[[bool], None] | None = None
+        # Called for each attempt that has ended; set if another member may have to continue with its job.
+        self.on_attempt_ended: Callable[[Attempt], None] | None = None
+        self.wait_observer: WaitObserver | None = None
         self.attempt_observer: AttemptObserver | None = None
-        self.on_listed: Callable[[], None] | None = None  # ``workers`` has news
+        self.on_worker_list: Callable[[], None] | None = None  # ``workers`` has changed
         self._dispatcher = Dispatcher(settings, seed)
-        self.events = EventLog(loop)
-        self.figures = Figures(tuple(cls.name for cls in settings.classes))
+        self.event_log = EventLog(loop)
+        self.metrics = Metrics(tuple(job_class.name for job_class in settings.classes))
         self._jobs: dict[int, Job] = {}
-        self._by_id: dict[str, Job] = {}
-        self._may_have_run = RecentIds()
-        self._numbers = 0
-        self.end_by: int | None = None  # jobs that still come are answered by then
-        self._owed = 0
-        self._events: list[api.Event] = []
-        self._next_at = 0
-        self._planned = False
-        self._states: dict[str, api.WorkerState] = {}
-        self._starts: dict[str, int] = {}  # when each worker last started, as listed; ns
-        self._classes = {cls.name: cls for cls in settings.classes}
+        self._jobs_by_id: dict[str, Job] = {}
+        self._possibly_run_ids = RecentIds()
+        self._last_job_number = 0
+        self.answer_deadline: int | None = None  # ns; jobs that arrive from now on are answered by then
+        self._unanswered = 0
+        self._pending_events: list[api.Event] = []
+        self._next_run_at = 0
+        self._run_scheduled = False
+        self._worker_states: dict[str, api.WorkerState] = {}
+        self._worker_starts: dict[str, int] = {}  # when each worker last started, as listed; ns
+        self._classes = {job_class.name: job_class for job_class in settings.classes}
         if traced:
-            trace.begun(loop.now(), settings)
-        self._carry_out: dict[type, Callable[..., None]] = {
+            trace.log_settings(loop.now(), settings)
+        self._handlers: dict[type, Callable[..., None]] = {
             api.Send: self._send,
             api.Refuse: self._refuse,
             api.Fail: self._fail,
@@ -124,49 +126,50 @@
     # Events
 
     @property
-    def owed(self) -> int:
-        """Jobs that wait for their final answer."""
-        return self._owed
+    def unanswered(self) -> int:
+        """Number of jobs that wait for their final answer."""
+        return self._unanswered
 
     @property
-    def held_in_memory(self) -> int:
-        """Jobs that are not forgotten yet: owed their answer, or with an attempt that is still out."""
+    def jobs_in_memory(self) -> int:
+        """Number of jobs in memory: without a final answer, or with an attempt that has not ended."""
         return len(self._jobs)
 
     @property
-    def avoided(self) -> frozenset[str]:
-        """The workers that the decisions have set aside: they get a trial job now and then, at the most."""
+    def ejected_workers(self) -> frozenset[str]:
+        """The workers that the decision module has suspended. They get at most an occasional trial job."""
         return self._dispatcher.ring.aside()
 
     @property
     def workers(self) -> list[api.WorkerEntry]:
-        """The workers as they are listed now."""
+        """The current worker list."""
         return [worker.entry for worker in self._dispatcher.ring.workers]
 
     @property
     def slots_waiting(self) -> float:
-        """Slots of the jobs that wait here with no attempt out."""
+        """Number of slots needed by the jobs that wait without a live attempt."""
         jobs = self._jobs.values()
         return sum(
-            j.arrival.slots for j in jobs if not j.over and all(attempt.ended for attempt in j.attempts)
+            j.arrival.slots for j in jobs if not j.finished and all(attempt.ended for attempt in j.attempts)
         )
 
     @property
-    def listed(self) -> bool:
-        """Whether any list of workers has come in."""
-        return bool(self._states)
+    def has_worker_list(self) -> bool:
+        """Whether a worker list has been received."""
+        return bool(self._worker_states)
 
-    def knows(self, job_id: str) -> bool:
-        return job_id in self._by_id
+    def has_job(self, job_id: str) -> bool:
+        """Whether a job with this id is in memory."""
+        return job_id in self._jobs_by_id
 
     def must_not_run_again(self, job_id: str) -> bool:
-        """Whether a job of that id is over that may have run and must not run twice."""
-        return self._may_have_run.has(job_id, self.loop.now())
+        """Whether a job with this id has finished that may have run and must not run twice."""
+        return self._possibly_run_ids.has(job_id, self.loop.now())
 
-    def take(
+    def submit(
         self,
         payload: Payload,
-        answer: Callable[[Answer], None],
+        on_answer: Callable[[Answer], None],
         *,
         job_class: str,
         time_left: int,
@@ -175,17 +178,17 @@
         memory: float = 0.0,
         repeat: bool = False,
         tenant: str | None = None,
-        terms: Terms = NO_TERMS,
+        options: JobOptions = DEFAULT_OPTIONS,
         tried: tuple[str, ...] = (),
     ) -> Job:
-        """Takes a job; ``answer`` is called once, unless it is withdrawn before. ``tried``: workers that an
-        earlier process had sent it to."""
+        """Accepts a job. ``on_answer`` is called once with the final answer, unless the job is withdrawn
+        before. ``time_left``: ns; ``tried``: workers that an earlier process has sent the job to."""
         now = self.loop.now()
-        if self.end_by is not None:
-            time_left = max(self.settings.tick, min(time_left, self.end_by - now))
-        self._numbers += 1
+        if self.answer_deadline is not None:
+            time_left = max(self.settings.tick, min(time_left, self.answer_deadline - now))
+        self._last_job_number += 1
         arrival = api.JobArrived(
-            self._numbers,
+            self._last_job_number,
             job_class,
             tenant,
             key,
@@ -193,129 +196,140 @@
             slots=slots,
             memory=memory,
             repeat=repeat,
-            wanted=terms.wanted,
-            most_attempts=terms.most_attempts,
-            resend=terms.resend,
-            pause=terms.pause,
+            wanted=options.wanted,
+            most_attempts=options.most_attempts,
+            resend=options.resend,
+            pause=options.pause,
             tried=tried,
         )
-        job = Job(self._numbers, payload, arrival, now, now + time_left, answer, terms=terms)
+        job = Job(self._last_job_number, payload, arrival, now, now + time_left, on_answer, options=options)
         self._jobs[job.number] = job
-        self._by_id[payload.id] = job
-        self._owed += 1
+        self._jobs_by_id[payload.id] = job
+        self._unanswered += 1
         if self.traced:
-            trace.taken(now, job.number, payload.id)
-        job.overdue = self.loop.call_at(job.deadline + self.settings.answer_slack, self._overdue, job)
-        if self.waits is not None:
-            self.waits.waiting(now, job.number, now, tenant, job_class, slots)
-        self._post(arrival)
+            trace.log_job_taken(now, job.number, payload.id)
+        job.overdue_timer = self.loop.call_at(
+            job.deadline + self.settings.answer_slack, self._on_overdue, job
+        )
+        if self.wait_observer is not None:
+            self.wait_observer.waiting(now, job.number, now, tenant, job_class, slots)
+        self._post_event(arrival)
         return job
 
     def withdraw(self, job: Job) -> None:
-        """The client is gone: nothing more is owed."""
-        if not job.over:
-            self._conclude(job)
-            self._post(api.JobWithdrawn(job.number))
-            self._forget_if_done(job)
-
-    def let_go(self, job: Job) -> None:
-        """Another process has the job now, with its client and with the attempt that is out: this one owes
-        nothing more and calls nothing off."""
+        """Ends a job without an answer: its client has disconnected."""
+        if not job.finished:
+            self._finish_job(job)
+            self._post_event(api.JobWithdrawn(job.number))
+            self._remove_if_done(job)
+
+    def detach(self, job: Job) -> None:
+        """Drops a job that another process has taken over, with its client and its live attempt. No answer is
+        given and no attempt is cancelled."""
         for attempt in job.attempts:
             attempt.ended = True
             if attempt.timer is not None:
                 attempt.timer.cancel()
         self.withdraw(job)
 
-    def workers_listed(self, news: api.WorkerList) -> None:
-        """Danger: sends that wait behind this must not go out before the module knows of a drain."""
-        for entry in news.entries:
-            self._states[entry.worker] = entry.state
-        if news.kind in (api.ListKind.FULL, api.ListKind.LAST_KNOWN):
-            listed = {entry.worker for entry in news.entries}
-            for name in self._states:
+    def update_workers(self, update: api.WorkerList) -> None:
+        """Applies an update of the worker list. The decision module handles it at once, so that nothing is
+        sent to a worker that it does not yet know to be draining."""
+        for entry in update.entries:
+            self._worker_states[entry.worker] = entry.state
+        if update.kind in (api.ListKind.FULL, api.ListKind.LAST_KNOWN):
+            listed = {entry.worker for entry in update.entries}
+            for name in self._worker_states:
                 if name not in listed:
-                    self._states[name] = api.WorkerState.GONE
-        self._states = {n: s for n, s in self._states.items() if s is not api.WorkerState.GONE}
-        self._give_up_restarted(news.entries)
-        self._events.append(news)
-        self._run()
-        if self.on_listed is not None:
-            self.on_listed()
+                    self._worker_states[name] = api.WorkerState.GONE
+        self._worker_states = {n: s for n, s in self._worker_states.items() if s is not api.WorkerState.GONE}
+        self._give_up_restarted(update.entries)
+        self._pending_events.append(update)
+        self._run_decisions()
+        if self.on_worker_list is not None:
+            self.on_worker_list()
 
     def _give_up_restarted(self, entries: tuple[api.WorkerEntry, ...]) -> None:
-        """Gives up the attempts that were out at a worker's earlier process: nobody else may tell of their
-        end. Danger: the list is no proof of it; the new process answers the DELETE."""
-        later = {e.worker for e in entries if e.started_at > self._starts.get(e.worker, 0)}
-        self._starts.update((e.worker, e.started_at) for e in entries if e.worker in later)
-        self._starts = {name: at for name, at in self._starts.items() if name in self._states}
+        """Gives up the attempts that were live at a worker's earlier process, as nobody else may report their
+        end. The list alone does not prove that they are over; the new process's answer to the DELETE does."""
+        restarted = {e.worker for e in entries if e.started_at > self._worker_starts.get(e.worker, 0)}
+        self._worker_starts.update((e.worker, e.started_at) for e in entries if e.worker in restarted)
+        self._worker_starts = {
+            name: at for name, at in self._worker_starts.items() if name in self._worker_states
+        }
         now = self.loop.now()
-        out = (
+        live = (
             [attempt for job in self._jobs.values() for attempt in job.attempts if not attempt.ended]
-            if later
+            if restarted
             else []
         )
-        for attempt in out:
-            started_at = self._starts.get(attempt.worker, 0)
-            if restarted(started_at, attempt.written_at, now):
+        for attempt in live:
+            started_at = self._worker_starts.get(attempt.worker, 0)
+            if restarted_after_write(started_at, attempt.written_at, now):
                 self._give_up(attempt, Ending.GIVEN_UP)
 
     def may_send_to(self, worker: str) -> bool:
-        return self._states.get(worker) is api.WorkerState.UP
+        """Whether the worker is listed as up."""
+        return self._worker_states.get(worker) is api.WorkerState.UP
 
-    def barred(self, attempt: Attempt) -> Ending | None:
-        """Why the attempt's first byte may not go out now; None: it may. Asked at the last moment. Danger:
-        the client may have gone, the time be over or the worker have been told to drain while a connection
-        came up or the attempt waited for anything else; the module decided before all that."""
+    def reason_not_to_send(self, attempt: Attempt) -> Ending | None:
+        """Why the attempt's first byte must not be sent now; None if it may. Checked at the last moment,
+        since after the decision, while the connection was being established, the client may have
+        disconnected, the time may have run out, or the worker may have been listed as draining."""
         now = self.loop.now()
-        if attempt.ended or attempt.given_up or attempt.job.over:
+        if attempt.ended or attempt.given_up or attempt.job.finished:
             return Ending.NOT_SENT
-        if now >= attempt.until:
-            return self._out_of_time(attempt)
-        if now >= self.send_by(attempt):
+        if now >= attempt.expires_at:
+            return self._timeout_ending(attempt)
+        if now >= self.write_deadline(attempt):
             return Ending.NOT_SENT
         return None if self.may_send_to(attempt.worker) else Ending.DRAINED
 
-    def send_by(self, attempt: Attempt) -> int:
-        """Until when the attempt's last byte may go out. Danger: a keyed job's repeat is dropped only within
-        the window of the first attempt that may have run; after it, the repeat would run too."""
-        cls = self._classes.get(attempt.job.arrival.job_class)
-        if cls is None or cls.effect is not api.Effect.KEYED:
-            return attempt.until
-        risky = rules.first_risky(attempt.job, but=attempt)
-        if risky is None:
-            return attempt.until
-        return min(attempt.until, risky.sent_at + cls.window - self.settings.tick)
-
-    def attempt_out(self, job_id: str, worker: str) -> Attempt | None:
-        """The attempt of that id that is out at that worker."""
-        job = self._by_id.get(job_id)
+    def write_deadline(self, attempt: Attempt) -> int:
+        """When the attempt's last byte has to be written, ns. Workers drop the repeat of a keyed job only
+        within the window of the first attempt that may have run; a later repeat would run as well."""
+        class_config = self._classes.get(attempt.job.arrival.job_class)
+        if class_config is None or class_config.effect is not api.Effect.KEYED:
+            return attempt.expires_at
+        possibly_run = rules.first_possibly_run(attempt.job, excluding=attempt)
+        if possibly_run is None:
+            return attempt.expires_at
+        return min(attempt.expires_at, possibly_run.sent_at + class_config.window - self.settings.tick)
+
+    def live_attempt(self, job_id: str, worker: str) -> Attempt | None:
+        """The live attempt of the job with this id at this worker."""
+        job = self._jobs_by_id.get(job_id)
         if job is None:
             return None
-        return next((c for c in job.attempts if c.worker == worker and not c.ended), None)
+        return next(
+            (attempt for attempt in job.attempts if attempt.worker == worker and not attempt.ended), None
+        )
 
     def attempt_written(self, attempt: Attempt) -> None:
-        """The request's last byte is written, or must have been: it counts as an attempt, once."""
+        """Records that the last byte of the request has been written, or must have been. Counts the attempt
+        in the metrics, once."""
         if not attempt.written:
-            attempt.reach(Progress.WRITTEN)
+            attempt.advance_to(Progress.WRITTEN)
             attempt.written_at = self.loop.now()
-            self.figures.attempt_written(attempt.job.arrival.job_class)
+            self.metrics.attempt_written(attempt.job.arrival.job_class)
 
     def attempt_started(self, attempt: Attempt) -> None:
+        """Reports to the decision module that the worker has started the attempt."""
         if not attempt.ended:
-            attempt.reach(Progress.STARTED)
-            if self.waits is not None:
-                self.waits.started(self.loop.now(), attempt.job.number)
+            attempt.advance_to(Progress.STARTED)
+            if self.wait_observer is not None:
+                self.wait_observer.started(self.loop.now(), attempt.job.number)
             if self.attempt_observer is not None:
                 self.attempt_observer.started(attempt)
-            self._post(
+            self._post_event(
                 api.AttemptNote(attempt.job.number, attempt.number, attempt.worker, api.NoteKind.STARTED)
             )
 
     def attempt_progressed(self, attempt: Attempt, share: float) -> None:
+        """Reports to the decision module that the worker has done ``share`` (0 to 1) of the attempt."""
         if not attempt.ended:
-            attempt.reach(Progress.STARTED)
-            self._post(
+            attempt.advance_to(Progress.STARTED)
+            self._post_event(
                 api.AttemptNote(
                     attempt.job.number, attempt.number, attempt.worker, api.NoteKind.PROGRESS, share
                 )
@@ -324,52 +338,56 @@
     def attempt_ended(
         self, attempt: Attempt, ending: Ending, report: api.LoadReport | None = None, result: bytes = b""
     ) -> None:
-        """Tells the module, once. Danger: call-backs come twice, late, and after a time-out."""
+        """Reports the end of an attempt to the decision module. Only the first report counts: call-backs may
+        come twice, late, and after a time-out."""
         if attempt.ended:
             return
         attempt.ended = True
         if attempt.timer is not None:
             attempt.timer.cancel()
         if attempt.started and outcome_of(ending, attempt.written) in api.NEVER_RAN:
-            # danger: one of the two words is wrong, and if it is this one, a booking would run twice
+            # The worker reported a start and now claims that the job never ran. One of the two is wrong; if
+            # the claim were believed wrongly, a booking would run twice.
             ending = Ending.LOST
         attempt.never_ran = outcome_of(ending, attempt.written) in api.NEVER_RAN
-        self._note_end(attempt, ending)
-        if self.attempt_over is not None:
-            self.attempt_over(attempt)
+        self._log_attempt_end(attempt, ending)
+        if self.on_attempt_ended is not None:
+            self.on_attempt_ended(attempt)
         if self.attempt_observer is not None:
             self.attempt_observer.ended(attempt, ending, report)
         job = attempt.job
-        if self.waits is not None and not job.over:
-            now, made = self.loop.now(), job.arrival
+        if self.wait_observer is not None and not job.finished:
+            now, job_arrival = self.loop.now(), job.arrival
             if ending is Ending.DONE:
-                self.waits.started(now, job.number)
+                self.wait_observer.started(now, job.number)
             elif attempt.never_ran:
-                since, slots = job.arrived_at, made.slots
-                self.waits.waiting(now, job.number, since, made.tenant, made.job_class, slots)
+                since, slots = job.arrived_at, job_arrival.slots
+                self.wait_observer.waiting(
+                    now, job.number, since, job_arrival.tenant, job_arrival.job_class, slots
+                )
         retry = True
-        if ending is Ending.DONE and not job.over:
-            self._conclude(job, Answer(Verdict.SERVED, result))
-        elif not job.over and job.terms.watch is not None:
-            retry = job.terms.watch.may_retry(self.loop.now())
-        self._post(
+        if ending is Ending.DONE and not job.finished:
+            self._finish_job(job, Answer(Verdict.SERVED, result))
+        elif not job.finished and job.options.limiter is not None:
+            retry = job.options.limiter.may_retry(self.loop.now())
+        self._post_event(
             api.AttemptEnded(
                 job.number,
                 attempt.number,
                 attempt.worker,
                 outcome_of(ending, attempt.written),
-                job.over,
+                job.finished,
                 self.loop.now() - attempt.sent_at,
                 report,
                 retry,
             )
         )
-        self._forget_if_done(job)
+        self._remove_if_done(job)
 
-    def _note_end(self, attempt: Attempt, ending: Ending) -> None:
+    def _log_attempt_end(self, attempt: Attempt, ending: Ending) -> None:
         kind = f"{ending.name} at {attempt.progress.name}"
-        if ending in _NOTEWORTHY:
-            self.events.note(
+        if ending in _LOGGED_ENDINGS:
+            self.event_log.record(
                 "attempt ended",
                 kind,
                 id=attempt.job.payload.id,
@@ -379,193 +397,204 @@
                 never_ran=attempt.never_ran,
             )
         else:
-            self.events.count("attempt ended", kind)
+            self.event_log.count("attempt ended", kind)
 
     def probe_ended(
         self, worker: str, ending: Ending, elapsed: int, report: api.LoadReport | None = None
     ) -> None:
-        self._post(api.ProbeEnded(worker, outcome_of(ending, written=True), elapsed, report))
+        """Reports the result of a probe to the decision module; ``elapsed``: ns."""
+        self._post_event(api.ProbeEnded(worker, outcome_of(ending, written=True), elapsed, report))
 
-    # The module's turn
+    # Running the decision module
 
-    def _post(self, event: api.Event) -> None:
-        self._events.append(event)
-        if not self._planned:
-            self._planned = True
-            if self.loop.now() >= self._next_at:
-                self.loop.call_soon(self._run)  # with all that came in the same turn of the loop
+    def _post_event(self, event: api.Event) -> None:
+        self._pending_events.append(event)
+        if not self._run_scheduled:
+            self._run_scheduled = True
+            if self.loop.now() >= self._next_run_at:
+                self.loop.call_soon(self._run_decisions)  # with all events of this loop iteration
             else:
-                self.loop.call_at(self._next_at, self._run)
+                self.loop.call_at(self._next_run_at, self._run_decisions)
 
-    def _run(self) -> None:
-        self._planned = False
-        if not self._events:
+    def _run_decisions(self) -> None:
+        self._run_scheduled = False
+        if not self._pending_events:
             return
-        events, self._events = self._events, []
+        events, self._pending_events = self._pending_events, []
         now = self.loop.now()
-        self._next_at = now + self.settings.tick
+        self._next_run_at = now + self.settings.tick
         if self.traced:
             for event in events:
-                trace.told(now, event)
+                trace.log_event(now, event)
         for action in self._dispatcher.handle(now, events):
             if self.traced:
-                trace.done(now, action)
-            carry_out = self._carry_out.get(type(action))
-            if carry_out is None:
+                trace.log_action(now, action)
+            handler = self._handlers.get(type(action))
+            if handler is None:
                 log.warning("action not supported", action=type(action).__name__)
             else:
-                carry_out(action)
+                handler(action)
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        self.loop.call_at(self.loop.now() + max(0, action.delay), self._post, api.TimerFired(action.name))
+        self.loop.call_at(
+            self.loop.now() + max(0, action.delay), self._post_event, api.TimerFired(action.name)
+        )
 
     def _subscribe(self, action: api.Subscribe) -> None:
-        if self.follow is None:
+        if self.set_subscribed is None:
             log.warning("action not supported", action="Subscribe")
         else:
-            self.follow(action.active)
+            self.set_subscribed(action.active)
 
-    # Calls
+    # Sending and stopping attempts
 
     def _send(self, action: api.Send) -> None:
         job = self._jobs.get(action.job)
         if job is None:
             return
         now = self.loop.now()
-        timeout = action.timeout or job.terms.timeout
+        timeout = action.timeout or job.options.timeout
         until = min(job.deadline, now + timeout) if timeout else job.deadline
-        if not job.attempts and job.terms.watch is not None:
-            job.terms.watch.first_attempt(now)
+        if not job.attempts and job.options.limiter is not None:
+            job.options.limiter.first_attempt(now)
         attempt = Attempt(job, len(job.attempts), action.worker, now, until)
-        rule = rules.broken_by_attempt(
+        rule = rules.rule_broken_by_attempt(
             job, action.worker, self._classes[job.arrival.job_class], self.settings.max_attempts, now
         )
         job.attempts.append(attempt)
         if rule is not None:
-            self._violated(rule, job, action.worker)
-        if rule is not None or job.over or until <= now:
+            self._log_violation(rule, job, action.worker)
+        if rule is not None or job.finished or until <= now:
             self.attempt_ended(attempt, Ending.NOT_SENT)
             return
-        attempt.timer = self.loop.call_at(until, self._timed_out, attempt)
-        if self.waits is not None and not self.settings.tells_start:
-            self.waits.started(now, job.number)
+        attempt.timer = self.loop.call_at(until, self._on_attempt_timeout, attempt)
+        if self.wait_observer is not None and not self.settings.tells_start:
+            self.wait_observer.started(now, job.number)
         if self.attempt_observer is not None:
             self.attempt_observer.sent(attempt)
         self.invoker.start(attempt)
 
-    def _timed_out(self, attempt: Attempt) -> None:
-        if attempt.accepted and not self.settings.may_cancel and attempt.until < attempt.job.deadline:
-            # danger: it can't be called off, and left behind it would still run beside the next one
-            self._wait_to_deadline(attempt)
+    def _on_attempt_timeout(self, attempt: Attempt) -> None:
+        if attempt.accepted and not self.settings.may_cancel and attempt.expires_at < attempt.job.deadline:
+            # The attempt can't be cancelled, and would run at the same time as the next one.
+            self._extend_to_deadline(attempt)
             return
         if (
-            attempt.until >= attempt.job.deadline
-        ):  # the final answer is due: the module is told before the worker
-            self.attempt_ended(attempt, self._out_of_time(attempt))
+            attempt.expires_at >= attempt.job.deadline
+        ):  # the final answer is due: the decision module is informed before the worker
+            self.attempt_ended(attempt, self._timeout_ending(attempt))
         if attempt.given_up:
-            self.invoker.let_go(attempt)
+            self.invoker.detach(attempt)
         else:
             self._give_up(attempt, Ending.TIMED_OUT)
 
-    def _out_of_time(self, attempt: Attempt) -> Ending:
-        """Danger: told as a time-out, a booking whose last byte was never written could not be refused; told
-        as a failed connection, the worker would be set aside where the job's time was short."""
-        unsent = not attempt.written and attempt.until >= attempt.job.deadline
+    def _timeout_ending(self, attempt: Attempt) -> Ending:
+        """The ending of an attempt whose time is up. If its last byte was never written by the job's
+        deadline, the attempt is reported as not sent: as a time-out, a booking could no longer be refused,
+        and as a failed connection, it would suspend the worker although the job merely had little time."""
+        unsent = not attempt.written and attempt.expires_at >= attempt.job.deadline
         return Ending.NOT_SENT if unsent else Ending.TIMED_OUT
 
     def _cancel(self, action: api.CancelAttempt) -> None:
         job = self._jobs.get(action.job)
         if job is None or action.attempt >= len(job.attempts) or job.attempts[action.attempt].ended:
             return
-        attempt, cls = job.attempts[action.attempt], self._classes[job.arrival.job_class]
-        # danger: told as called off, a job that may not simply run again may have run; but for one that may,
-        # a failed connection would set aside a worker that is well
-        unsent = not attempt.written and cls.effect is not api.Effect.SAFE
+        attempt, class_config = job.attempts[action.attempt], self._classes[job.arrival.job_class]
+        # Reported as given up, an unwritten attempt would count as one that may have run, and an unsafe or
+        # keyed job could not simply be sent again. A safe job can, so its attempt is not reported as a failed
+        # connection, which would suspend a healthy worker.
+        unsent = not attempt.written and class_config.effect is not api.Effect.SAFE
         self._give_up(attempt, Ending.CONNECT_TIMED_OUT if unsent else Ending.GIVEN_UP)
 
     def _give_up(self, attempt: Attempt, ending: Ending) -> None:
         if not attempt.given_up:
             attempt.given_up = True
             if not attempt.ended:
-                self._wait_to_deadline(attempt)  # danger: without a proof by then, the answer would be late
+                self._extend_to_deadline(attempt)  # without a proof, the job is answered then
             self.invoker.give_up(attempt, ending)
 
-    def _wait_to_deadline(self, attempt: Attempt) -> None:
-        if attempt.until < attempt.job.deadline:
+    def _extend_to_deadline(self, attempt: Attempt) -> None:
+        if attempt.expires_at < attempt.job.deadline:
             if attempt.timer is not None:
                 attempt.timer.cancel()
-            attempt.until = attempt.job.deadline
-            attempt.timer = self.loop.call_at(attempt.until, self._timed_out, attempt)
+            attempt.expires_at = attempt.job.deadline
+            attempt.timer = self.loop.call_at(attempt.expires_at, self._on_attempt_timeout, attempt)
 
     # Final answers
 
     def _refuse(self, action: api.Refuse) -> None:
         job = self._jobs.get(action.job)
-        if job is None or job.over:
+        if job is None or job.finished:
             return
-        self.events.count("refused", _kind(action.reason))
-        rule = rules.broken_by_refusal(job, self._classes.get(job.arrival.job_class))
+        self.event_log.count("refused", _reason_text(action.reason))
+        rule = rules.rule_broken_by_refusal(job, self._classes.get(job.arrival.job_class))
         if rule is not None:
-            self._violated(rule, job)
-            self._answer(action.job, Answer(Verdict.FAILED))
+            self._log_violation(rule, job)
+            self._answer_job(action.job, Answer(Verdict.FAILED))
         else:
-            self._answer(action.job, Answer(Verdict.REFUSED, retry_after=action.retry_after))
+            self._answer_job(action.job, Answer(Verdict.REFUSED, retry_after=action.retry_after))
 
     def _fail(self, action: api.Fail) -> None:
-        self.events.count("failed", _kind(action.reason))
-        self._answer(action.job, Answer(Verdict.FAILED))
+        self.event_log.count("failed", _reason_text(action.reason))
+        self._answer_job(action.job, Answer(Verdict.FAILED))
 
-    def _violated(self, rule: rules.Rule, job: Job, worker: str = "") -> None:
-        """A decision that would break a rule is not carried out."""
-        self.events.note("decision not carried out", rule.value, id=job.payload.id, worker=worker)
+    def _log_violation(self, rule: rules.Rule, job: Job, worker: str = "") -> None:
+        """Logs an action of the decision module that was not carried out because it would break a rule."""
+        self.event_log.record("decision not carried out", rule.value, id=job.payload.id, worker=worker)
 
-    def _answer(self, number: int, answer: Answer) -> None:
+    def _answer_job(self, number: int, answer: Answer) -> None:
         job = self._jobs.get(number)
-        if job is not None and not job.over:
-            self._conclude(job, answer)
-            self._forget_if_done(job)
-
-    def _overdue(self, job: Job) -> None:
-        """The module owes an answer past the slack: the client is not left waiting for ever."""
-        self._run()  # danger: where the loop is late, what its answer hangs on came in this very turn
-        if job.over:
+        if job is not None and not job.finished:
+            self._finish_job(job, answer)
+            self._remove_if_done(job)
+
+    def _on_overdue(self, job: Job) -> None:
+        """Fails a job that the decision module has not answered by its deadline plus the slack, so that the
+        client does not wait for ever."""
+        self._run_decisions()  # if the loop is late, the event that leads to the answer may still be pending
+        if job.finished:
             return
         log.error("answer overdue", id=job.payload.id)
-        self._conclude(job, Answer(Verdict.FAILED))
-        self._post(api.JobWithdrawn(job.number))
-        self._forget_if_done(job)
+        self._finish_job(job, Answer(Verdict.FAILED))
+        self._post_event(api.JobWithdrawn(job.number))
+        self._remove_if_done(job)
 
-    def _conclude(self, job: Job, answer: Answer | None = None) -> None:
-        job.over = True
-        self._owed -= 1
+    def _finish_job(self, job: Job, answer: Answer | None = None) -> None:
+        job.finished = True
+        self._unanswered -= 1
         if self.traced:
             now, verdict = self.loop.now(), answer.verdict.value if answer is not None else "gone"
-            trace.answered(now, job.number, job.payload.id, verdict, now - job.arrived_at)
+            trace.log_answer(now, job.number, job.payload.id, verdict, now - job.arrived_at)
         if answer is not None:
             self.count_answer(job.arrival.job_class, answer.verdict)
-        if job.terms.watch is not None:
+        if job.options.limiter is not None:
             served = answer is not None and answer.verdict is Verdict.SERVED
-            job.terms.watch.ended(self.loop.now(), in_time=served)
-        if self.waits is not None:
-            self.waits.ended(self.loop.now(), job.number)
-        if job.overdue is not None:
-            job.overdue.cancel()
+            job.options.limiter.ended(self.loop.now(), in_time=served)
+        if self.wait_observer is not None:
+            self.wait_observer.ended(self.loop.now(), job.number)
+        if job.overdue_timer is not None:
+            job.overdue_timer.cancel()
         if answer is not None:
-            job.answer(answer)
+            job.on_answer(answer)
 
     def count_answer(self, job_class: str, verdict: Verdict) -> None:
-        """Counts a final answer in the figures; for jobs that end beside the host, too."""
-        self.figures.job_ended(job_class, _COUNTED_AS[verdict])
-
-    def _forget_if_done(self, job: Job) -> None:
-        """Danger: memory is bounded; nothing of a finished job stays."""
-        if job.over and all(attempt.ended for attempt in job.attempts):
-            cls = self._classes.get(job.arrival.job_class)
-            if cls is not None and cls.effect is api.Effect.UNSAFE and rules.first_risky(job) is not None:
-                self._may_have_run.add(job.payload.id, self.loop.now())
+        """Counts a final answer in the metrics; also called for jobs that are answered without the host."""
+        self.metrics.job_ended(job_class, _METRIC_OUTCOMES[verdict])
+
+    def _remove_if_done(self, job: Job) -> None:
+        """Removes a job that is finished and has no live attempt, so that memory stays bounded. Only the id
+        of an unsafe job that may have run is retained for a while."""
+        if job.finished and all(attempt.ended for attempt in job.attempts):
+            class_config = self._classes.get(job.arrival.job_class)
+            if (
+                class_config is not None
+                and class_config.effect is api.Effect.UNSAFE
+                and rules.first_possibly_run(job) is not None
+            ):
+                self._possibly_run_ids.add(job.payload.id, self.loop.now())
             self._jobs.pop(job.number, None)
-            self._by_id.pop(job.payload.id, None)
+            self._jobs_by_id.pop(job.payload.id, None)
 
 
-def _kind(reason: api.Reason | None) -> str:
+def _reason_text(reason: api.Reason | None) -> str:
     return "" if reason is None else reason.value
--- a/ironbarrow/core/jobs.py
+++ b/ironbarrow/core/jobs.py
@@ -1,4 +1,4 @@
-"""A job that was taken, its attempts, and its one final answer. No input or output."""
+"""An accepted job, its attempts and its single final answer. No I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from heathway import api
-from ironbarrow.core.attempt import Observation, Progress, proves_over
+from ironbarrow.core.attempt import Observation, Progress, proves_end
 from ironbarrow.runtime.clock import Timer
 
 
@@ -29,95 +29,95 @@
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """What passes on to a worker unchanged. The host looks at the id alone."""
+    """The part of a request that is passed on to a worker unchanged. The host reads only the id."""
 
     id: str
     method: str
     target: str
     body: bytes
     content_type: str = ""
-    idempotency_key: str = ""  # by which workers know a repeat of a keyed job
+    idempotency_key: str = ""  # by which workers recognise a repeat of a keyed job
 
 
-class Watch(Protocol):
-    """Who counts jobs for limits. All are told on the loop's thread; times in ns."""
+class JobLimiter(Protocol):
+    """Tracks jobs for the limits of their route. Called on the event loop's thread; times in ns."""
 
     def first_attempt(self, now: int) -> None:
-        """The job's first attempt goes out."""
+        """The job's first attempt is being sent."""
 
     def may_retry(self, now: int) -> bool:
-        """Whether a budget is left for one more attempt; takes it out."""
+        """Whether the retry budget allows one more attempt; if so, takes it from the budget."""
 
     def ended(self, now: int, *, in_time: bool) -> None:
-        """The job has its final answer, or its client is gone."""
+        """The job has its final answer, or its client has disconnected."""
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What a job was taken under beyond its class. Times in ns; 0: as the settings have it."""
+class JobOptions:
+    """Options of a job beyond its class. Times in ns; 0: the default from the settings."""
 
     wanted: int = 0
     most_attempts: int = 0
     resend: bool = True
     pause: int = 0
     timeout: int = 0  # of one attempt
-    watch: Watch | None = None
+    limiter: JobLimiter | None = None
 
 
-NO_TERMS = Terms()
+DEFAULT_OPTIONS = JobOptions()
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job that was taken and is owed its final answer."""
+    """An accepted job. ``finished``: it has its final answer, or its client has disconnected."""
 
     number: int
     payload: Payload
     arrival: api.JobArrived
     arrived_at: int
     deadline: int
-    answer: Callable[[Answer], None]
+    on_answer: Callable[[Answer], None]
     attempts: "list[Attempt]" = field(default_factory=list)
-    over: bool = False
-    overdue: Timer | None = None
-    terms: Terms = NO_TERMS
+    finished: bool = False
+    overdue_timer: Timer | None = None
+    options: JobOptions = DEFAULT_OPTIONS
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of a job at a worker."""
+    """One attempt of a job at a worker. Times in ns."""
 
     job: Job
     number: int
     worker: str
     sent_at: int
-    until: int  # when this side stops waiting for it
+    expires_at: int  # when the dispatcher stops waiting for it
     progress: Progress = Progress.CONNECTING
-    written_at: int = 0  # when the request's last byte was known to be written; 0: it is not
+    written_at: int = 0  # when the last byte of the request was known to be written; 0: not yet
     ended: bool = False
-    given_up: bool = False  # it is stopping: only a proof ends it, or the job's deadline
-    never_ran: bool = False  # it ended, and that is proven
+    given_up: bool = False  # being stopped: only a proof or the job's deadline ends it
+    never_ran: bool = False  # it has ended, and it is proven that it never ran
     timer: Timer | None = None
 
     @property
     def written(self) -> bool:
-        """Whether the request's last byte is written."""
+        """Whether the last byte of the request has been written."""
         return self.progress >= Progress.WRITTEN
 
     @property
     def accepted(self) -> bool:
-        """Whether the worker has told that it has the job."""
+        """Whether the worker has accepted the job."""
         return self.progress >= Progress.ACCEPTED
 
     @property
     def started(self) -> bool:
-        """Whether the worker has told that it runs the job."""
+        """Whether the worker has reported that it is running the job."""
         return self.progress >= Progress.STARTED
 
-    def reach(self, progress: Progress) -> None:
-        """Notes that it has come so far; what came out of order does not set it back."""
+    def advance_to(self, progress: Progress) -> None:
+        """Records progress. Reports that arrive out of order do not set it back."""
         self.progress = max(self.progress, progress)
 
-    def is_over(self, observation: Observation) -> bool:
-        """Whether that observation proves that it is over."""
-        return proves_over(observation, self.progress)
+    def is_ended_by(self, observation: Observation) -> bool:
+        """Whether the observation proves that the attempt is over."""
+        return proves_end(observation, self.progress)
--- a/ironbarrow/core/metrics.py
+++ b/ironbarrow/core/metrics.py
@@ -1,6 +1,6 @@
-"""What a dispatcher has done since its start, by class. No input or output.
+"""Counters of a dispatcher's jobs and attempts since its start, by job class. No I/O.
 
-Counted in one place each: a job where it gets its final answer, an attempt where its last byte is written.
+A job is counted when it gets its final answer, an attempt when its last byte is written.
 """
 
 from collections import Counter
@@ -10,36 +10,37 @@
 
 
 @dataclass(slots=True)
-class Figures:
-    """Counts by class, in numbers of jobs and attempts; ``classes`` are shown from the start, at 0."""
+class Metrics:
+    """Counters of jobs and attempts by class. ``classes`` are listed from the start, with 0."""
 
     classes: tuple[str, ...]
     ended: Counter[tuple[str, str]] = field(default_factory=Counter)  # by class and outcome
     attempts: Counter[str] = field(default_factory=Counter)
 
     def job_ended(self, job_class: str, outcome: str) -> None:
-        """Counts a final answer; ``outcome`` is one of ``OUTCOMES``, another is a KeyError."""
+        """Counts a final answer. Raises KeyError unless ``outcome`` is one of ``OUTCOMES``."""
         if outcome not in OUTCOMES:
             raise KeyError(outcome)
         self.ended[job_class, outcome] += 1
 
     def attempt_written(self, job_class: str) -> None:
-        """Counts an attempt whose last byte is written to a worker."""
+        """Counts an attempt whose last byte has been written to a worker."""
         self.attempts[job_class] += 1
 
-    def text(self, **levels: int) -> str:
-        """One line a figure, as the operators' page has them; ``levels``: whole numbers of this moment,
-        shown as ``app_NAME``."""
+    def render(self, **gauges: int) -> str:
+        """The metrics in text form, one a line. ``gauges`` are current values, shown as ``app_NAME``."""
         lines = [
-            f'app_requests{{class="{_quoted(name)}",outcome="{outcome}"}} {self.ended[name, outcome]}'
+            f'app_requests{{class="{_escape_label(name)}",outcome="{outcome}"}} {self.ended[name, outcome]}'
             for name in self.classes
             for outcome in OUTCOMES
         ]
-        lines += [f'app_attempts{{class="{_quoted(name)}"}} {self.attempts[name]}' for name in self.classes]
-        lines += [f"app_{name} {value}" for name, value in levels.items()]
+        lines += [
+            f'app_attempts{{class="{_escape_label(name)}"}} {self.attempts[name]}' for name in self.classes
+        ]
+        lines += [f"app_{name} {value}" for name, value in gauges.items()]
         return "\n".join(lines) + "\n"
 
 
-def _quoted(name: str) -> str:
-    """Danger: a quote or a line feed in a name would end its label early."""
+def _escape_label(name: str) -> str:
+    """Escapes a label value: a quote or a line feed in it would end the label early."""
     return name.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/ironbarrow/core/recent_ids.py
+++ b/ironbarrow/core/recent_ids.py
@@ -1,26 +1,26 @@
-"""Ids of jobs that are over and must not run again. No input or output."""
+"""Remembers the ids of finished jobs that must not run again. No I/O."""
 
 from collections import OrderedDict
 
 from ironbarrow.runtime.clock import SECOND
 
-_MOST = 4096
-_KEPT_FOR = 120 * SECOND
+_MAX_IDS = 4096
+_RETENTION = 120 * SECOND
 
 
 class RecentIds:
-    """Ids for a while, the oldest forgotten first; bounded in number."""
+    """A set of ids with a retention time. Limited in size; the oldest ids are dropped first."""
 
     def __init__(self) -> None:
-        self._until: OrderedDict[str, int] = OrderedDict()
+        self._expiries: OrderedDict[str, int] = OrderedDict()
 
     def add(self, job_id: str, now: int) -> None:
-        """Remembers an id from ``now`` (ns) on."""
-        self._until.pop(job_id, None)
-        self._until[job_id] = now + _KEPT_FOR
-        while len(self._until) > _MOST or next(iter(self._until.values())) < now:
-            self._until.popitem(last=False)
+        """Adds an id at ``now`` (ns); if it is present, its retention time starts anew."""
+        self._expiries.pop(job_id, None)
+        self._expiries[job_id] = now + _RETENTION
+        while len(self._expiries) > _MAX_IDS or next(iter(self._expiries.values())) < now:
+            self._expiries.popitem(last=False)
 
     def has(self, job_id: str, now: int) -> bool:
-        """Whether an id is remembered at ``now`` (ns)."""
-        return self._until.get(job_id, 0) >= now
+        """Whether an id is still retained at ``now`` (ns)."""
+        return self._expiries.get(job_id, 0) >= now
--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -96,7 +96,7 @@
             self.loop, config.discovery, self._listed, on_request=asks, seed=config.seed
         )
         if asks:
-            self.host.follow = self.discovery.ask
+            self.host.set_subscribed = self.discovery.ask
         spare = _descriptors(config.sockets) - _RESERVED - (_DOOR if config.admin is not None else 0)
         if config.fleet is not None:
             spare = _without_links(config, config.fleet, spare)
@@ -107,8 +107,8 @@
             config.reports,
             connect_timeout=config.connect_timeout,
             idle_limit=config.idle_limit,
-            most_idle=spare // 4,
-            most=spare - spare * 5 // 8 + _RESERVED // 2,
+            max_idle=spare // 4,
+            max_connections=spare - spare * 5 // 8 + _RESERVED // 2,
         )
         self.host.invoker = self.invoker
         self.clients = Clients(
@@ -183,14 +183,14 @@
             self._upgrade.stray(raw)
 
     def _listed(self, news: api.WorkerList) -> None:
-        self.host.workers_listed(news if self._operations is None else self._operations.listed(news))
+        self.host.update_workers(news if self._operations is None else self._operations.listed(news))
 
     def run(self) -> None:
         """Serves until ``stop``, and then until all that was taken has its answer."""
         log.info("serving", address="{}:{}".format(*self.listener.getsockname()[:2]))
         self.loop.run()
         self.close()
-        log.info("stopped", events=self.host.events.totals())
+        log.info("stopped", events=self.host.event_log.totals())
 
     def stop_on_signals(self) -> None:
         """SIGTERM and SIGINT mean ``stop``. For programs that are nothing else; main thread only."""
@@ -298,11 +298,11 @@
             if self.fleet is not None:
                 self.loop.call_at(now + self.pace.leaving, self._leave)
             else:
-                self.host.end_by = now + self.pace.last_answer
+                self.host.answer_deadline = now + self.pace.last_answer
             self.loop.call_at(now + self.pace.still_coming, self._close_idle)
         if self._operations is not None:
             self._operations.stopping = True
-        log.info("stopping", owed=self.host.owed)
+        log.info("stopping", owed=self.host.unanswered)
 
     def _hands_over(self) -> bool:
         """Danger: a channel that fails must not keep the program from its end: a second order is none."""
@@ -340,7 +340,7 @@
         kept += self.fleet.work.owed if self.fleet is not None else 0
         # danger: one whose peer never closes its side would hold up the end beyond SIGKILL
         waited_for = self.clients.busy and self.loop.now() < self._gone_at
-        if self.host.owed or kept or waited_for:
+        if self.host.unanswered or kept or waited_for:
             self.loop.call_at(self.loop.now() + _DONE_CHECKED, self._stop_when_done)
         elif self.fleet is None:
             self._end()
--- a/ironbarrow/fleet/rolling.py
+++ b/ironbarrow/fleet/rolling.py
@@ -63,7 +63,7 @@
         if rules.plan:
             self._plan = self._read(Path(rules.plan))
             loop.call_at(loop.now() + rules.meet, self._start)
-        host.attempt_observer, host.on_listed = self, self._news
+        host.attempt_observer, host.on_worker_list = self, self._news
         self._ledgers = ledgers
         self._verdict: type[News] | None = None
         if service.fleet.starvation is not None:
--- a/ironbarrow/fleet/takeover/process.py
+++ b/ironbarrow/fleet/takeover/process.py
@@ -92,7 +92,7 @@
         self.waits = StarvationMachine(
             service.members.me, service.members, self.ledgers, rules, shares, now, book=book
         )
-        self._host.waits = self.waits.book
+        self._host.wait_observer = self.waits.book
         service.add(self.waits)
 
     def _told(self, news: News) -> None:
--- a/ironbarrow/fleet/takeover/work.py
+++ b/ironbarrow/fleet/takeover/work.py
@@ -15,7 +15,7 @@
 from heathway import api
 from ironbarrow.core.endings import Ending
 from ironbarrow.core.host import Host, Invoker
-from ironbarrow.core.jobs import Answer, Attempt, Job, Payload, Terms, Verdict, Watch
+from ironbarrow.core.jobs import Answer, Attempt, Job, JobLimiter, JobOptions, Payload, Verdict
 from ironbarrow.fleet.api import Action, News
 from ironbarrow.fleet.file import Fleet
 from ironbarrow.fleet.invariants import check
@@ -64,7 +64,7 @@
 
     id: str
     answered: Callable[[Answer | None], None]
-    watch: Watch | None = None  # until a job of the host's has it
+    watch: JobLimiter | None = None  # until a job of the host's has it
     over: bool = False
 
 
@@ -108,7 +108,7 @@
         self._planned = False
         self._looking = False
         host.invoker = self
-        host.attempt_over = self._attempt_over
+        host.on_attempt_ended = self._attempt_over
         self._orders: dict[type[News], Callable[[Any], None]] = {
             Take: self._take,
             Keep: self._keep,
@@ -147,11 +147,11 @@
     def take(
         self, payload: Payload, answered: Callable[[Answer | None], None], **placed: Any
     ) -> Callable[[], None]:
-        """As ``Host.take``; ``answered`` is told None where another request is under that id. Gives back what
-        is called when the client leaves or has its answer."""
+        """As ``Host.submit``; ``answered`` is told None where another request is under that id. Gives back
+        what is called when the client leaves or has its answer."""
         now = self._clock.now()
         text = f"{payload.method}\0{payload.target}\0".encode()
-        terms: Terms | None = placed.get("terms")
+        terms: JobOptions | None = placed.get("options")
         record = JobRecord(
             id=payload.id,
             job_class=placed["job_class"],
@@ -169,7 +169,7 @@
             idempotency_key=payload.idempotency_key,
             digest=blake2b(text + payload.body, digest_size=16).digest(),
         )
-        waiter = _Waiter(payload.id, answered, terms.watch if terms is not None else None)
+        waiter = _Waiter(payload.id, answered, terms.limiter if terms is not None else None)
         if payload.id not in self._placed:
             self._placed[payload.id] = waiter, placed
         self._do(self.machine.arrive(now, record, placed["repeat"], waiter))
@@ -217,7 +217,7 @@
     def _take(self, news: Take) -> None:
         record, now = news.record, self._clock.now()
         waiter, placed = self._placed.pop(record.id, (None, {}))
-        terms: Terms = placed.get("terms") or Terms()
+        terms: JobOptions = placed.get("options") or JobOptions()
         if waiter is not None:
             waiter.watch = None  # the host tells it
         left = max(1, self._host.settings.max_attempts - record.attempts)
@@ -225,7 +225,7 @@
         wanted = terms.wanted
         if waiter is None and not cls.stretch:
             wanted = max(1, min(cls.aim, record.taken_at + cls.aim - now))
-        self._jobs[record.id] = self._host.take(
+        self._jobs[record.id] = self._host.submit(
             Payload(
                 record.id,
                 record.method,
@@ -242,7 +242,7 @@
             slots=record.slots,
             memory=record.memory,
             repeat=bool(placed.get("repeat")) or record.may_have_run,
-            terms=replace(terms, wanted=wanted, most_attempts=min(terms.most_attempts or left, left)),
+            options=replace(terms, wanted=wanted, most_attempts=min(terms.most_attempts or left, left)),
             tried=record.tried,
         )
 
@@ -262,8 +262,8 @@
         if job is not None:
             for attempt in job.attempts:
                 if not attempt.ended:
-                    self._back.let_go(attempt)
-            self._host.let_go(job)
+                    self._back.detach(attempt)
+            self._host.detach(job)
 
     def _adopted(self, news: Adopted) -> None:
         log.info(
@@ -364,8 +364,8 @@
         else:
             self._back.give_up(attempt, ending)
 
-    def let_go(self, attempt: Attempt) -> None:
-        self._back.let_go(attempt)
+    def detach(self, attempt: Attempt) -> None:
+        self._back.detach(attempt)
 
     def _attempt_over(self, attempt: Attempt) -> None:
         self.machine.attempt_over(attempt.job.payload.id, never_ran=attempt.never_ran)
--- a/ironbarrow/fronts/clients.py
+++ b/ironbarrow/fronts/clients.py
@@ -11,7 +11,7 @@
 
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.core.host import Host
-from ironbarrow.core.jobs import Answer, Job, Payload, Terms
+from ironbarrow.core.jobs import Answer, Job, JobOptions, Payload
 from ironbarrow.fronts.places import FRESH, LINGER_LIMIT, Places
 from ironbarrow.fronts.requests import (
     JSON,
@@ -47,8 +47,8 @@
     def take(
         self, payload: Payload, answered: "Callable[[Answer | None], None]", **placed: Any
     ) -> Callable[[], None]:
-        """As ``Host.take``; ``answered`` may be told None: another request is under that id. Gives back what
-        is called when the client leaves, or has its answer."""
+        """As ``Host.submit``; ``answered`` may be told None: another request is under that id. Gives back
+        what is called when the client leaves, or has its answer."""
 
     def readiness(self) -> str:
         """One line of text: who answers for whom at present."""
@@ -247,7 +247,9 @@
             path = request.target.partition("?")[0]
             if path == "/-/ready":
                 expect_method(request, "GET")
-                status, body = (200, b"ready") if self._host.listed else (503, b"no list of workers yet")
+                status, body = (
+                    (200, b"ready") if self._host.has_worker_list else (503, b"no list of workers yet")
+                )
                 if self.shared is not None:
                     headers.append(("X-Fleet", self.shared.readiness()))
             elif path == "/callback":
@@ -387,7 +389,7 @@
         answered: Callable[[Answer | None], None],
     ) -> Callable[[], None]:
         """Hands in a job; gives back what is called at the end, or when the client leaves before it."""
-        if self.shared is None and self._host.knows(payload.id):
+        if self.shared is None and self._host.has_job(payload.id):
             raise BadRequestError(409, "a job with this X-Request-ID is under way")
         if self._host.must_not_run_again(payload.id):
             # danger: its client may not have read the answer, and asks once more
@@ -405,7 +407,7 @@
         self._places.begin_job(connection, len(payload.body))
         if self.shared is not None:
             return self.shared.take(payload, answered, **placed)
-        taken = self._host.take(payload, answered, **placed)
+        taken = self._host.submit(payload, answered, **placed)
         self.asking[taken] = connection, task
         return partial(self._withdraw, taken)
 
@@ -440,5 +442,5 @@
             "job_class": found.route.cls.name,
             "key": key_number(found.key) if found.key else None,
             "tenant": found.tenant or None,
-            "terms": Terms(**arrival(found, settings), watch=found),
+            "options": JobOptions(**arrival(found, settings), limiter=found),
         }
--- a/ironbarrow/handover/upgrade.py
+++ b/ironbarrow/handover/upgrade.py
@@ -11,7 +11,7 @@
 
 from heathway import api
 from ironbarrow.core.host import Host
-from ironbarrow.core.jobs import Answer, Attempt, Job, Payload, Terms
+from ironbarrow.core.jobs import Answer, Attempt, Job, JobOptions, Payload
 from ironbarrow.handover import records
 from ironbarrow.handover.channel import Channel
 from ironbarrow.handover.keeper import Keeper, Kept
@@ -40,7 +40,7 @@
 class Back(Protocol):
     """What has the attempts."""
 
-    def let_go(self, attempt: Attempt) -> None:
+    def detach(self, attempt: Attempt) -> None:
         """Another process has the attempt now."""
 
     def called_back(self, raw: Any) -> bool:
@@ -99,7 +99,7 @@
         """Tells the process beside this one, once, that this one can serve; whether it has been told.
         Danger: told only after whoever waits for the readiness has seen it, the old one may be ordered to
         stop while it knows of no successor."""
-        if not self._told_ready and self._host.listed:
+        if not self._told_ready and self._host.has_worker_list:
             self._told_ready = True
             for other in self._channel.others():
                 self._channel.send(other, records.message("ready", process=os.getpid()))
@@ -169,8 +169,8 @@
 
     def _let_go(self, job: Job) -> None:
         for attempt in job.attempts:
-            self._back.let_go(attempt)
-        self._host.let_go(job)
+            self._back.detach(attempt)
+        self._host.detach(job)
 
     def _give(self, record: Record, sock: socket.socket) -> bool:
         assert self.successor is not None
@@ -206,7 +206,7 @@
         are bound to where it may have run."""
         left = job.deadline - self._loop.now()
         out = [attempt for attempt in job.attempts if not attempt.ended]
-        if job.over or left < _LEAST_LEFT or any(not c.accepted or c.given_up for c in out):
+        if job.finished or left < _LEAST_LEFT or any(not c.accepted or c.given_up for c in out):
             return None
         risky = any(attempt.ended and not attempt.never_ran for attempt in job.attempts)
         if risky and not self._safe.get(job.arrival.job_class, False):
@@ -268,7 +268,7 @@
             log.error("forwarded call-back passed over", error=str(error))
 
     def _can_adopt(self, record: Record) -> bool:
-        return record.job_class in self._classes and not self._host.knows(record.id)
+        return record.job_class in self._classes and not self._host.has_job(record.id)
 
     def _adopt(self, record: Record, sock: socket.socket) -> None:
         until = self._loop.now() + record.time_left
@@ -292,7 +292,7 @@
 
     def _take(self, record: Record, until: int, answer: Callable[[Answer], None]) -> Callable[[], None]:
         """Takes a job as if it had come now, with the attempts that are left."""
-        job = self._host.take(
+        job = self._host.submit(
             Payload(
                 record.id,
                 record.method,
@@ -308,7 +308,7 @@
             tenant=record.tenant,
             slots=record.slots,
             memory=record.memory,
-            terms=Terms(most_attempts=max(1, self._host.settings.max_attempts - record.attempts)),
+            options=JobOptions(most_attempts=max(1, self._host.settings.max_attempts - record.attempts)),
             tried=record.tried,
         )
         if (adopted := self._adopted.get(record.id)) is not None:
--- a/ironbarrow/lab/capacity/costs.py
+++ b/ironbarrow/lab/capacity/costs.py
@@ -42,7 +42,7 @@
 
     def give_up(self, attempt: object, ending: object) -> None: ...
 
-    def let_go(self, attempt: object) -> None: ...
+    def detach(self, attempt: object) -> None: ...
 
     def probe(self, worker: str) -> None: ...
 
@@ -76,7 +76,7 @@
         self._loop = Loop(self._failed)
         self.host = Host(self._loop, fleet_settings(dispatchers), 0)
         self.host.invoker = IdleInvoker()
-        self._client = Client(self._loop, ("127.0.0.1", 9), self.host.workers_listed)
+        self._client = Client(self._loop, ("127.0.0.1", 9), self.host.update_workers)
         self._objects = _Objects()
 
     @staticmethod
--- a/ironbarrow/lab/fleet/work.py
+++ b/ironbarrow/lab/fleet/work.py
@@ -154,7 +154,7 @@
 
     def _answered(self, attempt: Attempt, taken: bool) -> None:
         if taken:
-            attempt.reach(Progress.ACCEPTED)
+            attempt.advance_to(Progress.ACCEPTED)
         elif attempt in self._out:
             self._end(attempt, Ending.NOT_PROCESSED)
 
@@ -178,7 +178,7 @@
         # a way of its own: slower than a request's, so that it does not overtake one
         clock.call_at(clock.now() + _CONNECT + _TRIP, arrives)
 
-    def let_go(self, attempt: Attempt) -> None:
+    def detach(self, attempt: Attempt) -> None:
         self._out.discard(attempt)
 
     def call_off(self, job_id: str, worker: str, until: int, done: Callable[[bool], None]) -> None:
@@ -188,7 +188,7 @@
             self._delete(worker, job_id, lambda: done(True))
 
     def called_back(self, raw: Any) -> bool:
-        attempt = self.host.attempt_out(raw["id"], raw["from"])
+        attempt = self.host.live_attempt(raw["id"], raw["from"])
         if attempt is None:
             return False
         self.host.attempt_written(attempt)
@@ -309,7 +309,7 @@
             api.WorkerEntry(worker=name, state=api.WorkerState.UP, zone=self.settings.zone)
             for name in self.workers.all
         )
-        host.workers_listed(api.WorkerList(api.ListKind.FULL, entries, 1))
+        host.update_workers(api.WorkerList(api.ListKind.FULL, entries, 1))
         self.processes[seat.name] = process = Process(seat, clock, host, back, work, members, ledgers)
         return process
 
--- a/ironbarrow/lab/sim/back.py
+++ b/ironbarrow/lab/sim/back.py
@@ -136,7 +136,7 @@
     def _accepted(self, attempt: Attempt, way: _Way) -> None:
         if not way.answered:
             way.answered = True
-            attempt.reach(Progress.ACCEPTED)
+            attempt.advance_to(Progress.ACCEPTED)
             self._put_back(way)
 
     def _turned_away(self, attempt: Attempt, way: _Way, report: Report) -> None:
@@ -173,12 +173,12 @@
         if way is None or not attempt.written:
             self._end(attempt, ending)
             return
-        if attempt.is_over(Observation.CONNECTION_ENDED):
+        if attempt.is_ended_by(Observation.CONNECTION_ENDED):
             self._audit.attempt_over(attempt.job.payload.id, attempt.worker, never_ran=False)
             self._clock.call_at(self._clock.now() + _DELETE_LIMIT, self._end, attempt, ending)
         self._send_delete(attempt, way, ending)
 
-    def let_go(self, attempt: Attempt) -> None:
+    def detach(self, attempt: Attempt) -> None:
         way = self._ways.pop(attempt, None)
         if way is not None:
             way.over = True
--- a/ironbarrow/lab/sim/run.py
+++ b/ironbarrow/lab/sim/run.py
@@ -9,7 +9,7 @@
 from heathway import api
 from heathway.settings import read_settings
 from ironbarrow.core.host import Host
-from ironbarrow.core.jobs import Answer, Payload, Terms, Verdict
+from ironbarrow.core.jobs import Answer, JobOptions, Payload, Verdict
 from ironbarrow.core.jobs import Job as HostJob
 from ironbarrow.lab.audit import Auditor
 from ironbarrow.lab.model.client import Ended, Habits
@@ -124,7 +124,7 @@
         if run.world.dispatchers.routes:
             text = run.world.dispatchers.routes.encode()
             process.router = Router(Table(Loaded(parse(text, "routes"), {}, ("routes",)), self.settings))
-        host.workers_listed(_list(self._known, api.ListKind.LAST_KNOWN))
+        host.update_workers(_list(self._known, api.ListKind.LAST_KNOWN))
         process.leave_discovery = run.fleet.discovery.subscribe(
             f"d{self.number}", lambda news: clock.run(self._listed, (process, news))
         )
@@ -145,7 +145,7 @@
                 kept[entry.name] = entry
             self._known = News(news.version, True, tuple(e for e in kept.values() if e.status != "removed"))
         kind = api.ListKind.FULL if news.whole else api.ListKind.CHANGES
-        process.host.workers_listed(_list(news, kind))
+        process.host.update_workers(_list(news, kind))
 
     def reload(self) -> None:
         """Moves to another address of the discovery service: the whole list comes once more."""
@@ -165,7 +165,7 @@
         process.clock.over = True
         process.leave_discovery()
         process.back.close()
-        if killed or process.host.owed:
+        if killed or process.host.unanswered:
             self._run.audit.dispatcher_died(self.number)
         self._run.clients_lost(self)
         self._run.front.died(self.number)
@@ -178,7 +178,7 @@
             return
         process.stopping_at = self._run.clock.now()
         self._run.front.leaves(self.number)
-        process.host.end_by = process.stopping_at + _LAST_ANSWER
+        process.host.answer_deadline = process.stopping_at + _LAST_ANSWER
         stop_time = self._run.world.dispatchers.stop_time
         self._run.clock.call_at(process.stopping_at + _CLOSE_IDLE, self._end_when_done, process, down)
         self._run.clock.call_at(process.stopping_at + stop_time, self._end_now, process, down)
@@ -190,7 +190,7 @@
     def _end_when_done(self, process: _Process, down: int) -> None:
         if self.process is not process:
             return
-        if process.host.owed:
+        if process.host.unanswered:
             self._run.clock.call_at(self._run.clock.now() + 10 * MS, self._end_when_done, process, down)
         else:
             self.end(down, killed=False)
@@ -358,7 +358,7 @@
             return
         client.job_id = job_id = self.habits.new_try(order, client.tries)
         cls = self.world.classes[order.cls]
-        terms = Terms()
+        terms = JobOptions()
         job_class, tenant = cls.name, None
         if process.router is not None:
             headers = {
@@ -374,18 +374,18 @@
                 self._later(self._heard, client, "refused", found.retry_after)
                 return
             job_class, tenant = found.route.cls.name, found.tenant
-            terms = Terms(**arrival(found, dispatcher.settings), watch=found)
+            terms = JobOptions(**arrival(found, dispatcher.settings), limiter=found)
         self.audit.taken(job_id, order.number, dispatcher.number, left, unsafe=cls.effect == "unsafe")
         client.dispatcher = dispatcher
         self._waiting[client] = None
         # whole milliseconds pass on a socket, rounded down: no answer may come after its time
         left = left // MS * MS
-        client.job = process.host.take(
+        client.job = process.host.submit(
             Payload(job_id, "POST", "/" + cls.name, b""),
             lambda answer: self._answered(client, job_id, answer),
             job_class=job_class,
             tenant=tenant,
-            terms=terms,
+            options=terms,
             time_left=left,
             key=order.session,
             slots=float(order.slots),
--- a/ironbarrow/routing/router.py
+++ b/ironbarrow/routing/router.py
@@ -205,7 +205,7 @@
 
 
 def arrival(ticket: Ticket, settings: api.Settings) -> dict[str, Any]:
-    """What a ticket's limits come to for one job, as fields of ``core.host.Terms``."""
+    """What a ticket's limits come to for one job, as fields of ``core.host.JobOptions``."""
     limits = ticket.limits
     return {
         "most_attempts": min(limits.attempts or settings.max_attempts, settings.max_attempts),
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,7 +15,7 @@
 from ironbarrow.admin import door
 from ironbarrow.admin.bans import Bans
 from ironbarrow.admin.keep import BanFile
-from ironbarrow.core.metrics import OUTCOMES, Figures
+from ironbarrow.core.metrics import OUTCOMES, Metrics
 from tests.scenario import Stage, answer, call_back, job, post
 
 ACCEPTED = answer(202)
@@ -104,13 +104,13 @@
 @given(st.lists(st.tuples(st.sampled_from(["a", 'b"\n']), st.sampled_from([*OUTCOMES, "attempt"]))))
 @settings(max_examples=50, deadline=None)
 def test_figures_are_the_counts_of_what_was_told(events: list[tuple[str, str]]) -> None:
-    figures = Figures(("a", 'b"\n'))
+    figures = Metrics(("a", 'b"\n'))
     for name, what in events:
         if what == "attempt":
             figures.attempt_written(name)
         else:
             figures.job_ended(name, what)
-    shown = dict(line.rsplit(" ", 1) for line in figures.text(in_flight=3).splitlines())
+    shown = dict(line.rsplit(" ", 1) for line in figures.render(in_flight=3).splitlines())
     for name, label in (("a", "a"), ('b"\n', 'b\\"\\n')):
         for outcome in OUTCOMES:
             key = f'app_requests{{class="{label}",outcome="{outcome}"}}'
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -19,7 +19,13 @@
 from ironbarrow.backs.invoker import HttpInvoker
 from ironbarrow.core import attempt
 from ironbarrow.core import host as core
-from ironbarrow.core.attempt import Observation, Progress, delete_answered, proves_over, restarted
+from ironbarrow.core.attempt import (
+    Observation,
+    Progress,
+    observation_of_delete_status,
+    proves_end,
+    restarted_after_write,
+)
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine
 from ironbarrow.wire.http import Message
@@ -86,8 +92,8 @@
     stage.step("c1 expect HTTP/1.1 500")  # in time, at the deadline
     assert decisions.outcomes == [api.Outcome.TIMEOUT, api.Outcome.MOOT]
     assert stage.peers["p2"].sock is None
-    stage.until("forgotten", lambda: not stage.dispatcher.host.held_in_memory)
-    stage.until("no more DELETEs", lambda: not stage.dispatcher.invoker._deletes.under_way)
+    stage.until("forgotten", lambda: not stage.dispatcher.host.jobs_in_memory)
+    stage.until("no more DELETEs", lambda: not stage.dispatcher.invoker._delete_sender.in_flight)
     assert not stage.dispatcher.invoker._exchanges
     stage.close()
 
@@ -200,7 +206,7 @@
 
 @pytest.mark.parametrize(("observation", "progress"), list(product(Observation, Progress)))
 def test_what_proves_an_attempt_to_be_over(observation: Observation, progress: Progress) -> None:
-    proves = proves_over(observation, progress)
+    proves = proves_end(observation, progress)
     if observation in NEVER_PROOFS:
         assert not proves
     if observation is Observation.CALL_BACK:
@@ -214,15 +220,19 @@
 
 
 def test_an_answer_to_a_delete_proves_by_its_status() -> None:
-    proofs = {status for status in range(100, 600) if delete_answered(status) is Observation.DELETE_ANSWERED}
+    proofs = {
+        status
+        for status in range(100, 600)
+        if observation_of_delete_status(status) is Observation.DELETE_ANSWERED
+    }
     assert proofs == {*range(200, 300), 404, 410}
 
 
 def test_a_restart_is_one_after_the_request_was_written_and_before_now() -> None:
-    assert restarted(started_at=20, written_at=10, now=30)
-    assert not restarted(started_at=10, written_at=10, now=30)
-    assert not restarted(started_at=40, written_at=10, now=30)
-    assert not restarted(started_at=20, written_at=0, now=30)
+    assert restarted_after_write(started_at=20, written_at=10, now=30)
+    assert not restarted_after_write(started_at=10, written_at=10, now=30)
+    assert not restarted_after_write(started_at=40, written_at=10, now=30)
+    assert not restarted_after_write(started_at=20, written_at=0, now=30)
 
 
 # Random orders, in virtual time. The workers here hold the truth: which attempts they may still be running.
@@ -285,11 +295,11 @@
             ReportReader(SETTINGS),
             connect_timeout=250 * MS,
             idle_limit=10 * SECOND,
-            most_idle=8,
-            most=100,
+            max_idle=8,
+            max_connections=100,
         )
         self.host.invoker = self.back
-        self.host.workers_listed(
+        self.host.update_workers(
             api.WorkerList(api.ListKind.FULL, tuple(api.WorkerEntry(n, "a") for n in self.workers))
         )
 
@@ -301,7 +311,7 @@
 
     def play(self) -> None:
         payload = core.Payload("j1", "POST", "/x", b"in")
-        self.host.take(payload, self.answers.append, job_class="x", time_left=DEADLINE)
+        self.host.submit(payload, self.answers.append, job_class="x", time_left=DEADLINE)
         for _ in range(self.random.randrange(4)):
             self.loop.call_at(START + self.random.randrange(5000) * MS, self._call_off)
         for name in self.workers:
@@ -321,7 +331,7 @@
         entry = api.WorkerEntry(name, "a", started_at=started_at)
         later = started_at + self.random.randrange(10, 2000) * MS
         news = api.WorkerList(api.ListKind.CHANGES, (entry,))
-        self.loop.call_at(later, self.host.workers_listed, news)
+        self.loop.call_at(later, self.host.update_workers, news)
 
     # What the workers do
 
@@ -491,8 +501,8 @@
         assert world.run_twice == 0, seed
         assert len(world.answers) == 1, seed
         assert len(world.attempts) <= 3, seed
-        assert not world.host.held_in_memory, seed
-        assert not world.back._exchanges and not world.back._deletes.under_way, seed
+        assert not world.host.jobs_in_memory, seed
+        assert not world.back._exchanges and not world.back._delete_sender.in_flight, seed
         seen[len(world.attempts)] += 1
     assert min(seen[1], seen[2]) > 20  # the orders that matter did come up
 
@@ -511,7 +521,7 @@
 def test_each_false_proof_makes_a_second_copy(
     observation: Observation, progress: Progress, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    loose = attempt._PROVEN_AT[observation] | {progress}
-    monkeypatch.setitem(attempt._PROVEN_AT, observation, loose)
+    loose = attempt._PROVES_END_AT[observation] | {progress}
+    monkeypatch.setitem(attempt._PROVES_END_AT, observation, loose)
     copies = (play(seed, api.Effect.SAFE, monkeypatch).second_copies for seed in range(SEEDS))
     assert any(copies)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -96,12 +96,12 @@
     before, after = STAGES[when]
     for line in before.format(job=job()).splitlines():
         if line == "hold":  # the decisions' next turn does not come yet
-            stage.dispatcher.host._next_at = stage.dispatcher.loop.now() + 200 * MS
+            stage.dispatcher.host._next_run_at = stage.dispatcher.loop.now() + 200 * MS
         else:
             stage.step(line)
-    assert stage.dispatcher.host.owed == 1
+    assert stage.dispatcher.host.unanswered == 1
     steps(stage, LEAVES[leaves])
-    stage.until("its job is withdrawn", lambda: stage.dispatcher.host.owed == 0, WITHIN)
+    stage.until("its job is withdrawn", lambda: stage.dispatcher.host.unanswered == 0, WITHIN)
     count = len(sent.ids)
     steps(stage, after)
     stage.pass_time(0.1)
@@ -128,7 +128,7 @@
     )
     steps(stage, "c1 close\nc2 expect 204\nc2 close")
     stage.until("all is closed", lambda: not stage.dispatcher.clients.busy, 0.5)
-    assert stage.dispatcher.host.held_in_memory == 0
+    assert stage.dispatcher.host.jobs_in_memory == 0
 
 
 def test_requests_more_are_served_one_after_the_other_if_their_sender_stays(
@@ -167,7 +167,7 @@
     assert 0 < held <= 256 * 1024
     for n in range(1, 7):
         stage.peers[f"c{n}"].close()
-    stage.until("all have left", lambda: stage.dispatcher.host.owed == 0, 1.0)
+    stage.until("all have left", lambda: stage.dispatcher.host.unanswered == 0, 1.0)
     stage.until("all is closed", lambda: not stage.dispatcher.clients.busy, 2.0)
     assert stage.dispatcher.clients._places._buffered == 0
 
@@ -367,7 +367,7 @@
     steps(stage, f"c11 send {call_back('done', 'j1', result='x')}")
     stage.until("the call-back is served", lambda: b"204" in stage.peers["c11"].seen, 0.5)
     steps(stage, f"c1 expect x$\nc1 send {job('j11')}")
-    stage.until("the next job is taken", lambda: stage.dispatcher.host.owed == 9, 0.5)
+    stage.until("the next job is taken", lambda: stage.dispatcher.host.unanswered == 9, 0.5)
 
 
 @pytest.mark.parametrize("half", [job()[:40], job()[:-2]])
@@ -417,19 +417,19 @@
     for n, peer in enumerate(peers):
         peer.sendall(job(f"k{n}").replace("\\r", "\r").replace("\\n", "\n").encode())
     host, most = stage.dispatcher.host, 0
-    while host._numbers < 200:
-        before = host._numbers
+    while host._last_job_number < 200:
+        before = host._last_job_number
         stage.dispatcher.loop.run_once()
-        most = max(most, host._numbers - before)
-        if before < 100 <= host._numbers:
+        most = max(most, host._last_job_number - before)
+        if before < 100 <= host._last_job_number:
             for peer in peers:
                 peer.close()
             break
     assert most <= 64
     stage.pass_time(0.05)
     count = len(sent.ids)
-    assert host._numbers < 200  # whoever has left before its turn came has no job
-    assert host.owed == 0
+    assert host._last_job_number < 200  # whoever has left before its turn came has no job
+    assert host.unanswered == 0
     stage.pass_time(0.2)
     assert len(sent.ids) == count
 
@@ -440,7 +440,7 @@
     large = {n: job(f"j{n}", body="x" * 60_000) for n in range(1, 10)}
     steps(stage, "".join(f"c{n} send {large[n]}\nwait 10\n" for n in range(1, 10)))
     steps(stage, f"c9 expect ^HTTP/1.1 503 .*Retry-After: 0.2.*many\nc10 send {job('j10')}")
-    assert stage.dispatcher.host.owed == 8
+    assert stage.dispatcher.host.unanswered == 8
     steps(stage, f"c1 close\nwait 20\nc9 send {large[9]}\nwait 50\nc9 silent 10")
 
 
@@ -649,7 +649,7 @@
     # danger: counted for nobody, the flood of one tenant is paid for by all
     realms = [{"name": "north", "share": 0.5, "allowancePerS": 10.0}]
     stage = stages(workers=1, settings=read_settings({**SETTINGS, "realms": realms}))
-    stage.dispatcher.host.waits = heard = Heard()
+    stage.dispatcher.host.wait_observer = heard = Heard()
     for n, name in enumerate(("north", " north ", "south", "")):
         steps(stage, f"c{n} send {job(f'j{n}', more=f'X-Tenant-Id: {name}' + CRLF)}\nwait 20")
     assert heard.tenants == ["north", "north", None, None]
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -207,6 +207,6 @@
     stage.dispatcher.clients.close_idle()
     stage.until("all places are free", lambda: not stage.dispatcher.clients.busy)
     stage.dispatcher.invoker.free_descriptors()
-    assert stage.dispatcher.invoker._open == 0
+    assert stage.dispatcher.invoker._open_connections == 0
     monkeypatch.undo()
     stage.close()
--- a/tests/test_fleet_starvation.py
+++ b/tests/test_fleet_starvation.py
@@ -435,7 +435,7 @@
         def with_book(dispatcher=dispatcher, start=start):
             start()
             books.append(waits.WaitBook(RULES, simulation.clock.now()))
-            dispatcher.process.host.waits = books[-1]
+            dispatcher.process.host.wait_observer = books[-1]
 
         dispatcher.start = with_book
     simulation.run()
@@ -446,5 +446,5 @@
             whole.add(tally)
     assert whole.entered == whole.left and whole.taken >= 100
     hosts = [dispatcher.process.host for dispatcher in simulation.dispatchers]
-    served = sum(n for host in hosts for (_, how), n in host.figures.ended.items() if how == "served")
+    served = sum(n for host in hosts for (_, how), n in host.metrics.ended.items() if how == "served")
     assert sum(whole.started.values()) >= served > 100
--- a/tests/test_invoker.py
+++ b/tests/test_invoker.py
@@ -158,7 +158,7 @@
     stage.pass_time(0.1)
     assert decisions.outcomes == outcomes
     assert stage.peers["p1"].seen == b""
-    assert not stage.dispatcher.host.held_in_memory
+    assert not stage.dispatcher.host.jobs_in_memory
     if status and "expect" not in happens:
         stage.step(f"c1 expect ^HTTP/1.1 {status}")
     stage.close()
@@ -303,7 +303,7 @@
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     sent, closes, outcome, kept = ANSWERS[name]
-    monkeypatch.setattr(invoker, "_REST_LIMIT", 50 * MS)
+    monkeypatch.setattr(invoker, "_BODY_TIMEOUT", 50 * MS)
     stage, decisions = plain("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {sent}"):
         stage.step(line)
@@ -329,7 +329,7 @@
 @pytest.mark.parametrize("name", ACCEPTED_IN_PART)
 def test_a_202_counts_whatever_becomes_of_its_body(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     sent, closes = ACCEPTED_IN_PART[name]
-    monkeypatch.setattr(invoker, "_REST_LIMIT", 50 * MS)
+    monkeypatch.setattr(invoker, "_BODY_TIMEOUT", 50 * MS)
     stage, decisions = plain("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {sent}"):
         stage.step(line)
@@ -339,14 +339,14 @@
     assert stage.peers["p2"].sock is None
     stage.play(f"c9 send {call_back('done', result='out')}\nc1 expect HTTP/1.1 200 .*out$\nwait 10")
     assert decisions.outcomes == [Outcome.OK]
-    assert not stage.dispatcher.host.held_in_memory
+    assert not stage.dispatcher.host.jobs_in_memory
 
 
 @pytest.mark.parametrize("sent", ["", "HTTP/1.1 20", HEAD.format(202, "")], ids=["none", "half", "no end"])
 def test_an_answer_that_never_ends_holds_no_descriptor_once_its_call_is_over(
     sent: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(invoker, "_REST_LIMIT", 50 * MS)
+    monkeypatch.setattr(invoker, "_BODY_TIMEOUT", 50 * MS)
     stage, _ = plain("p1")
     for line in (f"c1 send {booking()}", "p1 expect in$", f"c9 send {call_back('done', result='out')}"):
         stage.step(line)
@@ -438,7 +438,7 @@
         stage.step(f"c1 expect ^HTTP/1.1 {status}")
     stage.step("c1 silent 20")
     assert decisions.outcomes == outcomes
-    stage.until("forgotten", lambda: not host.held_in_memory)
+    stage.until("forgotten", lambda: not host.jobs_in_memory)
     stage.close()
 
 
@@ -460,7 +460,7 @@
     gate.open = True
     stage.until("all told or given up", lambda: len(done) == 200)
     assert not any(done)  # nobody has confirmed anything
-    assert not back._deletes.under_way
+    assert not back._delete_sender.in_flight
     stage.close()
 
 
@@ -645,7 +645,7 @@
 
     def start(self, attempt: core.Attempt) -> None:
         assert all(earlier.ended for earlier in self.sent)
-        if self.host.barred(attempt) is not None:
+        if self.host.reason_not_to_send(attempt) is not None:
             self.host.attempt_ended(attempt, Ending.NOT_SENT)
             return
         ending, written = self.script[len(self.sent) % len(self.script)]
@@ -657,7 +657,7 @@
     def give_up(self, attempt: core.Attempt, ending: Ending) -> None:
         self.host.attempt_ended(attempt, ending)
 
-    def let_go(self, attempt: core.Attempt) -> None: ...
+    def detach(self, attempt: core.Attempt) -> None: ...
 
     def probe(self, worker: str) -> None: ...
 
@@ -693,9 +693,9 @@
         host = core.Host(clock, settings, 1)
         back = host.invoker = Scripted(host, script)
         entries = tuple(api.WorkerEntry(f"p{n}", "a") for n in range(5))
-        host.workers_listed(api.WorkerList(api.ListKind.FULL, entries))
+        host.update_workers(api.WorkerList(api.ListKind.FULL, entries))
         payload = core.Payload("j1", "POST", "/x", b"")
-        host.take(payload, answers.append, job_class="x", time_left=2 * SECOND)
+        host.submit(payload, answers.append, job_class="x", time_left=2 * SECOND)
         clock.run(4 * SECOND)
         ended = script[: len(back.sent)]
         risky = [n for n, (ending, written) in enumerate(ended) if not never_ran(ending, written)]
@@ -710,7 +710,7 @@
             assert not risky, script
         served = ended[-1][0] is Ending.DONE if ended else False
         assert (answers[0].verdict is core.Verdict.SERVED) is served, script
-        assert not host.held_in_memory
+        assert not host.jobs_in_memory
 
 
 def test_a_send_while_another_is_out_is_not_sent() -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -112,21 +112,21 @@
 
 
 def answers_nobody(host: core.Host, job: Any, answer: Any = None) -> None:
-    job.over = True
-    host._owed -= 1
+    job.finished = True
+    host._unanswered -= 1
 
 
 def answers_twice(host: core.Host, job: Any, answer: Any = None) -> None:
     real_conclude(host, job, answer)
     if answer is not None:
-        job.answer(answer)
+        job.on_answer(answer)
 
 
 def sends_twice(host: core.Host, action: Any) -> None:
     real_send(host, action)
     job = host._jobs.get(action.job)
-    if job is not None and not job.over:
-        other = next(name for name in host._states if name != action.worker)
+    if job is not None and not job.finished:
+        other = next(name for name in host._worker_states if name != action.worker)
         host.invoker.start(core.Attempt(job, len(job.attempts), other, host.loop.now(), job.deadline))
 
 
@@ -136,11 +136,11 @@
 
 
 def serves_failures(host: core.Host, action: Any) -> None:
-    host._answer(action.job, core.Answer(core.Verdict.SERVED))
+    host._answer_job(action.job, core.Answer(core.Verdict.SERVED))
 
 
 def refuses_failures(host: core.Host, action: Any) -> None:
-    host._answer(action.job, core.Answer(core.Verdict.REFUSED))
+    host._answer_job(action.job, core.Answer(core.Verdict.REFUSED))
 
 
 def takes_all_for_unstarted(ending: Ending, written: bool) -> Any:
@@ -159,16 +159,16 @@
     return made
 
 
-real_conclude, real_send = core.Host._conclude, core.Host._send
-real_listed, real_outcome = core.Host.workers_listed, core.outcome_of
+real_conclude, real_send = core.Host._finish_job, core.Host._send
+real_listed, real_outcome = core.Host.update_workers, core.outcome_of
 real_settings = sim.settings_object
 
 MUTANTS: dict[Breach, tuple[Any, str, Any, list[Fault], float]] = {
-    Breach.NO_ANSWER: (core.Host, "_conclude", answers_nobody, [], 0.5),
-    Breach.TWO_ANSWERS: (core.Host, "_conclude", answers_twice, [], 0.5),
+    Breach.NO_ANSWER: (core.Host, "_finish_job", answers_nobody, [], 0.5),
+    Breach.TWO_ANSWERS: (core.Host, "_finish_job", answers_twice, [], 0.5),
     Breach.SECOND_COPY: (core.Host, "_send", sends_twice, [], 0.5),
     Breach.TOO_MANY: (sim, "settings_object", settings_with(limits__mostTries=9), [FAILING], 0.3),
-    Breach.PAST_DRAIN: (core.Host, "workers_listed", hears_no_drain, [DRAINS], 0.5),
+    Breach.PAST_DRAIN: (core.Host, "update_workers", hears_no_drain, [DRAINS], 0.5),
     Breach.PUSHED_OVER: (sim, "settings_object", settings_with(guarantees__cold=0), [DEPLOY], 0.9),
     Breach.RAN_TWICE: (core, "outcome_of", takes_all_for_unstarted, DYING, 0.7),
     Breach.FALSE_PROOF: (core, "outcome_of", takes_all_for_unstarted, DYING, 0.7),
@@ -192,7 +192,7 @@
     run = sim.Simulation(world(6, FAILING, arrivals=busy(0.5)), 4)
     assert not run.run().verdicts.breaches
     hosts = [dispatcher.process.host for dispatcher in run.dispatchers if dispatcher.process]
-    assert sum(host.events.counts["decision not carried out", Rule.LAWFUL_REFUSAL.value] for host in hosts)
+    assert sum(host.event_log.counts["decision not carried out", Rule.LAWFUL_REFUSAL.value] for host in hosts)
 
 
 # Whole runs
@@ -216,7 +216,7 @@
     assert result.summary()["all"]["refused"] > 100
     # what is kept grows with the jobs of the last half minute, not with all that ever came
     assert run.clock.pending < 20 * len(result.rows["due"])
-    assert sum(d.process.host.held_in_memory for d in run.dispatchers if d.process) < 50
+    assert sum(d.process.host.jobs_in_memory for d in run.dispatchers if d.process) < 50
 
 
 def test_a_live_run_serves_through_processes_on_loopback(tmp_path: Path) -> None:
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -424,8 +424,8 @@
     stage = Stage(workers=0)
     rounds = "".join(f"c1 send {job(f'j{n}')}\nwait 10\nc1 close\nwait 10\n" for n in range(3))
     stage.play(rounds)
-    assert stage.dispatcher.host.owed == 0
-    assert stage.dispatcher.host.held_in_memory == 0
+    assert stage.dispatcher.host.unanswered == 0
+    assert stage.dispatcher.host.jobs_in_memory == 0
 
 
 def test_a_trace_tells_each_event_and_action(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -15,7 +15,7 @@
 
 
 def violations(stage: Stage) -> dict[str, int]:
-    counts = stage.dispatcher.host.events.counts
+    counts = stage.dispatcher.host.event_log.counts
     return {kind: number for (event, kind), number in counts.items() if event == "decision not carried out"}
 
 
@@ -100,7 +100,9 @@
         refused = world.answers[0].verdict.value == "refused"
         may_have_run = any(held.may_have_run for held in world.attempts)
         assert effect is not api.Effect.UNSAFE or not (refused and may_have_run), seed
-        violated |= {kind for event, kind in world.host.events.counts if event == "decision not carried out"}
+        violated |= {
+            kind for event, kind in world.host.event_log.counts if event == "decision not carried out"
+        }
     # the decisions did try to break them
     assert {Rule.ONE_LIVE_ATTEMPT.value, Rule.ONE_ATTEMPT_PER_WORKER.value} <= violated
     if effect is api.Effect.UNSAFE:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -191,7 +191,7 @@
             else:
                 stage.step(line.strip())
         stage.step("exits")
-        assert stage.dispatcher.host.owed == 0
+        assert stage.dispatcher.host.unanswered == 0
     finally:
         stage.close()
 
