--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -1,7 +1,8 @@
-"""One attempt from its first byte to the proof that it is over: no further attempt goes out before that.
+"""Tests that no further attempt of a job is sent before the previous one is proven to be over.
 
-First the orders that were seen to break this, on sockets; then random orders of answers, call-backs, breaks,
-refusals, silences, restarts and calls-off against the real invoker and host, in virtual time.
+The first part replays, on sockets, orders of events that have broken this rule. The second part runs the real
+invoker and host in virtual time against random orders of answers, call-backs, connection failures, refusals,
+time-outs, restarts and cancellations.
 """
 
 import random
@@ -39,17 +40,18 @@
     *read_settings(SETTINGS).classes,
     api.JobClass("charge", api.Effect.KEYED, 1 * SECOND, 25 * SECOND, window=20 * SECOND),
 )
-KINDS = ["map", "book", "charge"]
+JOB_PATHS = ["map", "book", "charge"]
 
 
-def call_off(stage: Stage) -> None:
-    """As the decisions do it."""
+def cancel_attempt(stage: Stage) -> None:
+    """Cancels the attempt of the only job, as the decision module does."""
     host = stage.dispatcher.host
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
 
 
-def begun(path: str, ms: int = 9000, *, accepted: bool = True) -> tuple[Stage, Plain]:
-    """A stage on which p1 has a job and has closed its connections."""
+def stage_with_attempt(path: str, ms: int = 9000, *, accepted: bool = True) -> tuple[Stage, Plain]:
+    """A stage on which p1 has received a job. If ``accepted``, it has also answered 202, called back that it
+    runs the job, and closed its connection."""
     stage, decisions = plain("p1", "p2", settings=replace(read_settings(SETTINGS), classes=CLASSES))
     steps = [f"c1 send {job(path=f'{path}/x', ms=ms)}", "p1 expect in$"]
     if accepted:
@@ -62,32 +64,32 @@
 # On sockets
 
 
-@pytest.mark.parametrize("path", KINDS)
+@pytest.mark.parametrize("path", JOB_PATHS)
 def test_a_refused_delete_does_not_end_an_accepted_attempt(path: str) -> None:
-    # danger: a machine that was cut off resets new connections once it is back, with its jobs still running
-    stage, decisions = begun(path)
+    # A machine that was cut off resets new connections once it is back, with its jobs still running.
+    stage, decisions = stage_with_attempt(path)
     stage.step("p1 refuse")
-    call_off(stage)
+    cancel_attempt(stage)
     stage.step("c1 silent 700")
     assert decisions.outcomes == []
     assert stage.peers["p2"].sock is None
     for line in ("p1 listen", "p1 expect DELETE /jobs/j1 HTTP"):
         stage.step(line)
     assert stage.peers["p2"].sock is None
-    # the decisions here would send a booking again, too; the host does not
-    then = "c1 expect HTTP/1.1 500" if path == "book" else "p2 expect in$"
+    # The decisions of this test would repeat a booking as well; the host does not.
+    next_step = "c1 expect HTTP/1.1 500" if path == "book" else "p2 expect in$"
     stage.step(f"p1 send {answer(204)}")
-    stage.step(then)
+    stage.step(next_step)
     assert (stage.peers["p2"].sock is None) is (path == "book")
     assert decisions.outcomes[0] is api.Outcome.CANCELLED
     stage.close()
 
 
-@pytest.mark.parametrize("path", KINDS)
+@pytest.mark.parametrize("path", JOB_PATHS)
 def test_an_unanswered_delete_does_not_end_an_accepted_attempt(path: str) -> None:
-    # danger: a hung process has not read it, and may come back with the job
-    stage, decisions = begun(path, ms=1500)
-    call_off(stage)
+    # A hung process has not read the DELETE, and may continue with the job later.
+    stage, decisions = stage_with_attempt(path, ms=1500)
+    cancel_attempt(stage)
     stage.step("p1 expect DELETE /jobs/j1 HTTP")
     stage.step("c1 expect HTTP/1.1 500")  # in time, at the deadline
     assert decisions.outcomes == [api.Outcome.TIMEOUT, api.Outcome.MOOT]
@@ -99,9 +101,9 @@
 
 
 @pytest.mark.parametrize("status", [400, 500, 503])
-def test_an_answer_that_does_not_say_so_is_no_proof(status: int) -> None:
-    stage, decisions = begun("map")
-    call_off(stage)
+def test_a_delete_answered_with_another_status_is_no_proof(status: int) -> None:
+    stage, decisions = stage_with_attempt("map")
+    cancel_attempt(stage)
     for line in ("p1 expect DELETE /jobs/j1 HTTP", f"p1 send {answer(status)}"):
         stage.step(line)
     stage.step("p1 expect DELETE /jobs/j1 HTTP")
@@ -110,7 +112,7 @@
 
 
 def test_an_attempts_time_out_does_not_end_it_without_a_proof() -> None:
-    # danger: an attempt whose own time is over long before its job's was given up after three DELETEs
+    # An attempt that timed out long before its job's deadline was given up after three DELETEs.
     stage, decisions = plain("p1", "p2")
     decisions.timeout = 100 * MS
     for line in (f"c1 send {job(ms=2500)}", "p1 expect in$", f"p1 send {ACCEPTED}", "p1 close", "p1 refuse"):
@@ -121,9 +123,9 @@
     stage.play("p1 listen\np1 expect DELETE /jobs/j1 HTTP\np1 send " + answer(204) + "\np2 expect in$")
 
 
-def test_a_break_does_not_end_an_attempt_that_has_told_of_its_start() -> None:
-    # danger: its 202 may be lost with the connection, and the worker runs the job
-    stage, decisions = begun("map", accepted=False)
+def test_a_closed_connection_does_not_end_an_attempt_that_has_called_back_started() -> None:
+    # Its 202 may be lost with the connection while the worker runs the job.
+    stage, decisions = stage_with_attempt("map", accepted=False)
     for line in (*STARTED.splitlines(), "p1 close", "p1 expect DELETE /jobs/j1 HTTP"):
         stage.step(line)
     assert decisions.outcomes == []
@@ -132,9 +134,9 @@
     assert decisions.outcomes == [api.Outcome.RESET]
 
 
-def test_a_start_that_comes_while_a_closed_attempt_is_called_off_asks_for_a_proof() -> None:
-    stage, decisions = begun("map", accepted=False)
-    call_off(stage)
+def test_a_start_called_back_while_a_closed_attempt_is_cancelled_requires_a_proof() -> None:
+    stage, decisions = stage_with_attempt("map", accepted=False)
+    cancel_attempt(stage)
     for line in ("p1 close", "p1 expect DELETE /jobs/j1 HTTP", *STARTED.splitlines(), "p1 close"):
         stage.step(line)
     stage.step("p1 expect DELETE /jobs/j1 HTTP")
@@ -143,9 +145,13 @@
     stage.play(f"p1 send {answer(204)}\np2 expect in$")
 
 
-@pytest.mark.parametrize(("since", "asked"), [("later", True), ("earlier", False), ("in the future", False)])
-def test_after_a_later_start_in_the_list_the_new_process_is_asked(since: str, asked: bool) -> None:
-    # danger: taken for the attempt's end, the list alone made a second copy on a day of the bench
+@pytest.mark.parametrize(
+    ("since", "deleted"), [("later", True), ("earlier", False), ("in the future", False)]
+)
+def test_a_delete_is_sent_to_the_new_process_after_a_later_start_in_the_list(
+    since: str, deleted: bool
+) -> None:
+    # When the list alone was taken for the attempt's end, two copies of a job ran in a benchmark.
     stage, decisions = plain("p1", "p2")
     before = stage.dispatcher.loop.now() // MS
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 20"):
@@ -160,7 +166,7 @@
     news = stage.news(entry).replace("\r", "\\r").replace("\n", "\\n")
     stage.step("d expect GET")
     stage.step(f"d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n{news}")
-    if asked:
+    if deleted:
         stage.step("p1 expect DELETE /jobs/j1 HTTP")
         assert decisions.outcomes == []
         assert stage.peers["p2"].sock is None
@@ -169,31 +175,31 @@
         stage.step("c1 silent 100")
         assert not stage.peers["p1"].seen
         stage.close()
-    assert decisions.outcomes == ([api.Outcome.CANCELLED] if asked else [])
+    assert decisions.outcomes == ([api.Outcome.CANCELLED] if deleted else [])
 
 
-def test_an_attempt_of_another_process_is_confirmed_by_an_answer_alone() -> None:
+def test_cancelling_an_attempt_of_another_process_is_confirmed_only_by_an_answer() -> None:
     stage, _ = plain("p1")
-    told: list[bool] = []
+    confirmed: list[bool] = []
     until = stage.dispatcher.loop.now() + 400 * MS
     stage.step("p1 refuse")
-    stage.dispatcher.invoker.call_off("j1", "p1", until, told.append)
-    stage.dispatcher.invoker.call_off("j2", "nobody knows it", until, told.append)
+    stage.dispatcher.invoker.call_off("j1", "p1", until, confirmed.append)
+    stage.dispatcher.invoker.call_off("j2", "unknown worker", until, confirmed.append)
     stage.pass_time(0.2)
-    assert told == []
-    stage.until("the time is over", lambda: told == [False, False])
+    assert confirmed == []
+    stage.until("the time is over", lambda: confirmed == [False, False])
     stage.step("p1 listen")
-    stage.dispatcher.invoker.call_off("j3", "p1", until + 9 * SECOND, told.append)
+    stage.dispatcher.invoker.call_off("j3", "p1", until + 9 * SECOND, confirmed.append)
     stage.step("p1 expect DELETE /jobs/j3 HTTP")
-    assert len(told) == 2
+    assert len(confirmed) == 2
     stage.step(f"p1 send {answer(204)}")
-    stage.until("told", lambda: told == [False, False, True])
+    stage.until("confirmed", lambda: confirmed == [False, False, True])
     stage.close()
 
 
 # The table of proofs
 
-NEVER_PROOFS = {
+NO_PROOFS = {
     Observation.DELETE_UNSENT,
     Observation.DELETE_FAILED_HERE,
     Observation.DELETE_UNANSWERED,
@@ -207,7 +213,7 @@
 @pytest.mark.parametrize(("observation", "progress"), list(product(Observation, Progress)))
 def test_what_proves_an_attempt_to_be_over(observation: Observation, progress: Progress) -> None:
     proves = proves_end(observation, progress)
-    if observation in NEVER_PROOFS:
+    if observation in NO_PROOFS:
         assert not proves
     if observation is Observation.CALL_BACK:
         assert proves
@@ -235,24 +241,25 @@
     assert not restarted_after_write(started_at=20, written_at=0, now=30)
 
 
-# Random orders, in virtual time. The workers here hold the truth: which attempts they may still be running.
+# Random orders in virtual time. The simulated workers know which attempts they may still be running.
 
 
 @dataclass(eq=False)
-class Held:
-    """An attempt as its worker has it."""
+class WorkerAttempt:
+    """An attempt as seen by its worker."""
 
     worker: str
     written_at: int
-    confirmed: bool = False  # the dispatcher has heard that the worker has taken it
-    started: bool = False  # likewise that it runs it
+    confirmed: bool = False  # the dispatcher has been informed that the worker has accepted it
+    started: bool = False  # the dispatcher has been informed that it is running
     live: bool = True
     may_have_run: bool = True
 
 
 @dataclass
 class Worker:
-    """Fails by a timeline: ``mode`` from each time on."""
+    """A worker that changes its behaviour over time: each entry of the timeline is a start time and a
+    mode."""
 
     name: str
     timeline: list[tuple[int, str]]
@@ -271,12 +278,12 @@
 
 @dataclass
 class World:
-    """Three workers, one dispatcher's host and invoker, one job."""
+    """Three workers, the host and invoker of one dispatcher, and one job."""
 
     seed: int
     effect: api.Effect
     loop: VirtualLoop = field(default_factory=lambda: VirtualLoop(START))
-    attempts: list[Held] = field(default_factory=list)
+    attempts: list[WorkerAttempt] = field(default_factory=list)
     answers: list[core.Answer] = field(default_factory=list)
     second_copies: int = 0
     run_twice: int = 0
@@ -287,11 +294,11 @@
         job_class = api.JobClass("x", self.effect, 1 * SECOND, DEADLINE, window=DEADLINE)
         settings = replace(read_settings(SETTINGS), classes=(job_class,), max_attempts=3)
         self.host = core.Host(self.loop, settings, 1)
-        self.host._dispatcher = Lawful(self.effect)  # type: ignore[assignment]
+        self.host._dispatcher = EffectAwareDecisions(self.effect)  # type: ignore[assignment]
         self.back = HttpInvoker(
             self.loop,  # type: ignore[arg-type]
             self.host,
-            Addresses(),  # type: ignore[arg-type]
+            FakeDiscovery(),  # type: ignore[arg-type]
             ReportReader(SETTINGS),
             connect_timeout=250 * MS,
             idle_limit=10 * SECOND,
@@ -309,72 +316,77 @@
             yield at, self.random.choice(MODES)
             at = max(at, START) + self.random.randrange(50, 3000) * MS
 
-    def play(self) -> None:
+    def simulate(self) -> None:
         payload = core.Payload("j1", "POST", "/x", b"in")
         self.host.submit(payload, self.answers.append, job_class="x", time_left=DEADLINE)
         for _ in range(self.random.randrange(4)):
-            self.loop.call_at(START + self.random.randrange(5000) * MS, self._call_off)
+            self.loop.call_at(START + self.random.randrange(5000) * MS, self._cancel_attempt)
         for name in self.workers:
             if self.random.random() < 0.3:
                 self.loop.call_at(START + self.random.randrange(5000) * MS, self._restart, name)
         self.loop.run(START + 3 * DEADLINE)
 
-    def _call_off(self) -> None:
-        for number, taken in self.host._jobs.items():
-            if taken.attempts:
-                self.host._cancel(api.CancelAttempt(number, len(taken.attempts) - 1))
+    def _cancel_attempt(self) -> None:
+        for number, accepted in self.host._jobs.items():
+            if accepted.attempts:
+                self.host._cancel(api.CancelAttempt(number, len(accepted.attempts) - 1))
 
     def _restart(self, name: str) -> None:
-        """The process ends and is back at once; discovery lists that some time later. By the protocol that is
-        no end of an attempt."""
+        """The worker's process restarts at once; discovery lists that some time later. In the protocol this
+        does not end an attempt."""
         started_at = self.loop.now()
         entry = api.WorkerEntry(name, "a", started_at=started_at)
         later = started_at + self.random.randrange(10, 2000) * MS
-        news = api.WorkerList(api.ListKind.CHANGES, (entry,))
-        self.loop.call_at(later, self.host.update_workers, news)
+        update = api.WorkerList(api.ListKind.CHANGES, (entry,))
+        self.loop.call_at(later, self.host.update_workers, update)
 
-    # What the workers do
+    # Behaviour of the workers
 
-    def written(self, worker: str) -> Held:
-        if any(held.live for held in self.attempts):
+    def written(self, worker: str) -> WorkerAttempt:
+        if any(worker_attempt.live for worker_attempt in self.attempts):
             self.second_copies += 1
-        if any(held.may_have_run for held in self.attempts) and self.effect is api.Effect.UNSAFE:
+        if (
+            any(worker_attempt.may_have_run for worker_attempt in self.attempts)
+            and self.effect is api.Effect.UNSAFE
+        ):
             self.run_twice += 1
-        held = Held(worker, self.loop.now())
-        self.attempts.append(held)
+        worker_attempt = WorkerAttempt(worker, self.loop.now())
+        self.attempts.append(worker_attempt)
         for _ in range(self.random.randrange(3)):
             state = self.random.choice(CALL_BACK_STATES)
             self.loop.call_at(
-                self.loop.now() + self.random.randrange(1, 4000) * MS, self._call_back, held, state
+                self.loop.now() + self.random.randrange(1, 4000) * MS, self._call_back, worker_attempt, state
             )
-        return held
+        return worker_attempt
 
-    def _call_back(self, held: Held, state: str) -> None:
-        mode = self.workers[held.worker].mode(self.loop.now())
-        if not held.live or mode in ("hung", "cut off"):
+    def _call_back(self, worker_attempt: WorkerAttempt, state: str) -> None:
+        mode = self.workers[worker_attempt.worker].mode(self.loop.now())
+        if not worker_attempt.live or mode in ("hung", "cut off"):
             return
         if state == "started":
-            held.confirmed = held.started = True
+            worker_attempt.confirmed = worker_attempt.started = True
         else:
-            held.live = False
-            held.may_have_run = held.may_have_run and (state != "returned" or held.started)
-        self.back.called_back({"id": "j1", "from": held.worker, "state": state, "result": "out"})
+            worker_attempt.live = False
+            worker_attempt.may_have_run = worker_attempt.may_have_run and (
+                state != "returned" or worker_attempt.started
+            )
+        self.back.called_back({"id": "j1", "from": worker_attempt.worker, "state": state, "result": "out"})
 
     def deleted(self, worker: str) -> None:
-        for held in self.attempts:
-            if held.worker == worker:
-                held.live = False
+        for worker_attempt in self.attempts:
+            if worker_attempt.worker == worker:
+                worker_attempt.live = False
 
 
-class Addresses:
-    """The discovery service as the invoker knows it."""
+class FakeDiscovery:
+    """The part of the discovery client that the invoker uses."""
 
     def address_of(self, worker: str) -> tuple[str, int]:
         return worker, 1
 
 
-class Lawful(Plain):
-    """Goes on with the next worker where the class allows that."""
+class EffectAwareDecisions(Plain):
+    """Continues with the next worker if the job's effect allows it."""
 
     def __init__(self, effect: api.Effect) -> None:
         super().__init__(("p1", "p2", "p3"))
@@ -394,7 +406,7 @@
 
     def __init__(self, world: World, worker: Worker) -> None:
         self.world, self.worker = world, worker
-        self.held: Held | None = None
+        self.worker_attempt: WorkerAttempt | None = None
         self.method = ""
         self.on_close: Any = None
         self.closed = False
@@ -412,7 +424,7 @@
         if self.worker.mode(self.world.loop.now()) == "resets" and self.world.random.random() < 0.5:
             raise ConnectionEndedError(Ending.RESET)
         if self.method == "POST":
-            self.held = self.world.written(self.worker.name)
+            self.worker_attempt = self.world.written(self.worker.name)
 
     def read_head(self, until: int) -> Coroutine[Message]:
         loop, chance = self.world.loop, self.world.random
@@ -433,16 +445,19 @@
             if kind in ("204", "404"):
                 self.world.deleted(self.worker.name)
             return Message(status=int(kind))
-        held = self.held
-        assert held is not None
+        worker_attempt = self.worker_attempt
+        assert worker_attempt is not None
         if kind in ("202", "late 202"):
-            held.confirmed = True
+            worker_attempt.confirmed = True
             return Message(status=202)
         if kind == "proof":
-            held.live, held.may_have_run = False, held.may_have_run and held.started
+            worker_attempt.live, worker_attempt.may_have_run = (
+                False,
+                worker_attempt.may_have_run and worker_attempt.started,
+            )
             return Message(status=503, headers={"x-not-processed": "1"})
         if kind == "500":
-            held.live = False
+            worker_attempt.live = False
         return Message(status=int(kind))
 
     def read_body(self, message: Message, until: int) -> Coroutine[None]:
@@ -461,13 +476,13 @@
         if self.closed:
             return
         self.closed = True
-        if self.held is not None and not self.held.confirmed:
-            self.held.live = False  # given up before the 202
+        if self.worker_attempt is not None and not self.worker_attempt.confirmed:
+            self.worker_attempt.live = False  # given up before the 202
         if self.on_close is not None:
             self.on_close()
 
 
-def play(seed: int, effect: api.Effect, patch: pytest.MonkeyPatch) -> World:
+def run_world(seed: int, effect: api.Effect, patch: pytest.MonkeyPatch) -> World:
     world = World(seed, effect)
 
     def connect(address: tuple[str, int], until: int) -> Coroutine[FakeConnection]:
@@ -482,7 +497,7 @@
         return FakeConnection(world, worker)
 
     patch.setattr(invoker, "connect", connect)
-    world.play()
+    world.simulate()
     return world
 
 
@@ -496,7 +511,7 @@
 ) -> None:
     seen: Counter[int] = Counter()
     for seed in range(SEEDS):
-        world = play(seed, effect, monkeypatch)
+        world = run_world(seed, effect, monkeypatch)
         assert world.second_copies == 0, seed
         assert world.run_twice == 0, seed
         assert len(world.answers) == 1, seed
@@ -504,7 +519,7 @@
         assert not world.host.jobs_in_memory, seed
         assert not world.back._exchanges and not world.back._delete_sender.in_flight, seed
         seen[len(world.attempts)] += 1
-    assert min(seen[1], seen[2]) > 20  # the orders that matter did come up
+    assert min(seen[1], seen[2]) > 20  # the seeds include enough worlds with one and with two attempts
 
 
 @pytest.mark.parametrize(
@@ -521,7 +536,7 @@
 def test_each_false_proof_makes_a_second_copy(
     observation: Observation, progress: Progress, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    loose = attempt._PROVES_END_AT[observation] | {progress}
-    monkeypatch.setitem(attempt._PROVES_END_AT, observation, loose)
-    copies = (play(seed, api.Effect.SAFE, monkeypatch).second_copies for seed in range(SEEDS))
+    too_lenient = attempt._PROVES_END_AT[observation] | {progress}
+    monkeypatch.setitem(attempt._PROVES_END_AT, observation, too_lenient)
+    copies = (run_world(seed, api.Effect.SAFE, monkeypatch).second_copies for seed in range(SEEDS))
     assert any(copies)
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -1,4 +1,5 @@
-"""The rules of service hold whatever the decisions say: what would break one is not done, and is counted."""
+"""Tests that an action of the decision module which would break a service rule is not carried out, and is
+counted."""
 
 import random
 from collections.abc import Iterable
@@ -20,7 +21,7 @@
 
 
 def test_a_booking_that_may_have_run_is_not_sent_again() -> None:
-    """Guards against decisions that repeat an effect (bcef66)."""
+    """Guards against a decision module that repeats an effect (bcef66)."""
     stage, _ = plain("p1", "p2")
     for line in (f"c1 send {job(path='book/x')}", "p1 expect in$", f"p1 send {answer(500)}", "c1 expect 500"):
         stage.step(line)
@@ -30,7 +31,8 @@
 
 
 def test_a_booking_that_may_have_run_is_not_refused() -> None:
-    """Guards against decisions that invite a repeat of an effect (bcef66)."""
+    """Guards against a decision module that refuses a job which may have run: the client would repeat it
+    (bcef66)."""
     stage, decisions = plain("p1")
     real = decisions.handle
     decisions.handle = lambda now, events: [  # type: ignore[method-assign]
@@ -43,7 +45,7 @@
 
 
 def test_no_job_goes_to_one_worker_twice() -> None:
-    """Guards against a copy of a call-back that ends the next attempt at the same worker (bcef66)."""
+    """Guards against a duplicate call-back that ends the next attempt at the same worker (bcef66)."""
     stage, _ = plain("p1", "p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {answer(202)}"):
         stage.step(line)
@@ -54,11 +56,11 @@
     stage.close()
 
 
-class Reckless:
-    """Sends, calls off, refuses and fails at random, whatever has happened."""
+class RandomDecisions:
+    """Sends, cancels, refuses and fails jobs at random, whatever has happened."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, generator: random.Random) -> None:
+        self._random = generator
         self._sends = 0
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
@@ -67,12 +69,12 @@
             number = getattr(event, "job", 0)
             if not number:
                 continue
-            kind = self._chance.choice(("send", "send", "send", "call off", "refuse", "fail", "nothing"))
+            kind = self._random.choice(("send", "send", "send", "cancel", "refuse", "fail", "nothing"))
             if kind == "send" or isinstance(event, api.JobArrived):
                 self._sends += 1
-                actions.append(api.Send(number, self._chance.choice(("p1", "p2", "p3"))))
-            elif kind == "call off":
-                actions.append(api.CancelAttempt(number, self._chance.randrange(self._sends)))
+                actions.append(api.Send(number, self._random.choice(("p1", "p2", "p3"))))
+            elif kind == "cancel":
+                actions.append(api.CancelAttempt(number, self._random.randrange(self._sends)))
             elif kind == "refuse":
                 actions.append(api.Refuse(number))
             elif kind == "fail":
@@ -81,18 +83,18 @@
 
 
 @pytest.mark.parametrize("effect", test_attempt.EFFECTS)
-def test_reckless_decisions_break_no_rule(effect: api.Effect, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_decisions_break_no_rule(effect: api.Effect, monkeypatch: pytest.MonkeyPatch) -> None:
     violated: set[str] = set()
     for seed in range(400):
         world = test_attempt.World(seed, effect)
-        world.host._dispatcher = Reckless(random.Random(seed))  # type: ignore[assignment]
+        world.host._dispatcher = RandomDecisions(random.Random(seed))  # type: ignore[assignment]
 
         def connect(address: tuple[str, int], until: int) -> Coroutine[test_attempt.FakeConnection]:
             yield from test_attempt.wait(world.loop.now())  # noqa: B023
             return test_attempt.FakeConnection(world, world.workers[address[0]])  # noqa: B023
 
         monkeypatch.setattr(invoker, "connect", connect)
-        world.play()
+        world.simulate()
         assert world.second_copies == 0, seed
         assert world.run_twice == 0, seed
         assert len(world.answers) == 1, seed
@@ -103,7 +105,7 @@
         violated |= {
             kind for event, kind in world.host.event_log.counts if event == "decision not carried out"
         }
-    # the decisions did try to break them
+    # The random decisions did try to break these rules.
     assert {Rule.ONE_LIVE_ATTEMPT.value, Rule.ONE_ATTEMPT_PER_WORKER.value} <= violated
     if effect is api.Effect.UNSAFE:
         assert {Rule.NO_REPEATED_EFFECT.value, Rule.LAWFUL_REFUSAL.value} <= violated
