--- a/tests/test_invoker.py
+++ b/tests/test_invoker.py
@@ -1,6 +1,8 @@
-"""Attempts at workers: what may come in a bad order between the dispatcher and a worker, each order forced.
+"""Tests of the HTTP invoker: each unfavourable order of events between the dispatcher and a worker is forced.
 
-The decisions here are the plainest ones, so that each case says where a job goes and sees each outcome."""
+A minimal decision module is used, so that each case defines which workers a job is sent to and sees each
+outcome.
+"""
 
 import contextlib
 import heapq
@@ -36,9 +38,9 @@
     return job(job_id, path="book/x", ms=ms)
 
 
-# What a first request is answered with twice, and how many ms after the first copy the second one comes,
-# while the next request is on its way. That one must not take it for its own answer.
-ANSWERED_TWICE = {
+# The answer that a first request gets twice, and by how many ms the second copy is late. It arrives while the
+# next request is waiting for its own answer, and must not be taken for that.
+DUPLICATE_ANSWERS = {
     "a proof, in the same read": (NOT_PROCESSED, 0),
     "a proof, some ms late": (NOT_PROCESSED, 20),
     "an acceptance, in the same read": (ACCEPTED, 0),
@@ -48,10 +50,10 @@
 }
 
 
-@pytest.mark.parametrize("name", ANSWERED_TWICE)
-def test_a_second_answer_is_not_the_next_requests(name: str) -> None:
-    # danger: a stale proof would say of a booking that runs that it never ran
-    first, late = ANSWERED_TWICE[name]
+@pytest.mark.parametrize("name", DUPLICATE_ANSWERS)
+def test_a_duplicate_answer_is_not_taken_for_the_next_requests(name: str) -> None:
+    # A duplicate proof would claim that a booking never ran while it is running.
+    first, late = DUPLICATE_ANSWERS[name]
     stage, _ = plain("p1")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {first if late else first + first}"):
         stage.step(line)
@@ -75,7 +77,7 @@
 
 SHORT = replace(
     read_settings(SETTINGS),
-    may_cancel=False,  # then the module calls nothing off when a client leaves
+    may_cancel=False,  # then the decision module cancels nothing when a client disconnects
     classes=(
         *read_settings(SETTINGS).classes,
         api.JobClass("charge", api.Effect.KEYED, 1 * SECOND, 25 * SECOND, window=500 * MS),
@@ -84,12 +86,12 @@
 
 
 class Gate:
-    """Holds calls before their first byte until it is opened."""
+    """Holds requests back before their first byte while ``open`` is False."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, moment: str) -> None:
         self.open = True
         self.held = 0
-        self.waiting = 0  # that connect at present
+        self.waiting = 0  # calls that are connecting now
         real_connect, real_send = invoker.connect, socket.socket.send
 
         def connect(address: Address, until: int) -> Coroutine[Connection]:
@@ -100,7 +102,7 @@
                     yield Wait(-1, 0, time.time_ns() + MS)
             finally:
                 self.waiting -= 1
-            return (yield from real_connect(address, time.time_ns() + SECOND))  # not the time that was held
+            return (yield from real_connect(address, time.time_ns() + SECOND))  # the time held does not count
 
         def send(sock: socket.socket, data: Any, flags: int = 0) -> int:
             if not self.open and bytes(data).startswith(b"POST"):
@@ -114,8 +116,9 @@
             monkeypatch.setattr(socket.socket, "send", send)
 
 
-# The job, the workers it goes to, what happens while a call is held, the outcomes, what the client gets
-HELD = {
+# The job, the workers it is sent to, the event while its request is held back, the outcomes, the client's
+# status
+EVENTS_BEFORE_FIRST_BYTE = {
     "the client leaves": (booking(), ("p1",), "c1 close", [Outcome.MOOT], ""),
     "the worker drains": (booking(), ("p1",), "d send $drained", [Outcome.FULL], "503"),
     "the job's time ends": (booking(ms=300), ("p1",), "c1 expect 503", [Outcome.MOOT], ""),
@@ -131,16 +134,16 @@
 
 
 @pytest.mark.parametrize("moment", ["connecting", "the first byte can't be written"])
-@pytest.mark.parametrize("name", HELD)
-def test_an_attempt_is_not_begun_when_what_it_was_decided_on_is_over(
+@pytest.mark.parametrize("name", EVENTS_BEFORE_FIRST_BYTE)
+def test_an_attempt_is_not_sent_when_the_reasons_for_it_no_longer_hold(
     name: str, moment: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    sent, order, happens, outcomes, status = HELD[name]
+    sent, order, event, outcomes, status = EVENTS_BEFORE_FIRST_BYTE[name]
     gate = Gate(monkeypatch, moment)
     stage, decisions = plain(*order, settings=SHORT)
-    if happens == "time":
+    if event == "time":
         decisions.timeout = 150 * MS
-        happens = "c1 expect 503"
+        event = "c1 expect 503"
     stage.step("d expect GET")
     stage.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n\\n\\r\\n")
     if order == ("p1",):
@@ -152,34 +155,35 @@
         stage.step(f"p2 send {answer(500)}")
     stage.until("held", lambda: gate.held)
     news = stage.news(stage.entry("p1", "draining")).replace("\r", "\\r").replace("\n", "\\n")
-    stage.step(happens.replace("$drained", news))
+    stage.step(event.replace("$drained", news))
     stage.pass_time(0.05)
     gate.open = True
     stage.pass_time(0.1)
     assert decisions.outcomes == outcomes
     assert stage.peers["p1"].seen == b""
     assert not stage.dispatcher.host.jobs_in_memory
-    if status and "expect" not in happens:
+    if status and "expect" not in event:
         stage.step(f"c1 expect ^HTTP/1.1 {status}")
     stage.close()
 
 
-def test_an_answer_is_the_modules_also_where_the_loop_is_late(monkeypatch: pytest.MonkeyPatch) -> None:
-    # danger: with the job's time and the slack over in one turn, a booking that never ran got 500
+def test_the_decision_module_answers_even_if_the_loop_is_late(monkeypatch: pytest.MonkeyPatch) -> None:
+    # When the job's deadline and the slack passed in one iteration of the loop, a booking that never ran got
+    # 500.
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
     stage, _ = plain("p1")
     stage.step(f"c1 send {booking(ms=200)}")
     stage.until("held", lambda: gate.held)
-    time.sleep(0.3)  # the loop stands still
+    time.sleep(0.3)  # the loop is blocked
     stage.play("c1 expect ^HTTP/1.1 503")
 
 
 @pytest.mark.parametrize(("effect", "outcome"), [("book", "CONNECT_FAILED"), ("map", "CANCELLED")])
-def test_an_attempt_called_off_before_its_last_byte_never_ran(
+def test_an_attempt_cancelled_before_its_last_byte_never_ran(
     effect: str, outcome: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # a safe job may go elsewhere anyway, and its worker need not be set aside
+    # A safe job may be sent elsewhere anyway, so its worker need not be suspended.
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
     stage, decisions = plain("p1")
@@ -194,11 +198,11 @@
     stage.close()
 
 
-def test_a_wake_up_meant_for_another_socket_does_not_make_a_connection() -> None:
+def test_a_wake_up_meant_for_another_socket_does_not_establish_a_connection() -> None:
     with socket.socket() as listener, contextlib.ExitStack() as waiting:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
-        for _ in range(3):  # more than its backlog takes: further ones don't come up
+        for _ in range(3):  # more than the backlog holds: further connections are not established
             other = waiting.enter_context(socket.socket())
             other.setblocking(False)
             other.connect_ex(listener.getsockname())
@@ -210,30 +214,30 @@
         assert found.value.ending is Ending.CONNECT_TIMED_OUT
 
 
-# Between the first byte and the last one: half of the request is out, and the rest can't be written
+# Between the first byte and the last one: half of the request is written, and the rest can't be
 
-HALF = {
+EVENTS_DURING_WRITE = {
     "the worker closes": (booking(), "p1 close", [Outcome.CONNECT_FAILED], "503"),
     "the job's time ends": (booking(ms=80), "wait 120", [Outcome.MOOT], "503"),
     "the attempt's time ends": (booking(), "time", [Outcome.CONNECT_FAILED], "503"),
-    # danger: it would be told more time than its client has
-    "the worker takes no more": (booking(), "wait 150", [Outcome.CONNECT_FAILED], "503"),
+    # The time-out that the worker has been sent would exceed the client's remaining time.
+    "the worker reads no more": (booking(), "wait 150", [Outcome.CONNECT_FAILED], "503"),
     "the client leaves": (booking(), "c1 close", [Outcome.CONNECT_FAILED], ""),
-    # it was begun before, and is not broken off: that would be lost work
+    # The request was begun before the drain, and aborting it would waste work.
     "the worker drains": (booking(), "d send $drained", [Outcome.OK], "200"),
 }
 
 
-@pytest.mark.parametrize("name", HALF)
+@pytest.mark.parametrize("name", EVENTS_DURING_WRITE)
 def test_a_request_whose_last_byte_was_not_written_never_ran(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    sent, happens, outcomes, status = HALF[name]
+    sent, event, outcomes, status = EVENTS_DURING_WRITE[name]
     stage, decisions = plain("p1")
     decisions.calls_off = name == "the client leaves"
-    if happens == "time":
-        decisions.timeout, happens = 60 * MS, "wait 90"
-    real, free, halves = socket.socket.send, [False], []
+    if event == "time":
+        decisions.timeout, event = 60 * MS, "wait 90"
+    real, writable, halves = socket.socket.send, [False], []
 
     def send(sock: socket.socket, data: Any, flags: int = 0) -> int:
         if bytes(data).startswith(b"POST"):
@@ -241,7 +245,7 @@
             return real(sock, data[: len(data) // 2])
         poll = select.poll()
         poll.register(sock, select.POLLHUP | select.POLLERR)
-        if halves and not free[0] and not bytes(data).startswith(b"HTTP") and not poll.poll(0):
+        if halves and not writable[0] and not bytes(data).startswith(b"HTTP") and not poll.poll(0):
             raise BlockingIOError
         return real(sock, data, flags)
 
@@ -251,9 +255,9 @@
     stage.step(f"c1 send {sent}")
     stage.step("p1 expect POST")
     news = stage.news(stage.entry("p1", "draining")).replace("\r", "\\r").replace("\n", "\\n")
-    stage.step(happens.replace("$drained", news))
+    stage.step(event.replace("$drained", news))
     stage.pass_time(0.05)
-    free[0] = True
+    writable[0] = True
     if status == "200":
         for line in ("p1 expect in$", f"p1 send {ACCEPTED}", f"c9 send {call_back('done', result='out')}"):
             stage.step(line)
@@ -268,8 +272,9 @@
 
 HEAD = "HTTP/1.1 {} X\\r\\nContent-Length: 5\\r\\n{}\\r\\nab"
 
-# What p1 answers a safe job with, whether it then closes, the outcome, whether its connection is kept. What
-# is no end by the protocol's table must be given up, here by closing before a 202, when the job goes to p2.
+# p1's answer to a safe job, whether it then closes, the outcome, whether its connection is kept. If the
+# protocol does not define the answer as the end of the attempt, the attempt must be given up, here by closing
+# the connection before a 202, before the job is sent to p2.
 ANSWERS = {
     "an error": (answer(500), False, Outcome.ERROR, True),
     "a proof": (NOT_PROCESSED, False, Outcome.FULL, True),
@@ -299,7 +304,7 @@
 
 
 @pytest.mark.parametrize("name", ANSWERS)
-def test_an_attempt_has_ended_or_is_given_up_when_the_next_one_goes_out(
+def test_an_attempt_has_ended_or_is_given_up_when_the_next_one_is_sent(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     sent, closes, outcome, kept = ANSWERS[name]
@@ -317,8 +322,8 @@
     stage.play(f"p2 send {ACCEPTED}\nc9 send {call_back('done', source='p2', result='out')}\nc1 expect out$")
 
 
-# danger: the worker has the job; sent elsewhere, it would run twice
-ACCEPTED_IN_PART = {
+# The worker has accepted the job; sent to another worker, it would run twice.
+INCOMPLETE_ACCEPTANCES = {
     "breaks off": (HEAD.format(202, ""), True),
     "never ends": (HEAD.format(202, ""), False),
     "is garbage": ("HTTP/1.1 202 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\n", False),
@@ -326,9 +331,9 @@
 }
 
 
-@pytest.mark.parametrize("name", ACCEPTED_IN_PART)
-def test_a_202_counts_whatever_becomes_of_its_body(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    sent, closes = ACCEPTED_IN_PART[name]
+@pytest.mark.parametrize("name", INCOMPLETE_ACCEPTANCES)
+def test_a_202_counts_whatever_happens_to_its_body(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    sent, closes = INCOMPLETE_ACCEPTANCES[name]
     monkeypatch.setattr(invoker, "_BODY_TIMEOUT", 50 * MS)
     stage, decisions = plain("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {sent}"):
@@ -343,7 +348,7 @@
 
 
 @pytest.mark.parametrize("sent", ["", "HTTP/1.1 20", HEAD.format(202, "")], ids=["none", "half", "no end"])
-def test_an_answer_that_never_ends_holds_no_descriptor_once_its_call_is_over(
+def test_an_answer_that_never_ends_holds_no_descriptor_once_its_attempt_is_over(
     sent: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(invoker, "_BODY_TIMEOUT", 50 * MS)
@@ -355,22 +360,22 @@
     stage.play("c1 expect out$\np1 ended")
 
 
-# Call-backs, each in an order that is not the usual one: the steps after p1 has the request, the outcomes,
-# and what the client gets. A job goes to p1 and then to p2.
+# Call-backs in unusual orders: the steps after p1 has received the request, the outcomes, the client's
+# status. A job is sent to p1 and then to p2.
 STARTED = f"c9 send {call_back('started')}\nc9 expect 204"
 DONE = f"c9 send {call_back('done', result='out')}\nc9 expect 204"
 CALL_BACKS = {
     "done before the 202, and twice": (f"{DONE}\n{DONE}\np1 send {ACCEPTED}", [Outcome.OK], "200"),
     "done, then an error as the answer": (f"{DONE}\np1 send {answer(500)}", [Outcome.OK], "200"),
     "done, then a proof as the answer": (f"{DONE}\np1 send {NOT_PROCESSED}", [Outcome.OK], "200"),
-    "done, then a break": (f"{DONE}\np1 close", [Outcome.OK], "200"),
-    "lost, then a break": (
+    "done, then a closed connection": (f"{DONE}\np1 close", [Outcome.OK], "200"),
+    "lost, then a closed connection": (
         f"c9 send {call_back('lost')}\nc9 expect 204\np1 close\np2 expect in$\n"
         f"p2 send {ACCEPTED}\nc9 send {call_back('done', source='p2')}",
         [Outcome.RESET, Outcome.OK],
         "200",
     ),
-    # danger: then one of the two is wrong
+    # One of the two reports must be wrong, so the job may have run.
     "returned after started": (
         f"p1 send {ACCEPTED}\n{STARTED}\nc9 send {call_back('returned')}\np2 expect in$\n"
         f"p2 send {answer(500)}",
@@ -393,13 +398,13 @@
         [Outcome.OK],
         "200",
     ),
-    # a DELETE that crosses the result: the job is served, once
-    "done while the DELETE is on its way": (
+    # The DELETE crosses the result: the job is served, once.
+    "done while the DELETE is in flight": (
         f"p1 send {ACCEPTED}\ncancel\np1 expect DELETE /jobs/j1 HTTP\n{DONE}\np1 send {answer(404)}",
         [Outcome.OK],
         "200",
     ),
-    "returned while the DELETE is on its way": (
+    "returned while the DELETE is in flight": (
         f"p1 send {ACCEPTED}\ncancel\np1 expect DELETE /jobs/j1 HTTP\nc9 send {call_back('returned')}\n"
         f"p2 expect in$\np1 send {answer(404)}\np2 send {NOT_PROCESSED}",
         [Outcome.FULL, Outcome.FULL],
@@ -420,7 +425,7 @@
 
 
 @pytest.mark.parametrize("name", CALL_BACKS)
-def test_call_backs_in_any_order_make_one_answer(name: str) -> None:
+def test_call_backs_in_any_order_lead_to_one_answer(name: str) -> None:
     steps, outcomes, status = CALL_BACKS[name]
     stage, decisions = plain("p1", "p2")
     host = stage.dispatcher.host
@@ -445,7 +450,7 @@
 # DELETE
 
 
-def test_deletes_to_a_worker_that_is_cut_off_take_few_descriptors_and_end(
+def test_deletes_to_a_worker_that_is_cut_off_use_few_descriptors_and_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     gate = Gate(monkeypatch, "connecting")
@@ -458,13 +463,13 @@
     stage.pass_time(0.05)
     assert 0 < gate.waiting <= 32
     gate.open = True
-    stage.until("all told or given up", lambda: len(done) == 200)
-    assert not any(done)  # nobody has confirmed anything
+    stage.until("all DELETEs sent or given up", lambda: len(done) == 200)
+    assert not any(done)  # none is confirmed
     assert not back._delete_sender.in_flight
     stage.close()
 
 
-def test_an_idle_connection_makes_room_where_no_descriptor_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_idle_connection_is_closed_when_no_descriptor_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
     stage, _ = plain("p1")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", DONE, "c1 expect out$"):
         stage.step(line)
@@ -481,8 +486,8 @@
     stage.play(f"c1 send {job('j2')}\np2 expect X-Request-ID: j2\np1 ended")
 
 
-def test_no_further_attempt_leaves_before_the_worker_is_told_or_can_not_be() -> None:
-    # it has taken the job and cuts each DELETE off: until it is told, p2 gets nothing
+def test_no_further_attempt_is_sent_before_the_worker_has_answered_a_delete() -> None:
+    # p1 has accepted the job and closes the connection of each DELETE. Until it answers one, p2 gets nothing.
     stage, decisions = plain("p1", "p2")
     host = stage.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 10"):
@@ -497,8 +502,9 @@
     stage.play(f"p1 send {answer(204)}\np2 expect in$")
 
 
-def test_a_delete_on_an_old_connection_counts_as_told_by_its_answer_alone() -> None:
-    # danger: cut off behind a connection that looks open, it never hears of it, and p2's is a second copy
+def test_a_delete_on_an_idle_connection_counts_only_if_it_is_answered() -> None:
+    # A worker that is cut off behind a connection that looks open never receives it, and an attempt at p2
+    # would be a second copy.
     stage, _ = plain("p1", "p2")
     host = stage.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 10"):
@@ -508,15 +514,15 @@
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
     stage.step("p1 expect DELETE /jobs/j1 HTTP")
     assert stage.peers["p1"].sock is old
-    stage.peers["p1"].older.append(old)  # nothing more is heard or said on it
+    stage.peers["p1"].older.append(old)  # not read or written any more
     stage.peers["p1"].sock = None
     stage.step("p1 expect DELETE /jobs/j1 HTTP")
     assert stage.peers["p2"].sock is None
     stage.play(f"p1 send {answer(204)}\np2 expect in$")
 
 
-def test_a_delete_that_breaks_off_before_the_202_is_sent_again() -> None:
-    # danger: the 202 may have been on its way as the connection was closed, and the worker runs the job
+def test_a_delete_whose_connection_is_closed_before_the_202_is_sent_again() -> None:
+    # The 202 may have been in flight when the attempt's connection was closed, and the worker runs the job.
     stage, _ = plain("p1", "p2")
     host = stage.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$"):
@@ -530,16 +536,17 @@
 
 
 @pytest.mark.parametrize(("took", "waits"), [(10, 0.1), (40, 0.24)])
-def test_a_delete_has_the_time_that_a_far_worker_takes(
+def test_the_time_out_of_a_delete_allows_for_a_distant_worker(
     took: int, waits: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # danger: with 20 ms to and fro, a handshake and the DELETE take more than what is enough nearby
-    real, begun = invoker.connect, []
+    # With a round trip of 20 ms, the handshake and the DELETE take longer than the time-out for a near
+    # worker.
+    real, connected_at = invoker.connect, []
 
     def connect(address: Address, until: int) -> Coroutine[Connection]:
         yield Wait(-1, 0, stage.dispatcher.loop.now() + took * MS)
         connection = yield from real(address, until)
-        begun.append(time.monotonic())
+        connected_at.append(time.monotonic())
         return connection
 
     monkeypatch.setattr(invoker, "connect", connect)
@@ -550,26 +557,30 @@
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
     for line in ("p1 ended", "p1 close", "p1 expect DELETE /jobs/j1 HTTP"):
         stage.step(line)
-    stage.step("p2 expect in$")  # the close has given the attempt up: p1 need not answer, but has time for it
+    stage.step(
+        "p2 expect in$"
+    )  # the close has given the attempt up, so p1 need not answer, but gets the time to
     stage.close()
-    _, delete, to_p2 = begun
+    _, delete, to_p2 = connected_at
     assert to_p2 - delete >= waits + took / 1000
 
 
-def test_attempts_at_hung_workers_leave_descriptors_to_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    # danger: clients, call-backs and the discovery service would find none
+def test_attempts_at_hung_workers_leave_descriptors_for_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Otherwise none would be left for clients, call-backs and the discovery service.
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, decisions = plain("p1", sockets=256)  # 140 places for clients, 100 connections to workers
+    stage, decisions = plain("p1", sockets=256)  # 140 connections of clients, 100 to workers
     for n in range(110):
         stage.step(f"c{n} send {job(f'j{n}')}")
-    stage.until("the others refused, as never sent", lambda: len(decisions.outcomes) == 110 - gate.waiting)
+    stage.until(
+        "the others ended without having been sent", lambda: len(decisions.outcomes) == 110 - gate.waiting
+    )
     assert 0 < gate.waiting <= 100 and set(decisions.outcomes) == {Outcome.FULL}
     gate.open = True
     stage.play("p1 expect in$")
 
 
-def test_where_nothing_may_be_called_off_an_attempt_has_until_the_deadline() -> None:
+def test_without_cancellation_an_attempt_has_until_the_deadline() -> None:
     stage, decisions = plain("p1", "p2", settings=SHORT)
     decisions.timeout = 100 * MS
     stage.play(
@@ -583,7 +594,7 @@
     assert decisions.outcomes == [Outcome.TIMEOUT, Outcome.MOOT] and stage.peers["p2"].sock is None
 
 
-# Sequences of endings, with the decisions of the program
+# Sequences of endings, with the real decision module
 
 NEVER_RAN_UNWRITTEN = {"CLOSED", "RESET", "UNREACHABLE", "STALLED", "MALFORMED", "TOO_LARGE", "TIMED_OUT"}
 NEVER_RAN_ALWAYS = {
@@ -611,7 +622,7 @@
 
 
 class VirtualClock:
-    """Time that passes only from one timer to the next."""
+    """A clock that jumps from one timer to the next."""
 
     def __init__(self) -> None:
         self._now, self._count = SECOND, itertools.count()
@@ -636,8 +647,8 @@
                 timer.call(*timer.args)
 
 
-class Scripted:
-    """An invoker whose attempts end as a script says, 20 ms after they went out."""
+class ScriptedInvoker:
+    """An invoker whose attempts end as a script says, 20 ms after they were sent."""
 
     def __init__(self, host: core.Host, script: tuple[tuple[Ending, bool], ...]) -> None:
         self.host, self.script = host, script
@@ -664,7 +675,7 @@
     def close_idle(self, worker: str) -> None: ...
 
 
-SCRIPT = [
+SCRIPT_STEPS = [
     (Ending.RESET, True),
     (Ending.RESET, False),
     (Ending.ERROR_ANSWER, True),
@@ -684,37 +695,39 @@
 
 @pytest.mark.parametrize(("effect", "window"), EFFECTS)
 def test_no_sequence_of_endings_breaks_a_rule(effect: api.Effect, window: int) -> None:
-    for script in itertools.product(SCRIPT, repeat=3):
+    for script in itertools.product(SCRIPT_STEPS, repeat=3):
         clock, answers = VirtualClock(), []
         settings = replace(
             read_settings(SETTINGS),
             classes=(api.JobClass("x", effect, 1 * SECOND, 2 * SECOND, window=window),),
         )
         host = core.Host(clock, settings, 1)
-        back = host.invoker = Scripted(host, script)
+        back = host.invoker = ScriptedInvoker(host, script)
         entries = tuple(api.WorkerEntry(f"p{n}", "a") for n in range(5))
         host.update_workers(api.WorkerList(api.ListKind.FULL, entries))
         payload = core.Payload("j1", "POST", "/x", b"")
         host.submit(payload, answers.append, job_class="x", time_left=2 * SECOND)
         clock.run(4 * SECOND)
         ended = script[: len(back.sent)]
-        risky = [n for n, (ending, written) in enumerate(ended) if not never_ran(ending, written)]
+        possibly_run = [n for n, (ending, written) in enumerate(ended) if not never_ran(ending, written)]
         assert len(answers) == 1, script
         assert len(back.sent) <= settings.max_attempts
         if effect is api.Effect.UNSAFE:
-            assert risky in ([], [len(ended) - 1]), script  # nothing goes out after one that may have run
-        if effect is api.Effect.KEYED and risky:
-            first = back.sent[risky[0]].sent_at
-            assert all(attempt.sent_at < first + window for attempt in back.sent[risky[0] :]), script
+            assert possibly_run in ([], [len(ended) - 1]), (
+                script
+            )  # nothing is sent after one that may have run
+        if effect is api.Effect.KEYED and possibly_run:
+            first = back.sent[possibly_run[0]].sent_at
+            assert all(attempt.sent_at < first + window for attempt in back.sent[possibly_run[0] :]), script
         if answers[0].verdict is core.Verdict.REFUSED and effect is api.Effect.UNSAFE:
-            assert not risky, script
+            assert not possibly_run, script
         served = ended[-1][0] is Ending.DONE if ended else False
         assert (answers[0].verdict is core.Verdict.SERVED) is served, script
         assert not host.jobs_in_memory
 
 
-def test_a_send_while_another_is_out_is_not_sent() -> None:
-    # danger: it would be a second copy, whatever the decisions say
+def test_an_attempt_beside_a_live_one_is_not_sent() -> None:
+    # It would be a second copy, even if the decision module orders it.
     stage, decisions = plain("p1")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
