--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules under arbitrary legal events, and at their edges."""
+"""Tests of the decision module's four rules under arbitrary legal events, and in edge cases."""
 
 import pytest
 from hypothesis import given
@@ -24,27 +24,27 @@
 )
 
 
-def play(world: World, steps: list[tuple[str, object, object]]) -> None:
-    for what, one, two in steps:
-        if what == "arrive":
-            world.arrive(str(one), key=two, left=(1 + int(str(two))) * S)
-        elif what == "end" and world.out():
-            job, number = world.out()[int(str(one)) % len(world.out())]
-            world.end(job, number, Outcome(two), free=float(int(str(one)) % 3))
-        elif what == "advance":
-            world.advance(int(str(one)) * MS)
-        elif what == "withdraw":
+def apply_steps(world: World, steps: list[tuple[str, object, object]]) -> None:
+    for kind, first, second in steps:
+        if kind == "arrive":
+            world.arrive(str(first), key=second, left=(1 + int(str(second))) * S)
+        elif kind == "end" and world.out():
+            job, number = world.out()[int(str(first)) % len(world.out())]
+            world.end(job, number, Outcome(second), free=float(int(str(first)) % 3))
+        elif kind == "advance":
+            world.advance(int(str(first)) * MS)
+        elif kind == "withdraw":
             live = [job for job, owed in world.jobs.items() if not owed.over]
             if live:
-                world.withdraw(live[int(str(one)) % len(live)])
-        elif what == "list":
-            entry = entries(8, state=two)[int(str(one))]
+                world.withdraw(live[int(str(first)) % len(live)])
+        elif kind == "list":
+            entry = entries(8, state=second)[int(str(first))]
             world.listed(ListKind.CHANGES, (entry,))
-        elif what == "restart":
-            world.listed(ListKind.CHANGES, (entries(8, started_at=world.now)[int(str(one))],))
-        elif what == "full list":
-            world.listed(ListKind.FULL, entries(int(str(one))))
-        elif what == "lost":
+        elif kind == "restart":
+            world.listed(ListKind.CHANGES, (entries(8, started_at=world.now)[int(str(first))],))
+        elif kind == "full list":
+            world.listed(ListKind.FULL, entries(int(str(first))))
+        elif kind == "lost":
             world.listed(ListKind.LOST, ())
     world.advance(8 * S)
 
@@ -52,7 +52,7 @@
 @given(st.lists(STEP, max_size=60), st.booleans(), st.integers(1, 3))
 def test_the_rules_hold_under_any_legal_events(steps, asks, dispatchers):
     world = World(make_settings(asks_for_list=asks, dispatchers=dispatchers), entries(6))
-    play(world, steps)
+    apply_steps(world, steps)
     assert all(owed.over for owed in world.jobs.values())
 
 
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(("method", "rule"), [("_may_send_again", "rule 2"), ("_may_refuse", "rule 2")])
-def test_the_checker_catches_a_broken_module(method, rule):
+def test_the_checker_catches_a_broken_decision_module(method, rule):
     world = broken(World(make_settings(), entries(6)), method)
     with pytest.raises(AssertionError, match=rule):
         job = world.arrive("unsafe")
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED])
-def test_an_unsafe_job_that_never_ran_goes_out_again(outcome):
+def test_an_unsafe_job_that_never_ran_is_sent_again(outcome):
     world = World(make_settings(), entries(3))
     job = world.arrive("unsafe")
     world.end(job, 0, outcome)
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("state", [WorkerState.DRAINING, WorkerState.GONE])
-def test_nothing_goes_to_a_worker_that_drains_or_is_gone(state):
+def test_nothing_is_sent_to_a_worker_that_drains_or_is_gone(state):
     world = World(make_settings(), entries(1))
     world.listed(ListKind.CHANGES, entries(1, state=state))
     job = world.arrive()
@@ -139,14 +139,14 @@
     assert {worker for _, _, worker in world.sends} <= {"w000"}
 
 
-def test_a_draining_worker_comes_back_by_the_list():
+def test_a_draining_worker_is_used_again_once_it_is_listed_as_up():
     world = World(make_settings(), entries(1, state=WorkerState.DRAINING))
     world.arrive()
     world.listed(ListKind.CHANGES, entries(1))
     assert len(world.sends) == 1
 
 
-def test_a_final_answer_comes_before_the_deadline_when_there_is_no_fleet():
+def test_a_final_answer_comes_before_the_deadline_when_there_are_no_workers():
     world = World(make_settings(), ())
     job = world.arrive(left=6 * S)
     world.advance(6 * S)
