--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,5 @@
-"""System calls of the dispatcher that fail for a moment, each bad order forced: nothing of it is a proof."""
+"""Tests of temporary failures of the dispatcher's system calls. None of them proves that an attempt is over,
+and none is blamed on the worker."""
 
 import errno
 import os
@@ -21,14 +22,14 @@
 
 
 class FailingCalls:
-    """Lets one call on the dispatcher's connections to a worker fail with an error, so many times."""
+    """Makes a system call on the dispatcher's connections to a worker fail a number of times."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self._patch = monkeypatch
         self.failed = 0
 
     def on(self, stage: Stage, worker: str, call: str, error: int, times: int = 1) -> None:
-        """``call``: a method of ``socket.socket``; looks at what is there without taking it go well."""
+        """``call``: a method of ``socket.socket``. Reads with MSG_PEEK do not fail."""
         real = getattr(socket.socket, call)
         listener = stage.peers[worker].listener
         assert listener is not None
@@ -58,7 +59,7 @@
     yield FailingCalls(monkeypatch)
 
 
-# The connection of an attempt fails here, while its worker has accepted the job
+# The connection of an attempt fails on the dispatcher's side after the worker has accepted the job.
 
 
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "EIO"])
@@ -77,8 +78,8 @@
     assert decisions.outcomes == [api.Outcome.RESET]
 
 
-def test_a_reset_that_takes_the_202_with_it_is_followed_by_a_delete(calls: FailingCalls) -> None:
-    """Guards against a second attempt after a reset that has dropped an unread 202 (bcef66)."""
+def test_a_reset_that_discards_the_202_is_followed_by_a_delete(calls: FailingCalls) -> None:
+    """Guards against a second attempt after a reset that has discarded an unread 202 (bcef66)."""
     stage, decisions = plain("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
@@ -91,8 +92,8 @@
     assert decisions.outcomes == [api.Outcome.RESET]
 
 
-def test_a_delete_that_can_not_be_sent_here_is_sent_again(calls: FailingCalls) -> None:
-    """Guards against a second attempt where the DELETE's own connect failed for a moment (bcef66)."""
+def test_a_delete_that_fails_on_this_machine_is_sent_again(calls: FailingCalls) -> None:
+    """Guards against a second attempt after connecting for the DELETE failed temporarily (bcef66)."""
     stage, decisions = plain("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
@@ -108,7 +109,7 @@
 
 
 def test_a_call_back_does_not_end_an_attempt_that_is_not_written_yet(calls: FailingCalls) -> None:
-    """Guards against a copy of an earlier call-back that is taken for the present attempt's (bcef66)."""
+    """Guards against a duplicate of an earlier call-back that is taken for the current attempt's (bcef66)."""
     stage, decisions = plain("p1", "p2")
     calls.on(stage, "p1", "send", errno.EAGAIN, times=1 << 30)
     for line in (f"c1 send {job(path='book/x')}", "wait 20", f"c9 send {call_back('returned')}"):
@@ -120,8 +121,8 @@
 
 
 @pytest.mark.parametrize("error", ["ENOMEM", "ENOBUFS"])
-def test_a_read_that_lacks_memory_for_a_moment_goes_on(calls: FailingCalls, error: str) -> None:
-    """Guards against a connection that is given up though nothing is wrong with it (bcef66)."""
+def test_a_read_that_lacks_memory_temporarily_is_retried(calls: FailingCalls, error: str) -> None:
+    """Guards against giving up a connection that is intact (bcef66)."""
     stage, decisions = plain("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
@@ -133,10 +134,8 @@
 
 
 @pytest.mark.parametrize("error", ["EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS", "EINTR"])
-def test_a_connect_that_fails_for_a_moment_says_nothing_of_the_worker(
-    calls: FailingCalls, error: str
-) -> None:
-    """Guards against workers set aside for a lack of this machine's (bcef66)."""
+def test_a_temporary_failure_to_connect_is_not_blamed_on_the_worker(calls: FailingCalls, error: str) -> None:
+    """Guards against suspending workers for a lack of resources on this machine (bcef66)."""
     stage, decisions = plain("p1", "p2")
     calls.on(stage, "p1", "connect_ex", getattr(errno, error), times=4)
     stage.play(f"c1 send {job()}\np1 expect in$")
@@ -144,10 +143,10 @@
     assert decisions.outcomes == []
 
 
-def test_a_worker_is_told_the_time_that_is_left_when_the_request_leaves(
+def test_a_worker_gets_the_time_that_is_left_when_the_request_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a worker told more time than its client has, after writes have failed (bcef66)."""
+    """Guards against a time-out that exceeds the client's remaining time after failed writes (bcef66)."""
     stage, _ = plain("p1")
     listener = stage.peers["p1"].listener
     assert listener is not None
@@ -155,7 +154,7 @@
 
     def failing(sock: socket.socket, *args: Any) -> int:
         if time.monotonic() < until and _peer_of(sock) == address:
-            raise OSError(errno.ENOBUFS, "for a moment")
+            raise OSError(errno.ENOBUFS, "temporary failure")
         return real(sock, *args)
 
     monkeypatch.setattr(socket.socket, "send", failing)
@@ -163,7 +162,7 @@
 
 
 class FailingPoll:
-    """As ``select.poll``, with looks that fail ``left`` times in all."""
+    """A ``select.poll`` object whose ``poll`` fails ``left`` times in all."""
 
     left = 0
 
@@ -174,12 +173,12 @@
     def poll(self, timeout: float) -> list[tuple[int, int]]:
         if FailingPoll.left:
             FailingPoll.left -= 1
-            raise OSError(errno.ENOMEM, "for a moment")
+            raise OSError(errno.ENOMEM, "temporary failure")
         return self._poll.poll(timeout)
 
 
 @pytest.mark.parametrize("fails", [1, 2, 3, 6])
-def test_a_look_at_a_descriptor_that_fails_loses_no_job(monkeypatch: pytest.MonkeyPatch, fails: int) -> None:
+def test_a_failing_poll_of_a_descriptor_loses_no_job(monkeypatch: pytest.MonkeyPatch, fails: int) -> None:
     """Guards against a job or an attempt whose task ends with the error of a poll (bcef66)."""
     stage, decisions = plain("p1", "p2")
     monkeypatch.setattr(select, "poll", FailingPoll)
@@ -192,20 +191,20 @@
     assert decisions.outcomes == [api.Outcome.OK]
 
 
-def test_a_close_that_fails_gives_its_place_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against places that are lost with each close that reports an error (bcef66)."""
+def test_a_close_that_fails_frees_its_connection_slot(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against leaking a connection slot with each close that reports an error (bcef66)."""
     stage, _ = plain("p1")
     real = socket.socket.close
 
     def failing(sock: socket.socket) -> None:
         real(sock)
-        raise OSError(errno.EIO, "for a moment")
+        raise OSError(errno.EIO, "temporary failure")
 
     monkeypatch.setattr(http.socket.socket, "close", failing)
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {answer(500)}", "c1 expect HTTP/1.1 500"):
         stage.step(line)
     stage.dispatcher.clients.close_idle()
-    stage.until("all places are free", lambda: not stage.dispatcher.clients.busy)
+    stage.until("all connection slots are free", lambda: not stage.dispatcher.clients.busy)
     stage.dispatcher.invoker.free_descriptors()
     assert stage.dispatcher.invoker._open_connections == 0
     monkeypatch.undo()
