--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors: how they are shared out, and that service comes back after all of them were taken."""
+"""Tests of how descriptors are divided, and that the service recovers after all of them were in use."""
 
 import resource
 
@@ -10,41 +10,42 @@
 from tests.scenario import Stage, job
 
 READY = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
-ENDLESS = resource.RLIM_INFINITY
+UNLIMITED = resource.RLIM_INFINITY
 
 
 @pytest.mark.parametrize(
-    ("configured", "given", "counted"),
+    ("configured", "system_limit", "usable"),
     [
         (1024, 1024, 1024),
         (1024, 20_000, 1024),
-        (1024, ENDLESS, 1024),
+        (1024, UNLIMITED, 1024),
         (1024, 256, 256),
         (64, 128, 64),
         (1024, 16, 72),
         (1024, OSError(38, "not here"), 1024),
     ],
 )
-def test_the_lower_of_the_two_limits_counts(
-    configured: int, given: int | OSError, counted: int, monkeypatch: pytest.MonkeyPatch
+def test_the_lower_of_the_configured_and_the_system_limit_counts(
+    configured: int, system_limit: int | OSError, usable: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # danger: counted on beyond what the system gives, clients take all, and the discovery service gets none
+    # If more were counted on than the system allows, clients would use up all descriptors, and none would be
+    # left for the discovery service.
     def getrlimit(which: int) -> tuple[int, int]:
         assert which == resource.RLIMIT_NOFILE
-        if isinstance(given, OSError):
-            raise given
-        return given, ENDLESS
+        if isinstance(system_limit, OSError):
+            raise system_limit
+        return system_limit, UNLIMITED
 
     monkeypatch.setattr(resource, "getrlimit", getrlimit)
-    assert _descriptors(configured) == counted
+    assert _descriptors(configured) == usable
 
 
 @pytest.mark.parametrize("idle", [READY, job()[:40], ""])
-def test_service_comes_back_after_idle_clients_took_all_while_the_discovery_service_was_down(
+def test_service_recovers_after_idle_clients_took_all_descriptors_while_the_discovery_service_was_down(
     idle: str,
 ) -> None:
-    # danger: whoever waits for a descriptor that nobody gives back waits for ever
-    network = LoopbackNetwork.reserve(1)  # nobody else is given the discovery port meanwhile
+    # A task that waits for a descriptor which is never freed would wait for ever.
+    network = LoopbackNetwork.reserve(1)  # reserves the discovery port while its listener is closed
     stage = Stage(sockets=38, known=False, discovery_host=network.party(0)[0])  # room for three clients
     discovery = stage.peers["d"]
     assert discovery.listener is not None
