--- a/ironbarrow/core/endings.py
+++ b/ironbarrow/core/endings.py
@@ -21,7 +21,7 @@
     )  # this machine lacked a descriptor, an address or memory: says nothing about the peer
     CONNECT_REFUSED = auto()
     CONNECT_TIMED_OUT = auto()
-    DRAINED = auto()  # the worker was listed as draining or gone before the first byte went out
+    DRAINED = auto()  # the worker was listed as draining or gone before the first byte was written
     # of the connection
     CLOSED = auto()  # closed by the peer
     RESET = auto()  # reset by the peer
--- a/ironbarrow/core/jobs.py
+++ b/ironbarrow/core/jobs.py
@@ -54,12 +54,12 @@
 
 @dataclass(frozen=True, slots=True)
 class JobOptions:
-    """Options of a job beyond its class. Times in ns; 0: the default from the settings."""
+    """Options of a job beyond its class. Times in ns; 0: the default from the class or the settings."""
 
-    wanted: int = 0
-    most_attempts: int = 0
-    resend: bool = True
-    pause: int = 0
+    wanted: int = 0  # time from arrival within which an answer has its full worth
+    most_attempts: int = 0  # can only lower the limit of the settings
+    resend: bool = True  # False: not even a safe job is sent again if it may have run
+    pause: int = 0  # between the end of an attempt and the next one
     timeout: int = 0  # of one attempt
     limiter: JobLimiter | None = None
 
