--- a/ironbarrow/fleet/ledgers/writer.py
+++ b/ironbarrow/fleet/ledgers/writer.py
@@ -1,8 +1,10 @@
-"""The writer of one ledger: appends, counts what a majority has, changes replicas. No input or output.
+"""The writer of one ledger: replicates appends, advances the commit index and replaces replicas. No input or
+output.
 
-States: *unplaced* (too few incarnations), *opening* (its table goes to new replicas), *open*, *moving* (its
-own seal and ``MOVED`` are under way; appends wait), *fenced* and *closed* (it ends). Other incarnations than
-its replicas are never counted: a replica that starts again is another incarnation.
+States: *unplaced* (too few members for replicas), *opening* (the snapshot is sent to new replicas), *open*,
+*moving* (the writer seals its own segment to continue in the next one; appends wait), *fenced* and *closed*
+(both final). Only replies of the incarnations that were chosen as replicas count: a replica that has
+restarted is another incarnation and has lost its data.
 """
 
 from collections import Counter, deque
@@ -13,13 +15,13 @@
     NEVER,
     Action,
     Change,
+    Committed,
     Decision,
     Fate,
     Fenced,
     Health,
     Incarnation,
-    Kept,
-    LedgerAt,
+    LedgerLocation,
     Members,
     Moved,
     NoMajority,
@@ -29,115 +31,125 @@
 )
 from ironbarrow.fleet.file import LedgerRules
 from ironbarrow.fleet.ledgers.messages import (
-    CHANGE_MOST,
+    MAX_CHANGE_BYTES,
     Accepted,
-    Answer,
     Append,
-    Appended,
+    AppendReply,
     Close,
     Learn,
     Page,
     Promise,
-    size_of,
-    within,
+    ReplyStatus,
+    entry_size,
+    next_batch,
 )
 from ironbarrow.fleet.ledgers.proposal import Proposal, Step, majority
 
-TAIL_MOST = 4 << 20  # bytes of changes kept for replicas that lag: beyond, the slowest gets no more
-AVOID_FOR = 8  # times ``replace_after``: so long a replica that was silent is not chosen again
-IMPROVE_AFTER = 10  # times ``replace_after``: so soon better replicas are moved to, though none is lost
-# danger: of two replicas none may be lost, and who starts with the first one it hears of would stay with two
-FILL_AFTER = 2  # times ``resend``: so soon where there are fewer than are wanted
+# of the changes kept for slow replicas, besides the snapshot; beyond it the slowest replica is excluded
+MAX_TAIL_BYTES = 4 << 20
+AVOID_MULTIPLE = 8  # multiples of ``replace_after``: how long a lost replica is not chosen again
+UPGRADE_MULTIPLE = 10  # multiples of ``replace_after``: when to move to better replicas although none is lost
+# multiples of ``resend``: the same with fewer replicas than configured. Two replicas tolerate no failure, and
+# a writer that started when it knew few members would otherwise stay with that few
+REFILL_MULTIPLE = 2
 
 
-class Home(Protocol):
-    """What a writer needs of the member that it is part of."""
+class WriterHost(Protocol):
+    """The services of its member that a writer uses."""
 
-    def choose(self, ledger: str, avoid: frozenset[Incarnation] = frozenset()) -> tuple[Incarnation, ...]:
-        """Replicas for a ledger; empty if there are too few incarnations."""
+    def choose_replicas(
+        self, ledger: str, avoid: frozenset[Incarnation] = frozenset()
+    ) -> tuple[Incarnation, ...]:
+        """Chooses replicas for a ledger; empty if there are too few members."""
 
-    def tell(self, now: int, incarnations: Sequence[Incarnation], learn: Learn | Close) -> list[Action]:
-        """Tells incarnations of a fate until they have heard it."""
+    def notify(self, now: int, incarnations: Sequence[Incarnation], message: Learn | Close) -> list[Action]:
+        """Sends a message to incarnations, and again until each has acknowledged it."""
 
 
 class ReplicaProgress:
-    """How far a replica has come, as the writer sees it."""
+    """The replication state of one replica."""
 
-    __slots__ = ("acked", "gap_at", "out", "sent", "sent_at", "waits_since")
+    __slots__ = ("acked", "excluded", "gap_at", "sent", "sent_at", "unacked_since")
 
     def __init__(self) -> None:
-        self.acked = -1  # -1: it has not answered at all
-        self.sent = 0
-        self.sent_at = 0  # ns
-        self.waits_since = NEVER  # ns: it owes an answer since then
-        self.gap_at = -1
-        self.out = False  # it refused, or lags too far: it gets nothing more of this segment
+        self.acked = -1  # index of the last change acknowledged; -1: no reply yet
+        self.sent = 0  # index of the last change sent
+        self.sent_at = 0  # when, ns
+        self.unacked_since = NEVER  # ns: since when it owes a reply
+        self.gap_at = -1  # ``acked`` when changes were last resent because of a gap
+        self.excluded = False  # it refused or is too slow: nothing more of this segment is sent to it
 
 
 class Writer:
-    """``table``, ``offset``: what the ledger holds already, as its change with that number left it."""
+    """Writes one ledger. ``table``: the content of an existing ledger that this member begins to lead; None
+    for a new ledger."""
 
     def __init__(
         self,
         me: Incarnation,
-        at: LedgerAt,
+        at: LedgerLocation,
         members: Members,
         rules: LedgerRules,
-        home: Home,
+        host: WriterHost,
         table: dict[str, bytes] | None = None,
     ) -> None:
-        self.me, self.at, self._members, self._rules, self._home = me, at, members, rules, home
+        self.me, self.at, self._members, self._rules, self._host = me, at, members, rules, host
         self.table: dict[str, bytes] = dict(table or {})
         self.seq = 0  # of the last change appended
-        self.kept_seq = 0
-        self.opened = False  # a majority has the opening of this segment
-        self.known: LedgerAt | None = None  # the last segment that was opened: where others begin to look
-        self.ended = False
+        self.committed_seq = 0  # of the last change that a majority of the replicas has
+        self.opened = False  # a majority has the snapshot of this segment
+        self.last_opened: LedgerLocation | None = None  # the last opened segment: where a recovery starts
+        self.ended = False  # fenced or closed
         self.counts: Counter[str] = Counter()
-        self._lead = dict(table) if table is not None else None  # told when it is opened
-        self._announce = table is not None  # ``Moved`` is due when it is opened
-        self._olds: list[Proposal] = []  # segments before, whose tables go when this one is opened
-        self._proposal: Proposal | None = None  # moving
-        self._avoid: dict[Incarnation, int] = {}  # until when, ns
-        self._down = False  # ``NoMajority`` has been told
-        self._sealed_at = NEVER  # another has sealed it
-        self._improve_at = NEVER
+        self._led_content = dict(table) if table is not None else None  # reported by ``Moved``
+        self._moved_due = table is not None  # report ``Moved`` when the segment is opened
+        self._previous: list[Proposal] = []  # earlier segments, to release when this one is opened
+        self._proposal: Proposal | None = None  # set while moving
+        self._avoid_until: dict[Incarnation, int] = {}  # by lost replica, ns
+        self._without_majority = False  # ``NoMajority`` has been reported
+        self._rival_seal_at = NEVER  # when another member's seal was noticed
+        self._upgrade_at = NEVER
         self._due = NEVER
 
     @property
     def ready(self) -> bool:
-        """It may be appended to: not before a ledger that is led has been told of."""
-        return self._lead is None
+        """Whether it accepts appends; a led ledger does so once its content has been reported by
+        ``Moved``."""
+        return self._led_content is None
 
-    # Orders
+    # Commands
 
     def open(self, now: int) -> list[Action]:
-        """Opens the segment at its replicas with the table as it is."""
+        """Opens the segment at its replicas, with the present table as its snapshot."""
         self.opened = False
-        self._proposal, self._sealed_at = None, NEVER
-        self.progress = {replica: ReplicaProgress() for replica in self.at.replicas}
+        self._proposal, self._rival_seal_at = None, NEVER
+        self.replica_progress = {replica: ReplicaProgress() for replica in self.at.replicas}
         self._tail = [Change(key, value) for key, value in self.table.items()]
-        self._tail_size = sum(size_of(c.key, c.value or b"") for c in self._tail)
-        self._tail_most = TAIL_MOST + self._tail_size
-        self._tail_from = 1  # number of the tail's first change
-        self.base = self.n = len(self._tail)
-        self._offset = self.seq - self.base  # from numbers of this segment to those of the ledger
-        self._waiting: deque[tuple[int, int]] = deque([(self.base, now)])  # number, since when: not yet kept
-        self._improve_at = now + IMPROVE_AFTER * self._rules.replace_after
-        self._check_at = now + self._rules.replace_after
+        self._tail_bytes = sum(entry_size(c.key, c.value or b"") for c in self._tail)
+        self._max_tail_bytes = MAX_TAIL_BYTES + self._tail_bytes
+        self._tail_first_index = 1  # index of the first change in the tail
+        self.snapshot_size = self.last_index = len(self._tail)
+        self._seq_offset = (
+            self.seq - self.snapshot_size
+        )  # index in this segment + offset = number in the ledger
+        # last index of an append that is not committed, and since when it waits
+        self._uncommitted: deque[tuple[int, int]] = deque([(self.snapshot_size, now)])
+        self._upgrade_at = now + UPGRADE_MULTIPLE * self._rules.replace_after
+        self._replace_check_at = now + self._rules.replace_after
         if len(self.at.replicas) < self._rules.replicas:
-            self._improve_at = self._check_at = now + FILL_AFTER * self._rules.resend
+            self._upgrade_at = self._replace_check_at = now + REFILL_MULTIPLE * self._rules.resend
         actions = self._flush(now, force=True)
-        self._due = self._next(now)
+        self._due = self._next_due(now)
         return actions
 
     def append(self, now: int, changes: Sequence[Change]) -> tuple[int, list[Action]]:
-        """Takes changes in; they go out at once if nothing is under way, or with the next ``ticked``. A
-        ValueError for one that is over ``CHANGE_MOST``."""
+        """Appends changes and returns the number of the last one. They are sent at once if no append is
+        pending, else with the next ``ticked``. A ValueError for a change of more than
+        ``MAX_CHANGE_BYTES``."""
         for change in changes:
-            if len(change.key) + len(change.value or b"") > CHANGE_MOST:
-                raise ValueError(f"{change.key[:80]!r}: over {CHANGE_MOST} bytes")
-        quiet = not self._waiting
+            if len(change.key) + len(change.value or b"") > MAX_CHANGE_BYTES:
+                raise ValueError(f"{change.key[:80]!r}: larger than {MAX_CHANGE_BYTES} bytes")
+        idle = not self._uncommitted
         for change in changes:
             if change.value is None:
                 self.table.pop(change.key, None)
@@ -145,218 +157,243 @@
                 self.table[change.key] = change.value
             if self._proposal is None and self.at.replicas:
                 self._tail.append(change)
-                self._tail_size += size_of(change.key, change.value or b"")
-        self.n += len(changes)
+                self._tail_bytes += entry_size(change.key, change.value or b"")
+        self.last_index += len(changes)
         self.seq += len(changes)
         if changes:
-            self._waiting.append((self.n, now))
+            self._uncommitted.append((self.last_index, now))
         if self._proposal is not None or not self.at.replicas:
-            return self.seq, []  # the whole table goes to the next replicas
-        if self._tail_size > self._tail_most:
-            self._cut(now)
-        if quiet:
+            return self.seq, []  # the next segment's snapshot will hold them
+        if self._tail_bytes > self._max_tail_bytes:
+            self._trim_tail(now)
+        if idle:
             actions = self._flush(now)
-            self._due = min(self._due, self._next(now))
+            self._due = min(self._due, self._next_due(now))
             return self.seq, actions
         self._due = now
         return self.seq, []
 
     def close(self, now: int) -> list[Action]:
-        """Ends it: its replicas may forget."""
+        """Closes the ledger; its replicas may delete it."""
         self.ended = True
-        actions = self._home.tell(now, self.at.replicas, Close(self.at.ledger, self.at.segment))
-        return actions + self._release(now)
+        actions = self._host.notify(now, self.at.replicas, Close(self.at.ledger, self.at.segment))
+        return actions + self._release_previous(now)
 
     # Messages
 
-    def appended(self, now: int, sender: Incarnation, message: Appended) -> list[Action]:
-        progress = self.progress.get(sender)
+    def on_append_reply(self, now: int, sender: Incarnation, message: AppendReply) -> list[Action]:
+        """Handles a replica's reply to ``Append``."""
+        progress = self.replica_progress.get(sender)
         if progress is None or message.segment != self.at.segment:
             return []
-        if message.answer is Answer.SEALED:
+        if message.status is ReplyStatus.SEALED:
             if message.decision is not None:
-                return self._fate(now, message.decision)
-            if message.promised is not None and message.promised.by != self.me and self._sealed_at == NEVER:
-                self._sealed_at = now
-            self._heard(now, progress, max(progress.acked, message.n))
-            self._due = min(self._due, self._next(now))
-            return self._count(now)
-        if message.answer in (Answer.FULL, Answer.UNKNOWN):
-            progress.out = True
+                return self._on_decided(now, message.decision)
+            if (
+                message.promised is not None
+                and message.promised.by != self.me
+                and self._rival_seal_at == NEVER
+            ):
+                self._rival_seal_at = now
+            self._record_ack(now, progress, max(progress.acked, message.last_index))
+            self._due = min(self._due, self._next_due(now))
+            return self._advance_commit(now)
+        if message.status in (ReplyStatus.FULL, ReplyStatus.UNKNOWN):
+            progress.excluded = True
             self._due = now
             return []
-        before = progress.acked
-        self._heard(now, progress, max(progress.acked, message.n))
+        acked_before = progress.acked
+        self._record_ack(now, progress, max(progress.acked, message.last_index))
         actions: list[Action] = []
-        # danger: a late one of a replica that has all by now would have it owe an answer for ever
-        behind = progress.acked < self.n
-        if message.answer is Answer.GAP and behind and message.n == progress.acked != progress.gap_at:
-            # danger: without this memory every change that overtook another would bring the rest again
-            progress.gap_at, progress.sent = message.n, max(progress.acked, 0)
-            progress.waits_since = now
-        if progress.acked > before:
-            actions += self._count(now)
-            self._cut(now)
+        # to a delayed GAP of a replica that has since caught up nothing would be resent, so that no reply
+        # would ever reset ``unacked_since``
+        behind = progress.acked < self.last_index
+        if (
+            message.status is ReplyStatus.GAP
+            and behind
+            and message.last_index == progress.acked != progress.gap_at
+        ):
+            # without ``gap_at`` each reordered message would cause everything after the gap to be resent
+            progress.gap_at, progress.sent = message.last_index, max(progress.acked, 0)
+            progress.unacked_since = now
+        if progress.acked > acked_before:
+            actions += self._advance_commit(now)
+            self._trim_tail(now)
         if not self.ended:
             actions += self._flush(now)
-            self._due = min(self._due, self._next(now))
+            self._due = min(self._due, self._next_due(now))
         return actions
 
-    def proposed(self, now: int, sender: Incarnation, message: Promise | Accepted | Page) -> list[Action]:
-        """An answer to its own seal."""
+    def on_seal_reply(
+        self, now: int, sender: Incarnation, message: Promise | Accepted | Page
+    ) -> list[Action]:
+        """Handles a reply to the writer's own proposal."""
         proposal = self._proposal
         if proposal is None or message.segment != self.at.segment:
             return []
         if isinstance(message, Promise):
-            actions = proposal.promised(now, sender, message)
+            actions = proposal.on_promise(now, sender, message)
         elif isinstance(message, Accepted):
-            actions = proposal.accepted(now, sender, message)
+            actions = proposal.on_accepted(now, sender, message)
         else:
             return []
-        return actions + self._advance(now)
+        return actions + self._advance_proposal(now)
 
-    def learned(self, now: int, message: Learn) -> list[Action]:
-        """Another tells a fate."""
-        return self._fate(now, message.decision) if message.segment == self.at.segment else []
+    def on_learn(self, now: int, message: Learn) -> list[Action]:
+        """Handles a fate that another member announces."""
+        return self._on_decided(now, message.decision) if message.segment == self.at.segment else []
 
     # Time
 
     def ticked(self, now: int) -> list[Action]:
+        """Does what is due: resends, replaces replicas, and reports a missing majority."""
         actions: list[Action] = []
         if now >= self._due:
             if not self.at.replicas:
-                replicas = self._home.choose(self.at.ledger)
+                replicas = self._host.choose_replicas(self.at.ledger)
                 if replicas:
-                    self.at = LedgerAt(self.at.ledger, self.at.segment, replicas)
-                    since = self._waiting[0][1]
+                    self.at = LedgerLocation(self.at.ledger, self.at.segment, replicas)
+                    since = self._uncommitted[0][1]
                     actions += self.open(now)
-                    self._waiting[0] = (self.base, since)
+                    self._uncommitted[0] = (self.snapshot_size, since)
             elif self._proposal is not None:
                 if self._proposal.next_at() <= now:
                     actions += self._proposal.ticked(now)
-                actions += self._advance(now)
+                actions += self._advance_proposal(now)
             else:
                 actions += self._flush(now, resend=True)
-                actions += self._replace(now)
+                actions += self._replace_replicas(now)
             if not self.ended:
-                actions += self._majority(now)
-                self._due = self._next(now)
+                actions += self._check_majority(now)
+                self._due = self._next_due(now)
         return actions
 
     def next_at(self) -> int:
+        """When ``ticked`` is due next, ns."""
         return self._due
 
-    # Inside
+    # Internals
 
-    def _heard(self, now: int, progress: ReplicaProgress, n: int) -> None:
-        progress.acked = n
-        progress.sent = max(progress.sent, n)
-        progress.waits_since = now if progress.sent > n else NEVER
+    def _record_ack(self, now: int, progress: ReplicaProgress, index: int) -> None:
+        progress.acked = index
+        progress.sent = max(progress.sent, index)
+        progress.unacked_since = now if progress.sent > index else NEVER
 
     def _flush(self, now: int, *, resend: bool = False, force: bool = False) -> list[Action]:
-        """Sends each replica what it has not been sent, or (``resend``) not acknowledged in time."""
+        """Sends each replica the changes that it has not been sent, or with ``resend`` those that it has not
+        acknowledged in time. ``force``: sends the snapshot even if it is empty."""
         actions: list[Action] = []
         if self._proposal is not None:
-            return actions  # danger: the tail is gone by then, the whole table goes to the next replicas
-        made: dict[int, Append] = {}
+            return actions  # while moving the tail is empty; the next replicas get the whole table
+        messages: dict[int, Append] = {}
         rules = self._rules
         if self._proposal is not None:
-            return actions  # danger: what is appended from here on is in the next segment's opening alone
-        for replica, progress in self.progress.items():
-            if progress.out:
+            return actions  # changes appended while moving belong to the next segment's snapshot only
+        for replica, progress in self.replica_progress.items():
+            if progress.excluded:
                 continue
-            late = resend and progress.waits_since != NEVER and now - progress.sent_at >= rules.resend
-            if late:
+            overdue = resend and progress.unacked_since != NEVER and now - progress.sent_at >= rules.resend
+            if overdue:
                 progress.sent = max(progress.acked, 0)
-            opening = force or (late and progress.acked < 0)
-            while progress.sent < self.n or opening:
+            opening = force or (overdue and progress.acked < 0)
+            while progress.sent < self.last_index or opening:
                 opening = False
                 first = progress.sent + 1
-                message = made.get(first)
+                message = messages.get(first)
                 if message is None:
-                    changes = within(self._tail, first - self._tail_from)
-                    message = Append(self.at.ledger, self.at.segment, self.base, first, changes)
-                    made[first] = message
-                if not message.changes and progress.sent < self.n:
-                    # danger: what it lacks is no longer here; asked for again and again this never ends
-                    progress.out, self._due = True, now
+                    changes = next_batch(self._tail, first - self._tail_first_index)
+                    message = Append(self.at.ledger, self.at.segment, self.snapshot_size, first, changes)
+                    messages[first] = message
+                if not message.changes and progress.sent < self.last_index:
+                    # the changes that it lacks have been trimmed from the tail; it would report the gap
+                    # forever
+                    progress.excluded, self._due = True, now
                     break
                 actions.append(Send(replica, message))
                 progress.sent += len(message.changes)
                 progress.sent_at = now
-                if progress.waits_since == NEVER:
-                    progress.waits_since = now
-                if late:
-                    break  # one message at a time to one that does not answer
+                if progress.unacked_since == NEVER:
+                    progress.unacked_since = now
+                if overdue:
+                    break  # a replica that does not reply gets one message at a time
         return actions
 
-    def _count(self, now: int) -> list[Action]:
-        """Tells what a majority has now."""
-        acked = sorted((k.acked for k in self.progress.values()), reverse=True)
-        n = acked[majority(self.at.replicas) - 1]
+    def _advance_commit(self, now: int) -> list[Action]:
+        """Reports the changes that a majority of the replicas has acknowledged."""
+        acked = sorted((progress.acked for progress in self.replica_progress.values()), reverse=True)
+        committed = acked[majority(self.at.replicas) - 1]
         actions: list[Action] = []
-        if n < self.base:
+        if committed < self.snapshot_size:
             return actions
-        while self._waiting and self._waiting[0][0] <= n:
-            self._waiting.popleft()
+        while self._uncommitted and self._uncommitted[0][0] <= committed:
+            self._uncommitted.popleft()
         if not self.opened:
-            self.opened, self.known = True, self.at
-            actions += self._release(now)
-            if self._announce:
-                actions.append(Moved(self.at, self._lead))
-                self._announce, self._lead = False, None
-        if n + self._offset > self.kept_seq:
-            self.kept_seq = n + self._offset
-            actions.append(Kept(self.at.ledger, self.kept_seq))
-        return actions + self._majority(now)
-
-    def _majority(self, now: int) -> list[Action]:
-        """Tells when no majority answers in time, and when one does again."""
-        late = bool(self._waiting) and now - self._waiting[0][1] >= self._rules.wait
-        if late == self._down:
+            self.opened, self.last_opened = True, self.at
+            actions += self._release_previous(now)
+            if self._moved_due:
+                actions.append(Moved(self.at, self._led_content))
+                self._moved_due, self._led_content = False, None
+        if committed + self._seq_offset > self.committed_seq:
+            self.committed_seq = committed + self._seq_offset
+            actions.append(Committed(self.at.ledger, self.committed_seq))
+        return actions + self._check_majority(now)
+
+    def _check_majority(self, now: int) -> list[Action]:
+        """Reports when no majority replies in time, and when one does again."""
+        overdue = bool(self._uncommitted) and now - self._uncommitted[0][1] >= self._rules.wait
+        if overdue == self._without_majority:
             return []
-        self._down = late
-        return [NoMajority(self.at.ledger, back=not late)]
+        self._without_majority = overdue
+        return [NoMajority(self.at.ledger, restored=not overdue)]
 
-    def _cut(self, now: int) -> None:
-        """Forgets the tail that every replica has; a replica that lags too far is given up."""
+    def _trim_tail(self, now: int) -> None:
+        """Removes the changes that all replicas have from the tail; excludes the slowest replica while the
+        tail is too large."""
         while True:
-            using = [k for k in self.progress.values() if not k.out]
-            least = min((max(k.acked, 0) for k in using), default=self.n)
-            done = least + 1 - self._tail_from
-            if done > 0:
-                gone = self._tail[:done]
-                self._tail_size -= sum(size_of(c.key, c.value or b"") for c in gone)
-                del self._tail[:done]
-                self._tail_from += done
-            if self._tail_size <= self._tail_most or not using:
+            active = [progress for progress in self.replica_progress.values() if not progress.excluded]
+            lowest = min((max(progress.acked, 0) for progress in active), default=self.last_index)
+            acknowledged = lowest + 1 - self._tail_first_index
+            if acknowledged > 0:
+                removed = self._tail[:acknowledged]
+                self._tail_bytes -= sum(entry_size(c.key, c.value or b"") for c in removed)
+                del self._tail[:acknowledged]
+                self._tail_first_index += acknowledged
+            if self._tail_bytes <= self._max_tail_bytes or not active:
                 return
-            min(using, key=lambda k: k.acked).out = True
-            self.counts["lagged"] += 1
+            min(active, key=lambda progress: progress.acked).excluded = True
+            self.counts["slow replica excluded"] += 1
             self._due = now
 
-    def _lost(self, now: int) -> tuple[set[Incarnation], set[Incarnation]]:
-        """Replicas that are to be replaced, and those that can't be asked for a promise."""
-        silent = self._rules.replace_after
-        lost, gone = set(), set()
-        for replica, progress in self.progress.items():
+    def _lost_replicas(self, now: int) -> tuple[set[Incarnation], set[Incarnation]]:
+        """The replicas to be replaced, and those of them that can't reply to a seal."""
+        silence_limit = self._rules.replace_after
+        lost, unreachable = set(), set()
+        for replica, progress in self.replica_progress.items():
             dead = replica != self.me and self._members.health(replica) in (Health.DEAD, Health.LEFT)
-            mute = progress.waits_since != NEVER and now - progress.waits_since >= silent
-            if dead or mute or progress.out:
+            silent = progress.unacked_since != NEVER and now - progress.unacked_since >= silence_limit
+            if dead or silent or progress.excluded:
                 lost.add(replica)
-                self._avoid[replica] = now + AVOID_FOR * silent
-            if dead or (mute and not progress.out):
-                gone.add(replica)
-        return lost, gone
+                self._avoid_until[replica] = now + AVOID_MULTIPLE * silence_limit
+            if dead or (silent and not progress.excluded):
+                unreachable.add(replica)
+        return lost, unreachable
 
     def _avoided(self, now: int) -> frozenset[Incarnation]:
-        self._avoid = {incarnation: until for incarnation, until in self._avoid.items() if until > now}
-        return frozenset(self._avoid)
+        """The incarnations that are not to be chosen at present."""
+        self._avoid_until = {
+            incarnation: until for incarnation, until in self._avoid_until.items() if until > now
+        }
+        return frozenset(self._avoid_until)
 
     def _next_replicas(self, now: int) -> tuple[Incarnation, ...]:
-        """Danger: of fewer replicas fewer may be lost. Where too few others can be had, present ones that are
-        slow, and not held for dead, stay; this member again only where that makes the number odd."""
-        chosen = [k for k in self._home.choose(self.at.ledger, self._avoided(now)) if k != self.me]
+        """The replicas of the next segment. Fewer replicas tolerate fewer failures, so if there are too few
+        other members, present replicas that are slow but not considered dead stay. This member itself is
+        added only to make the number odd."""
+        chosen = [
+            candidate
+            for candidate in self._host.choose_replicas(self.at.ledger, self._avoided(now))
+            if candidate != self.me
+        ]
         for replica in self.at.replicas:
             health = self._members.health(replica)
             slow = replica not in (self.me, *chosen) and health in (Health.ALIVE, Health.SUSPECT)
@@ -366,128 +403,146 @@
             chosen.append(self.me)
         return tuple(chosen) or self.at.replicas
 
-    def _replace(self, now: int) -> list[Action]:
-        """Seals its own segment where replicas are lost and others can be had, or another's seal has come to
-        nothing."""
-        short = len(self.at.replicas) < self._rules.replicas
-        self._check_at = now + (FILL_AFTER * self._rules.resend if short else self._rules.replace_after)
-        stuck = self._sealed_at != NEVER and now >= self._sealed_at + self._patience()
-        lost, gone = self._lost(now)
-        if lost:  # another may come at any time, and until then the next loss is one too many
-            self._check_at = now + FILL_AFTER * self._rules.resend
-        if not stuck:
-            if len(self.progress) - len(gone) < majority(self.at.replicas):
-                # danger: a seal that can't be decided would stop those that still answer
-                return self._leave_behind(now)
+    def _replace_replicas(self, now: int) -> list[Action]:
+        """Seals the writer's own segment, to continue in the next one, if replicas are lost and can be
+        replaced, if better ones are available, or if another member's seal has not led to a decision in
+        time."""
+        too_few = len(self.at.replicas) < self._rules.replicas
+        self._replace_check_at = now + (
+            REFILL_MULTIPLE * self._rules.resend if too_few else self._rules.replace_after
+        )
+        rival_timed_out = (
+            self._rival_seal_at != NEVER and now >= self._rival_seal_at + self._rival_seal_timeout()
+        )
+        lost, unreachable = self._lost_replicas(now)
+        if lost:
+            # a new member may be available at any time, and until then the next loss could cost the majority
+            self._replace_check_at = now + REFILL_MULTIPLE * self._rules.resend
+        if not rival_timed_out:
+            if len(self.replica_progress) - len(unreachable) < majority(self.at.replicas):
+                # without a majority a seal can't be decided; it would only make the remaining replicas refuse
+                # appends
+                return self._skip_segment(now)
             chosen = set(self._next_replicas(now))
-            kept = set(self.at.replicas)
-            outlives = len(kept - lost - {self.me}) >= majority(self.at.replicas)
-            if lost and not chosen - kept and (outlives or not chosen):
+            current = set(self.at.replicas)
+            majority_remains = len(current - lost - {self.me}) >= majority(self.at.replicas)
+            if lost and not chosen - current and (majority_remains or not chosen):
                 return []
             if not lost:
-                better = len(chosen) > len(kept) or (self.me in kept - chosen and len(chosen) == len(kept))
-                if not better or now < self._improve_at:
+                improved = len(chosen) > len(current) or (
+                    self.me in current - chosen and len(chosen) == len(current)
+                )
+                if not improved or now < self._upgrade_at:
                     return []
-        self._proposal = Proposal(self.me, self.at, self._rules, reads=False)
-        self._tail, self._tail_size, self._tail_from = [], 0, self.n + 1
+        self._proposal = Proposal(self.me, self.at, self._rules, read_table=False)
+        self._tail, self._tail_bytes, self._tail_first_index = [], 0, self.last_index + 1
         return self._proposal.start(now)
 
-    def _leave_behind(self, now: int) -> list[Action]:
-        """Goes on in the next segment without a seal, where it is proven that nobody can ever seal this one:
-        fewer replicas than a majority can still be the incarnations that they were. Without this a writer
-        whose replicas start again all at once would write nothing more.
+    def _skip_segment(self, now: int) -> list[Action]:
+        """Continues in the next segment without a seal, if it is proven that nobody can ever seal this one:
+        so many replicas have terminated that the others are no majority. Without this, a writer whose
+        replicas all restart at once could never write again.
 
-        Danger: that a replica is held for dead proves nothing; that another incarnation has its name, or that
-        it has left, does."""
+        A replica that is considered dead may still be alive. Only a newer incarnation of its name, or its
+        announced departure, proves that it has terminated."""
         if self.table or not self.at.ledger.startswith(job_ledger(self.me)):
-            # danger: the fate may have been decided before the replicas went, and the writer not have heard
-            # of it: what the segment held may be another's by now, and a led ledger another's to write
+            # the fate may have been decided before the replicas terminated, without the writer learning of
+            # it: another member may own the content by now, or write the ledger if it is a led one
             return []
-        over = {k for k in self.at.replicas if k != self.me and self._is_over(k)}
-        if len(self.at.replicas) - len(over) >= majority(self.at.replicas):
+        terminated = {
+            replica for replica in self.at.replicas if replica != self.me and self._has_terminated(replica)
+        }
+        if len(self.at.replicas) - len(terminated) >= majority(self.at.replicas):
             return []
-        chosen = self._home.choose(self.at.ledger, frozenset(self._avoided(now) | over))
+        chosen = self._host.choose_replicas(self.at.ledger, frozenset(self._avoided(now) | terminated))
         if not chosen:
             return []
-        self.at = LedgerAt(self.at.ledger, self.at.segment + 1, chosen)
-        self._announce = True
-        self.counts["left behind"] += 1
-        waited = self._waiting[0][1] if self._waiting else now
+        self.at = LedgerLocation(self.at.ledger, self.at.segment + 1, chosen)
+        self._moved_due = True
+        self.counts["segment skipped"] += 1
+        waiting_since = self._uncommitted[0][1] if self._uncommitted else now
         actions = self.open(now)
-        self._waiting[0] = (self.base, waited)
+        self._uncommitted[0] = (self.snapshot_size, waiting_since)
         return actions
 
-    def _is_over(self, incarnation: Incarnation) -> bool:
+    def _has_terminated(self, incarnation: Incarnation) -> bool:
+        """Whether an incarnation has left, or a newer one of its name is known."""
         card = self._members.card(incarnation.name)
         left = self._members.health(incarnation) is Health.LEFT
         return left or (card is not None and card.incarnation.start > incarnation.start)
 
-    def _patience(self) -> int:
-        """Another that seals has so long to decide before the writer seals itself."""
-        least = self._rules.replace_after
-        return least + rank(f"{self.at.ledger}/{self.at.segment}", str(self.me)) % (least // 2)
+    def _rival_seal_timeout(self) -> int:
+        """How long another member that has sealed the segment may take to get a fate decided, ns; after that
+        the writer seals the segment itself. Differs between ledgers."""
+        timeout = self._rules.replace_after
+        return timeout + rank(f"{self.at.ledger}/{self.at.segment}", str(self.me)) % (timeout // 2)
 
-    def _advance(self, now: int) -> list[Action]:
-        """Goes on with its own seal."""
+    def _advance_proposal(self, now: int) -> list[Action]:
+        """Continues the writer's own proposal as far as its step allows."""
         proposal = self._proposal
         actions: list[Action] = []
         if proposal is None:
             return actions
         if proposal.step is Step.SEALED:
-            decision = proposal.fate()
+            decision = proposal.accepted_decision()
             if decision is None:
                 decision = Decision(Fate.MOVED, self.me, self._next_replicas(now))
-            actions += proposal.decide(now, decision)
+            actions += proposal.propose(now, decision)
         if proposal.step is Step.DECIDED and proposal.decision is not None:
-            actions += self._fate(now, proposal.decision)
-        self._due = min(self._due, self._next(now))
+            actions += self._on_decided(now, proposal.decision)
+        self._due = min(self._due, self._next_due(now))
         return actions
 
-    def _fate(self, now: int, decision: Decision) -> list[Action]:
-        """The segment's fate is decided."""
+    def _on_decided(self, now: int, decision: Decision) -> list[Action]:
+        """Acts on the decided fate of the segment: ends, or opens the next segment."""
         proposal = self._proposal
         if decision.fate is Fate.CLAIMED or decision.by != self.me:
             self.ended = True
             return [Fenced(self.at.ledger, decision.by)]
         if proposal is None or proposal.step is not Step.DECIDED:
-            return []  # an earlier try of its own: its proposal will find it
-        self._olds.append(proposal)
-        self.at = LedgerAt(self.at.ledger, self.at.segment + 1, decision.replicas)
-        self._announce = True
+            return []  # decided by an earlier round of its own: the proposal will learn of it
+        self._previous.append(proposal)
+        self.at = LedgerLocation(self.at.ledger, self.at.segment + 1, decision.replicas)
+        self._moved_due = True
         self.counts["moved"] += 1
-        waited = self._waiting[0][1] if self._waiting else now
+        waiting_since = self._uncommitted[0][1] if self._uncommitted else now
         actions = self.open(now)
-        self._waiting[0] = (self.base, waited)
+        self._uncommitted[0] = (self.snapshot_size, waiting_since)
         return actions
 
-    def led(self, now: int, passed: list[Proposal]) -> list[Action]:
-        """Opens a ledger that this member leads from here on."""
-        self._olds = passed
+    def open_as_leader(self, now: int, previous: list[Proposal]) -> list[Action]:
+        """Opens the segment of a ledger that this member begins to lead; ``previous``: earlier segments to
+        release."""
+        self._previous = previous
         return self.open(now)
 
-    def _release(self, now: int) -> list[Action]:
-        """The segments before have nothing that this one has not: their tables may go."""
-        olds, self._olds = self._olds, []
-        return [a for old in olds for a in self._home.tell(now, old.at.replicas, old.learn(True))]
-
-    def _next(self, now: int) -> int:
-        """When something is due."""
+    def _release_previous(self, now: int) -> list[Action]:
+        """Releases the tables of the earlier segments, whose content this segment holds."""
+        previous, self._previous = self._previous, []
+        return [
+            action
+            for proposal in previous
+            for action in self._host.notify(now, proposal.at.replicas, proposal.learn_message(True))
+        ]
+
+    def _next_due(self, now: int) -> int:
+        """When ``ticked`` has something to do, ns."""
         if not self.at.replicas:
             return now + self._rules.resend
         due = NEVER
         if self._proposal is not None:
             due = self._proposal.next_at()
         else:
-            for progress in self.progress.values():
-                if progress.out:
+            for progress in self.replica_progress.values():
+                if progress.excluded:
                     continue
-                if progress.waits_since != NEVER:
+                if progress.unacked_since != NEVER:
                     due = min(due, max(progress.sent_at + self._rules.resend, now + 1))
-                elif progress.sent < self.n:
+                elif progress.sent < self.last_index:
                     due = now
-            due = min(due, max(self._check_at, now + 1))
-        if self._waiting and not self._down:
-            due = min(due, max(self._waiting[0][1] + self._rules.wait, now + 1))
-        if self._sealed_at != NEVER and self._proposal is None:
-            due = min(due, max(self._sealed_at + self._patience(), now + 1))
+            due = min(due, max(self._replace_check_at, now + 1))
+        if self._uncommitted and not self._without_majority:
+            due = min(due, max(self._uncommitted[0][1] + self._rules.wait, now + 1))
+        if self._rival_seal_at != NEVER and self._proposal is None:
+            due = min(due, max(self._rival_seal_at + self._rival_seal_timeout(), now + 1))
         return due
--- a/ironbarrow/fleet/takeover/messages.py
+++ b/ironbarrow/fleet/takeover/messages.py
@@ -1,21 +1,21 @@
-"""What members tell each other of jobs. Kinds 40 to 49. No input or output."""
+"""Messages between members about jobs and take-overs, kinds 40 to 49. Does no input or output."""
 
 import enum
 
 from ironbarrow.fleet.api import Incarnation, Message
 
 
-class Word(enum.IntEnum):
-    """What a member knows of an id."""
+class JobStatus(enum.IntEnum):
+    """What a member knows of a job's id."""
 
-    NONE = 0  # nothing, and from now on it does not take it either without asking
-    HAVE = 1  # the job is its own; the answer follows as ``Told``
-    ENDED = 2  # the answer is in the message
-    OTHER = 3  # another request is under that id
+    UNKNOWN = 0  # nothing; from now on it looks the id up before it starts such a job
+    OWNED = 1  # it owns the job; the answer follows as a ``JobAnswer``
+    ENDED = 2  # the job has ended; the answer is in the message
+    CONFLICT = 3  # it knows the id with another request
 
 
-class Ask(Message, frozen=True, array_like=True):
-    """Who has the job of that id? Answered by ``Said`` of the same round."""
+class JobQuery(Message, frozen=True, array_like=True):
+    """Asks whether a member knows the job of that id. Answered by a ``JobQueryReply`` of the same round."""
 
     KIND = 40
     id: str
@@ -23,24 +23,25 @@
     round: int
 
 
-class Said(Message, frozen=True, array_like=True):
-    """``open``: incarnations that have ended and whose ledgers nobody is known to have taken over yet;
-    ``lost``: incarnations of which no majority remembers the ledger, so that nobody knows all that they
-    had."""
+class JobQueryReply(Message, frozen=True, array_like=True):
+    """What the sender knows of a job; ``verdict``, ``result`` and ``retry_after`` (ns) if it has ended.
+
+    ``open_incarnations``: ended ones whose ledgers are not known to be taken over yet. ``lost_incarnations``:
+    ended ones whose ledgers no majority of replicas remembers, so that some of their jobs may be unknown."""
 
     KIND = 41
     id: str
     round: int
-    word: Word
+    status: JobStatus
     verdict: str = ""
     result: bytes = b""
     retry_after: int = 0
-    open: tuple[Incarnation, ...] = ()
-    lost: tuple[Incarnation, ...] = ()
+    open_incarnations: tuple[Incarnation, ...] = ()
+    lost_incarnations: tuple[Incarnation, ...] = ()
 
 
-class Told(Message, frozen=True, array_like=True):
-    """The answer of a job that the other has asked for."""
+class JobAnswer(Message, frozen=True, array_like=True):
+    """The answer of a job that the receiver has queried."""
 
     KIND = 42
     id: str
@@ -49,8 +50,8 @@
     retry_after: int = 0
 
 
-class CallBack(Message, frozen=True, array_like=True):
-    """A worker's word on a job that the sender does not have. It is passed on once, never further."""
+class ForwardedCallBack(Message, frozen=True, array_like=True):
+    """A worker's call-back for a job that the sender does not know. Receivers don't forward it again."""
 
     KIND = 43
     id: str
@@ -59,12 +60,12 @@
     result: bytes = b""
 
 
-class TakenOver(Message, frozen=True, array_like=True):
-    """The sender has what an incarnation owed. ``whole``: all of it; else what could still be read."""
+class TakeoverNotice(Message, frozen=True, array_like=True):
+    """The sender has taken over an incarnation's jobs. ``whole`` False: only those still readable."""
 
     KIND = 44
     incarnation: Incarnation
     whole: bool = True
 
 
-KINDS: tuple[type[Message], ...] = (Ask, Said, Told, CallBack, TakenOver)
+KINDS: tuple[type[Message], ...] = (JobQuery, JobQueryReply, JobAnswer, ForwardedCallBack, TakeoverNotice)
--- a/tests/test_fleet_frames.py
+++ b/tests/test_fleet_frames.py
@@ -1,8 +1,8 @@
-"""The bytes that processes of a fleet exchange: a rolling restart mixes versions, so they must not change."""
+"""The frames that members exchange: a rolling restart mixes versions, so they must not change."""
 
 import pytest
 
-from ironbarrow.fleet.api import Ballot, Card, Change, Decision, Fate, Incarnation, LedgerAt, Message
+from ironbarrow.fleet.api import Ballot, Card, Change, Decision, Fate, Incarnation, LedgerLocation, Message
 from ironbarrow.fleet.codec import Codec
 from ironbarrow.fleet.ledgers import messages as ledgers
 from ironbarrow.fleet.members import messages as members
@@ -11,7 +11,7 @@
 SENDER = Incarnation("dispatcher-1", 1_700_000_000_000_000_001)
 OTHER = Incarnation("dispatcher-2", 1_700_000_000_000_000_002)
 THIRD = Incarnation("dispatcher-3", 3)
-AT = LedgerAt("jobs/dispatcher-2/7", 4, (SENDER, THIRD))
+AT = LedgerLocation("jobs/dispatcher-2/7", 4, (SENDER, THIRD))
 CARD = Card(OTHER, "127.0.0.1:9", "north", "127.0.0.1:8", 5, (AT,))
 SUSPECTED = members.Rumour(OTHER, 6, 1, "dispatcher-3", 250, CARD)
 ALIVE = members.Rumour(THIRD, 2, 0)
@@ -28,26 +28,26 @@
     members.Cards((SUSPECTED, ALIVE), True),
     members.Want(("dispatcher-2", "dispatcher-3")),
     ledgers.Append("l", 1, 2, 3, CHANGES),
-    ledgers.Appended("l", 1, 9, ledgers.Answer.SEALED, BALLOT, MOVED),
+    ledgers.AppendReply("l", 1, 9, ledgers.ReplyStatus.SEALED, BALLOT, MOVED),
     ledgers.Seal("l", 1, BALLOT, OTHER),
     ledgers.Promise(
-        "l", 1, BALLOT, ledgers.Answer.DONE, BALLOT, OTHER, 9, 2, BALLOT, CLAIMED, True, False, CHANGES
+        "l", 1, BALLOT, ledgers.ReplyStatus.OK, BALLOT, OTHER, 9, 2, BALLOT, CLAIMED, True, False, CHANGES
     ),
-    ledgers.Decide("l", 1, BALLOT, MOVED),
-    ledgers.Accepted("l", 1, BALLOT, ledgers.Answer.UNKNOWN, BALLOT),
+    ledgers.Accept("l", 1, BALLOT, MOVED),
+    ledgers.Accepted("l", 1, BALLOT, ledgers.ReplyStatus.UNKNOWN, BALLOT),
     ledgers.Read("l", 1, "j/1"),
     ledgers.Page("l", 1, "j/1", CHANGES, True),
     ledgers.Learn("l", 1, BALLOT, CLAIMED, True),
-    ledgers.Learned("l", 1, True),
+    ledgers.LearnAck("l", 1, True),
     ledgers.Close("l", 1),
-    takeover.Ask("id", b"\x03", 2),
-    takeover.Said("id", 2, takeover.Word.ENDED, "served", b"r", 5, (OTHER,), (THIRD,)),
-    takeover.Told("id", "served", b"r", 5),
-    takeover.CallBack("id", "provider", "done", b"r"),
-    takeover.TakenOver(OTHER, False),
+    takeover.JobQuery("id", b"\x03", 2),
+    takeover.JobQueryReply("id", 2, takeover.JobStatus.ENDED, "served", b"r", 5, (OTHER,), (THIRD,)),
+    takeover.JobAnswer("id", "served", b"r", 5),
+    takeover.ForwardedCallBack("id", "provider", "done", b"r"),
+    takeover.TakeoverNotice(OTHER, False),
 ]
 
-# the frames of the version before the first change of these classes' names, by kind
+# by kind: frames recorded before the first renaming of these classes
 FRAMES = {
     1: (
         "000000dc95010192ac646973706174636865722d31cf17979cfe362a0001cf17979cfe362a00029501020301929692ac"
@@ -152,13 +152,13 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: str(message.KIND))
-def test_frames_are_those_of_the_former_version_both_ways(message: Message) -> None:
+def test_frames_equal_those_of_the_earlier_version_in_both_directions(message: Message) -> None:
     frame = bytes.fromhex(FRAMES[message.KIND])
     assert _codec().encode(SENDER, OTHER.start, message) == frame
     assert _codec().decode(frame[4:]) == (SENDER, OTHER.start, message)
 
 
-def test_every_message_of_these_parts_has_its_frame() -> None:
+def test_every_message_of_these_parts_has_a_recorded_frame() -> None:
     kinds = {
         kind.KIND
         for part in (members, ledgers, takeover)
