--- a/ironbarrow/admin/operations.py
+++ b/ironbarrow/admin/operations.py
@@ -40,7 +40,7 @@
 
     def stats(self) -> str:
         listed = self._bans.listed
-        excluded = (self._bans.banned & listed) | (self._host.ejected_workers & listed)
+        excluded = (self._bans.banned & listed) | (self._host.suspended_workers & listed)
         return self._host.metrics.render(
             in_flight=self._host.unanswered + self.kept(),
             workers_known=len(listed),
--- a/ironbarrow/core/host.py
+++ b/ironbarrow/core/host.py
@@ -123,7 +123,7 @@
             api.Log: lambda action: log.info("decision", text=action.text),
         }
 
-    # Events
+    # State, jobs and events
 
     @property
     def unanswered(self) -> int:
@@ -136,7 +136,7 @@
         return len(self._jobs)
 
     @property
-    def ejected_workers(self) -> frozenset[str]:
+    def suspended_workers(self) -> frozenset[str]:
         """The workers that the decision module has suspended. They get at most an occasional trial job."""
         return self._dispatcher.ring.aside()
 
