--- a/ironbarrow/backs/invoker.py
+++ b/ironbarrow/backs/invoker.py
@@ -409,7 +409,7 @@
 
     def _connect_with_retries(self, address: Address) -> Coroutine[Connection]:
         """Connects; retries, within the connect time-out, failures that the worker did not cause. Otherwise a
-        temporary lack of local addresses would suspend every worker that an attempt is sent to meanwhile."""
+        temporary lack of local addresses would eject every worker that an attempt is sent to meanwhile."""
         until = self._loop.now() + self._connect_timeout
         dropped = False
         while True:
--- a/ironbarrow/core/endings.py
+++ b/ironbarrow/core/endings.py
@@ -55,7 +55,7 @@
     )
 )
 # Each of these closes the connection; if that is before the last byte of the request, the job never ran.
-# GIVEN_UP closes it, too, but is not reported as a failed connection, which would suspend a worker that may
+# GIVEN_UP closes it, too, but is not reported as a failed connection, which would eject a worker that may
 # be healthy. ``Host`` distinguishes the two.
 _NEVER_RAN_IF_UNWRITTEN = _CONNECTION_FAILURES | {Ending.TIMED_OUT}
 
@@ -66,7 +66,7 @@
     Ending.RETURNED: Outcome.FULL,
     Ending.NOT_PROCESSED: Outcome.FULL,
     # Reported as a failed connection, a drain or a lack of sockets on this machine would count as a failure
-    # of the worker and suspend it.
+    # of the worker and eject it.
     Ending.DRAINED: Outcome.FULL,
     Ending.FAILED_HERE: Outcome.FULL,
     Ending.CONNECT_REFUSED: Outcome.CONNECT_FAILED,
--- a/ironbarrow/core/host.py
+++ b/ironbarrow/core/host.py
@@ -136,9 +136,9 @@
         return len(self._jobs)
 
     @property
-    def suspended_workers(self) -> frozenset[str]:
-        """The workers that the decision module has suspended. They get at most an occasional trial job."""
-        return self._dispatcher.ring.aside()
+    def ejected_workers(self) -> frozenset[str]:
+        """The workers that the decision module has ejected. They get at most an occasional trial job."""
+        return self._dispatcher.ring.ejected()
 
     @property
     def workers(self) -> list[api.WorkerEntry]:
@@ -491,7 +491,7 @@
     def _timeout_ending(self, attempt: Attempt) -> Ending:
         """The ending of an attempt whose time is up. If its last byte was never written by the job's
         deadline, the attempt is reported as not sent: as a time-out, a booking could no longer be refused,
-        and as a failed connection, it would suspend the worker although the job merely had little time."""
+        and as a failed connection, it would eject the worker although the job merely had little time."""
         unsent = not attempt.written and attempt.expires_at >= attempt.job.deadline
         return Ending.NOT_SENT if unsent else Ending.TIMED_OUT
 
@@ -502,7 +502,7 @@
         attempt, class_config = job.attempts[action.attempt], self._classes[job.arrival.job_class]
         # Reported as given up, an unwritten attempt would count as one that may have run, and an unsafe or
         # keyed job could not simply be sent again. A safe job can, so its attempt is not reported as a failed
-        # connection, which would suspend a healthy worker.
+        # connection, which would eject a healthy worker.
         unsent = not attempt.written and class_config.effect is not api.Effect.SAFE
         self._give_up(attempt, Ending.CONNECT_TIMED_OUT if unsent else Ending.GIVEN_UP)
 
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -30,7 +30,7 @@
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine
 from ironbarrow.wire.http import Message
-from tests.decisions import Plain, plain
+from tests.decisions import FixedOrder, fixed_order
 from tests.scenario import SETTINGS, Stage, answer, call_back, job
 from tests.virtual import VirtualLoop, wait
 
@@ -49,10 +49,10 @@
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
 
 
-def stage_with_attempt(path: str, ms: int = 9000, *, accepted: bool = True) -> tuple[Stage, Plain]:
+def stage_with_attempt(path: str, ms: int = 9000, *, accepted: bool = True) -> tuple[Stage, FixedOrder]:
     """A stage on which p1 has received a job. If ``accepted``, it has also answered 202, called back that it
     runs the job, and closed its connection."""
-    stage, decisions = plain("p1", "p2", settings=replace(read_settings(SETTINGS), classes=CLASSES))
+    stage, decisions = fixed_order("p1", "p2", settings=replace(read_settings(SETTINGS), classes=CLASSES))
     steps = [f"c1 send {job(path=f'{path}/x', ms=ms)}", "p1 expect in$"]
     if accepted:
         steps += [f"p1 send {ACCEPTED}", *STARTED.splitlines(), "wait 10", "p1 close"]
@@ -113,7 +113,7 @@
 
 def test_an_attempts_time_out_does_not_end_it_without_a_proof() -> None:
     # An attempt that timed out long before its job's deadline was given up after three DELETEs.
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     decisions.timeout = 100 * MS
     for line in (f"c1 send {job(ms=2500)}", "p1 expect in$", f"p1 send {ACCEPTED}", "p1 close", "p1 refuse"):
         stage.step(line)
@@ -152,7 +152,7 @@
     since: str, deleted: bool
 ) -> None:
     # When the list alone was taken for the attempt's end, two copies of a job ran in a benchmark.
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     before = stage.dispatcher.loop.now() // MS
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 20"):
         stage.step(line)
@@ -179,7 +179,7 @@
 
 
 def test_cancelling_an_attempt_of_another_process_is_confirmed_only_by_an_answer() -> None:
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     confirmed: list[bool] = []
     until = stage.dispatcher.loop.now() + 400 * MS
     stage.step("p1 refuse")
@@ -385,7 +385,7 @@
         return worker, 1
 
 
-class EffectAwareDecisions(Plain):
+class EffectAwareDecisions(FixedOrder):
     """Continues with the next worker if the job's effect allows it."""
 
     def __init__(self, effect: api.Effect) -> None:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -13,7 +13,7 @@
 
 from heathway import api
 from ironbarrow.transport import http
-from tests.decisions import plain
+from tests.decisions import fixed_order
 from tests.scenario import Stage, answer, call_back, job
 
 ACCEPTED = answer(202)
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "EIO"])
 def test_a_read_that_fails_is_no_proof_that_the_attempt_is_over(calls: FailingCalls, error: str) -> None:
     """Guards against a second attempt after a failed read with the 202 in the receive buffer (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
     calls.on(stage, "p1", "recv", getattr(errno, error))
@@ -80,7 +80,7 @@
 
 def test_a_reset_that_discards_the_202_is_followed_by_a_delete(calls: FailingCalls) -> None:
     """Guards against a second attempt after a reset that has discarded an unread 202 (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
     calls.on(stage, "p1", "recv", errno.ECONNRESET)
@@ -94,7 +94,7 @@
 
 def test_a_delete_that_fails_on_this_machine_is_sent_again(calls: FailingCalls) -> None:
     """Guards against a second attempt after connecting for the DELETE failed temporarily (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
     calls.on(stage, "p1", "connect_ex", errno.EADDRNOTAVAIL, times=5)
@@ -110,7 +110,7 @@
 
 def test_a_call_back_does_not_end_an_attempt_that_is_not_written_yet(calls: FailingCalls) -> None:
     """Guards against a duplicate of an earlier call-back that is taken for the current attempt's (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     calls.on(stage, "p1", "send", errno.EAGAIN, times=1 << 30)
     for line in (f"c1 send {job(path='book/x')}", "wait 20", f"c9 send {call_back('returned')}"):
         stage.step(line)
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize("error", ["ENOMEM", "ENOBUFS"])
 def test_a_read_that_lacks_memory_temporarily_is_retried(calls: FailingCalls, error: str) -> None:
     """Guards against giving up a connection that is intact (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
     calls.on(stage, "p1", "recv", getattr(errno, error), times=2)
@@ -135,8 +135,8 @@
 
 @pytest.mark.parametrize("error", ["EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS", "EINTR"])
 def test_a_temporary_failure_to_connect_is_not_blamed_on_the_worker(calls: FailingCalls, error: str) -> None:
-    """Guards against suspending workers for a lack of resources on this machine (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    """Guards against ejecting workers for a lack of resources on this machine (bcef66)."""
+    stage, decisions = fixed_order("p1", "p2")
     calls.on(stage, "p1", "connect_ex", getattr(errno, error), times=4)
     stage.play(f"c1 send {job()}\np1 expect in$")
     assert calls.failed == 4
@@ -147,7 +147,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a time-out that exceeds the client's remaining time after failed writes (bcef66)."""
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     listener = stage.peers["p1"].listener
     assert listener is not None
     address, until, real = listener.getsockname(), time.monotonic() + 0.4, socket.socket.send
@@ -180,7 +180,7 @@
 @pytest.mark.parametrize("fails", [1, 2, 3, 6])
 def test_a_failing_poll_of_a_descriptor_loses_no_job(monkeypatch: pytest.MonkeyPatch, fails: int) -> None:
     """Guards against a job or an attempt whose task ends with the error of a poll (bcef66)."""
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     monkeypatch.setattr(select, "poll", FailingPoll)
     monkeypatch.setattr(FailingPoll, "left", fails)
     done = call_back("done", result="out")
@@ -193,7 +193,7 @@
 
 def test_a_close_that_fails_frees_its_connection_slot(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against leaking a connection slot with each close that reports an error (bcef66)."""
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     real = socket.socket.close
 
     def failing(sock: socket.socket) -> None:
--- a/tests/test_invoker.py
+++ b/tests/test_invoker.py
@@ -27,7 +27,7 @@
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine, Wait
 from ironbarrow.runtime.sockets import Address
 from ironbarrow.transport.http import Connection, connect
-from tests.decisions import plain
+from tests.decisions import fixed_order
 from tests.scenario import SETTINGS, answer, call_back, job
 
 NOT_PROCESSED = answer(503, "X-Not-Processed: 1\\r\\n")
@@ -54,7 +54,7 @@
 def test_a_duplicate_answer_is_not_taken_for_the_next_requests(name: str) -> None:
     # A duplicate proof would claim that a booking never ran while it is running.
     first, late = DUPLICATE_ANSWERS[name]
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {first if late else first + first}"):
         stage.step(line)
     connection = stage.peers["p1"].sock
@@ -140,7 +140,7 @@
 ) -> None:
     sent, order, event, outcomes, status = EVENTS_BEFORE_FIRST_BYTE[name]
     gate = Gate(monkeypatch, moment)
-    stage, decisions = plain(*order, settings=SHORT)
+    stage, decisions = fixed_order(*order, settings=SHORT)
     if event == "time":
         decisions.timeout = 150 * MS
         event = "c1 expect 503"
@@ -172,7 +172,7 @@
     # 500.
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     stage.step(f"c1 send {booking(ms=200)}")
     stage.until("held", lambda: gate.held)
     time.sleep(0.3)  # the loop is blocked
@@ -183,10 +183,10 @@
 def test_an_attempt_cancelled_before_its_last_byte_never_ran(
     effect: str, outcome: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A safe job may be sent elsewhere anyway, so its worker need not be suspended.
+    # A safe job may be sent elsewhere anyway, so its worker need not be ejected.
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, decisions = plain("p1")
+    stage, decisions = fixed_order("p1")
     stage.step(f"c1 send {job(path=effect)}")
     stage.until("held", lambda: gate.held)
     host = stage.dispatcher.host
@@ -233,8 +233,8 @@
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     sent, event, outcomes, status = EVENTS_DURING_WRITE[name]
-    stage, decisions = plain("p1")
-    decisions.calls_off = name == "the client leaves"
+    stage, decisions = fixed_order("p1")
+    decisions.cancels = name == "the client leaves"
     if event == "time":
         decisions.timeout, event = 60 * MS, "wait 90"
     real, writable, halves = socket.socket.send, [False], []
@@ -309,7 +309,7 @@
 ) -> None:
     sent, closes, outcome, kept = ANSWERS[name]
     monkeypatch.setattr(invoker, "_BODY_TIMEOUT", 50 * MS)
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {sent}"):
         stage.step(line)
     if closes:
@@ -335,7 +335,7 @@
 def test_a_202_counts_whatever_happens_to_its_body(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     sent, closes = INCOMPLETE_ACCEPTANCES[name]
     monkeypatch.setattr(invoker, "_BODY_TIMEOUT", 50 * MS)
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {sent}"):
         stage.step(line)
     stage.step("p1 close" if closes else "p1 ended")
@@ -352,7 +352,7 @@
     sent: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(invoker, "_BODY_TIMEOUT", 50 * MS)
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     for line in (f"c1 send {booking()}", "p1 expect in$", f"c9 send {call_back('done', result='out')}"):
         stage.step(line)
     if sent:
@@ -427,7 +427,7 @@
 @pytest.mark.parametrize("name", CALL_BACKS)
 def test_call_backs_in_any_order_lead_to_one_answer(name: str) -> None:
     steps, outcomes, status = CALL_BACKS[name]
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     host = stage.dispatcher.host
     at_deadline = "deadline" in name
     if at_deadline:
@@ -455,7 +455,7 @@
 ) -> None:
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     back, done = stage.dispatcher.invoker, []
     until = stage.dispatcher.loop.now() + 150 * MS
     for n in range(200):
@@ -470,7 +470,7 @@
 
 
 def test_an_idle_connection_is_closed_when_no_descriptor_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage, _ = plain("p1")
+    stage, _ = fixed_order("p1")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", DONE, "c1 expect out$"):
         stage.step(line)
     real = sockets.stream_socket
@@ -488,7 +488,7 @@
 
 def test_no_further_attempt_is_sent_before_the_worker_has_answered_a_delete() -> None:
     # p1 has accepted the job and closes the connection of each DELETE. Until it answers one, p2 gets nothing.
-    stage, decisions = plain("p1", "p2")
+    stage, decisions = fixed_order("p1", "p2")
     host = stage.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 10"):
         stage.step(line)
@@ -505,7 +505,7 @@
 def test_a_delete_on_an_idle_connection_counts_only_if_it_is_answered() -> None:
     # A worker that is cut off behind a connection that looks open never receives it, and an attempt at p2
     # would be a second copy.
-    stage, _ = plain("p1", "p2")
+    stage, _ = fixed_order("p1", "p2")
     host = stage.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 10"):
         stage.step(line)
@@ -523,7 +523,7 @@
 
 def test_a_delete_whose_connection_is_closed_before_the_202_is_sent_again() -> None:
     # The 202 may have been in flight when the attempt's connection was closed, and the worker runs the job.
-    stage, _ = plain("p1", "p2")
+    stage, _ = fixed_order("p1", "p2")
     host = stage.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
@@ -550,7 +550,7 @@
         return connection
 
     monkeypatch.setattr(invoker, "connect", connect)
-    stage, _ = plain("p1", "p2")
+    stage, _ = fixed_order("p1", "p2")
     host = stage.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
@@ -569,7 +569,7 @@
     # Otherwise none would be left for clients, call-backs and the discovery service.
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, decisions = plain("p1", sockets=256)  # 140 connections of clients, 100 to workers
+    stage, decisions = fixed_order("p1", sockets=256)  # 140 connections of clients, 100 to workers
     for n in range(110):
         stage.step(f"c{n} send {job(f'j{n}')}")
     stage.until(
@@ -581,7 +581,7 @@
 
 
 def test_without_cancellation_an_attempt_has_until_the_deadline() -> None:
-    stage, decisions = plain("p1", "p2", settings=SHORT)
+    stage, decisions = fixed_order("p1", "p2", settings=SHORT)
     decisions.timeout = 100 * MS
     stage.play(
         f"""c1 send {job(ms=600)}
@@ -728,7 +728,7 @@
 
 def test_an_attempt_beside_a_live_one_is_not_sent() -> None:
     # It would be a second copy, even if the decision module orders it.
-    stage, decisions = plain("p1")
+    stage, decisions = fixed_order("p1")
     for line in (f"c1 send {job()}", "p1 expect in$"):
         stage.step(line)
     host = stage.dispatcher.host
