--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -31,7 +31,7 @@
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine
 from ironbarrow.wire.http import Message
 from tests.decisions import FixedOrder, fixed_order
-from tests.scenario import SETTINGS, Stage, answer, call_back, job
+from tests.scenario import SETTINGS, Harness, answer, call_back, job
 from tests.virtual import VirtualLoop, wait
 
 ACCEPTED = answer(202)
@@ -43,22 +43,22 @@
 JOB_PATHS = ["map", "book", "charge"]
 
 
-def cancel_attempt(stage: Stage) -> None:
+def cancel_attempt(harness: Harness) -> None:
     """Cancels the attempt of the only job, as the decision module does."""
-    host = stage.dispatcher.host
+    host = harness.dispatcher.host
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
 
 
-def stage_with_attempt(path: str, ms: int = 9000, *, accepted: bool = True) -> tuple[Stage, FixedOrder]:
-    """A stage on which p1 has received a job. If ``accepted``, it has also answered 202, called back that it
-    runs the job, and closed its connection."""
-    stage, decisions = fixed_order("p1", "p2", settings=replace(read_settings(SETTINGS), classes=CLASSES))
+def harness_with_attempt(path: str, ms: int = 9000, *, accepted: bool = True) -> tuple[Harness, FixedOrder]:
+    """A harness on which p1 has received a job. If ``accepted``, it has also answered 202, called back that
+    it runs the job, and closed its connection."""
+    harness, decisions = fixed_order("p1", "p2", settings=replace(read_settings(SETTINGS), classes=CLASSES))
     steps = [f"c1 send {job(path=f'{path}/x', ms=ms)}", "p1 expect in$"]
     if accepted:
         steps += [f"p1 send {ACCEPTED}", *STARTED.splitlines(), "wait 10", "p1 close"]
     for line in steps:
-        stage.step(line)
-    return stage, decisions
+        harness.step(line)
+    return harness, decisions
 
 
 # On sockets
@@ -67,82 +67,82 @@
 @pytest.mark.parametrize("path", JOB_PATHS)
 def test_a_refused_delete_does_not_end_an_accepted_attempt(path: str) -> None:
     # A machine that was cut off resets new connections once it is back, with its jobs still running.
-    stage, decisions = stage_with_attempt(path)
-    stage.step("p1 refuse")
-    cancel_attempt(stage)
-    stage.step("c1 silent 700")
+    harness, decisions = harness_with_attempt(path)
+    harness.step("p1 refuse")
+    cancel_attempt(harness)
+    harness.step("c1 silent 700")
     assert decisions.outcomes == []
-    assert stage.peers["p2"].sock is None
+    assert harness.peers["p2"].sock is None
     for line in ("p1 listen", "p1 expect DELETE /jobs/j1 HTTP"):
-        stage.step(line)
-    assert stage.peers["p2"].sock is None
+        harness.step(line)
+    assert harness.peers["p2"].sock is None
     # The decisions of this test would repeat a booking as well; the host does not.
     next_step = "c1 expect HTTP/1.1 500" if path == "book" else "p2 expect in$"
-    stage.step(f"p1 send {answer(204)}")
-    stage.step(next_step)
-    assert (stage.peers["p2"].sock is None) is (path == "book")
+    harness.step(f"p1 send {answer(204)}")
+    harness.step(next_step)
+    assert (harness.peers["p2"].sock is None) is (path == "book")
     assert decisions.outcomes[0] is api.Outcome.CANCELLED
-    stage.close()
+    harness.close()
 
 
 @pytest.mark.parametrize("path", JOB_PATHS)
 def test_an_unanswered_delete_does_not_end_an_accepted_attempt(path: str) -> None:
     # A hung process has not read the DELETE, and may continue with the job later.
-    stage, decisions = stage_with_attempt(path, ms=1500)
-    cancel_attempt(stage)
-    stage.step("p1 expect DELETE /jobs/j1 HTTP")
-    stage.step("c1 expect HTTP/1.1 500")  # in time, at the deadline
+    harness, decisions = harness_with_attempt(path, ms=1500)
+    cancel_attempt(harness)
+    harness.step("p1 expect DELETE /jobs/j1 HTTP")
+    harness.step("c1 expect HTTP/1.1 500")  # in time, at the deadline
     assert decisions.outcomes == [api.Outcome.TIMEOUT, api.Outcome.MOOT]
-    assert stage.peers["p2"].sock is None
-    stage.until("forgotten", lambda: not stage.dispatcher.host.jobs_in_memory)
-    stage.until("no more DELETEs", lambda: not stage.dispatcher.invoker._delete_sender.in_flight)
-    assert not stage.dispatcher.invoker._exchanges
-    stage.close()
+    assert harness.peers["p2"].sock is None
+    harness.run_until("forgotten", lambda: not harness.dispatcher.host.jobs_in_memory)
+    harness.run_until("no more DELETEs", lambda: not harness.dispatcher.invoker._delete_sender.in_flight)
+    assert not harness.dispatcher.invoker._exchanges
+    harness.close()
 
 
 @pytest.mark.parametrize("status", [400, 500, 503])
 def test_a_delete_answered_with_another_status_is_no_proof(status: int) -> None:
-    stage, decisions = stage_with_attempt("map")
-    cancel_attempt(stage)
+    harness, decisions = harness_with_attempt("map")
+    cancel_attempt(harness)
     for line in ("p1 expect DELETE /jobs/j1 HTTP", f"p1 send {answer(status)}"):
-        stage.step(line)
-    stage.step("p1 expect DELETE /jobs/j1 HTTP")
+        harness.step(line)
+    harness.step("p1 expect DELETE /jobs/j1 HTTP")
     assert decisions.outcomes == []
-    stage.play(f"p1 send {answer(404)}\np2 expect in$")
+    harness.run(f"p1 send {answer(404)}\np2 expect in$")
 
 
 def test_an_attempts_time_out_does_not_end_it_without_a_proof() -> None:
     # An attempt that timed out long before its job's deadline was given up after three DELETEs.
-    stage, decisions = fixed_order("p1", "p2")
+    harness, decisions = fixed_order("p1", "p2")
     decisions.timeout = 100 * MS
     for line in (f"c1 send {job(ms=2500)}", "p1 expect in$", f"p1 send {ACCEPTED}", "p1 close", "p1 refuse"):
-        stage.step(line)
-    stage.step("c1 silent 1200")
+        harness.step(line)
+    harness.step("c1 silent 1200")
     assert decisions.outcomes == []
-    assert stage.peers["p2"].sock is None
-    stage.play("p1 listen\np1 expect DELETE /jobs/j1 HTTP\np1 send " + answer(204) + "\np2 expect in$")
+    assert harness.peers["p2"].sock is None
+    harness.run("p1 listen\np1 expect DELETE /jobs/j1 HTTP\np1 send " + answer(204) + "\np2 expect in$")
 
 
 def test_a_closed_connection_does_not_end_an_attempt_that_has_called_back_started() -> None:
     # Its 202 may be lost with the connection while the worker runs the job.
-    stage, decisions = stage_with_attempt("map", accepted=False)
+    harness, decisions = harness_with_attempt("map", accepted=False)
     for line in (*STARTED.splitlines(), "p1 close", "p1 expect DELETE /jobs/j1 HTTP"):
-        stage.step(line)
+        harness.step(line)
     assert decisions.outcomes == []
-    assert stage.peers["p2"].sock is None
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    assert harness.peers["p2"].sock is None
+    harness.run(f"p1 send {answer(204)}\np2 expect in$")
     assert decisions.outcomes == [api.Outcome.RESET]
 
 
 def test_a_start_called_back_while_a_closed_attempt_is_cancelled_requires_a_proof() -> None:
-    stage, decisions = stage_with_attempt("map", accepted=False)
-    cancel_attempt(stage)
+    harness, decisions = harness_with_attempt("map", accepted=False)
+    cancel_attempt(harness)
     for line in ("p1 close", "p1 expect DELETE /jobs/j1 HTTP", *STARTED.splitlines(), "p1 close"):
-        stage.step(line)
-    stage.step("p1 expect DELETE /jobs/j1 HTTP")
+        harness.step(line)
+    harness.step("p1 expect DELETE /jobs/j1 HTTP")
     assert decisions.outcomes == []
-    assert stage.peers["p2"].sock is None
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    assert harness.peers["p2"].sock is None
+    harness.run(f"p1 send {answer(204)}\np2 expect in$")
 
 
 @pytest.mark.parametrize(
@@ -152,49 +152,49 @@
     since: str, deleted: bool
 ) -> None:
     # When the list alone was taken for the attempt's end, two copies of a job ran in a benchmark.
-    stage, decisions = fixed_order("p1", "p2")
-    before = stage.dispatcher.loop.now() // MS
+    harness, decisions = fixed_order("p1", "p2")
+    before = harness.dispatcher.loop.now() // MS
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 20"):
-        stage.step(line)
+        harness.step(line)
     started = {
-        "later": stage.dispatcher.loop.now() // MS,
+        "later": harness.dispatcher.loop.now() // MS,
         "earlier": before,
         "in the future": before + 60_000,
     }
-    stage.pass_time(0.01)
-    entry = {**stage.entry("p1"), "since_ms": started[since]}
-    news = stage.news(entry).replace("\r", "\\r").replace("\n", "\\n")
-    stage.step("d expect GET")
-    stage.step(f"d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n{news}")
+    harness.run_for(0.01)
+    entry = {**harness.entry("p1"), "since_ms": started[since]}
+    news = harness.list_chunk(entry).replace("\r", "\\r").replace("\n", "\\n")
+    harness.step("d expect GET")
+    harness.step(f"d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n{news}")
     if deleted:
-        stage.step("p1 expect DELETE /jobs/j1 HTTP")
+        harness.step("p1 expect DELETE /jobs/j1 HTTP")
         assert decisions.outcomes == []
-        assert stage.peers["p2"].sock is None
-        stage.play(f"p1 send {answer(404)}\np2 expect in$")
+        assert harness.peers["p2"].sock is None
+        harness.run(f"p1 send {answer(404)}\np2 expect in$")
     else:
-        stage.step("c1 silent 100")
-        assert not stage.peers["p1"].seen
-        stage.close()
+        harness.step("c1 silent 100")
+        assert not harness.peers["p1"].received
+        harness.close()
     assert decisions.outcomes == ([api.Outcome.CANCELLED] if deleted else [])
 
 
 def test_cancelling_an_attempt_of_another_process_is_confirmed_only_by_an_answer() -> None:
-    stage, _ = fixed_order("p1")
+    harness, _ = fixed_order("p1")
     confirmed: list[bool] = []
-    until = stage.dispatcher.loop.now() + 400 * MS
-    stage.step("p1 refuse")
-    stage.dispatcher.invoker.call_off("j1", "p1", until, confirmed.append)
-    stage.dispatcher.invoker.call_off("j2", "unknown worker", until, confirmed.append)
-    stage.pass_time(0.2)
+    until = harness.dispatcher.loop.now() + 400 * MS
+    harness.step("p1 refuse")
+    harness.dispatcher.invoker.call_off("j1", "p1", until, confirmed.append)
+    harness.dispatcher.invoker.call_off("j2", "unknown worker", until, confirmed.append)
+    harness.run_for(0.2)
     assert confirmed == []
-    stage.until("the time is over", lambda: confirmed == [False, False])
-    stage.step("p1 listen")
-    stage.dispatcher.invoker.call_off("j3", "p1", until + 9 * SECOND, confirmed.append)
-    stage.step("p1 expect DELETE /jobs/j3 HTTP")
+    harness.run_until("the time is over", lambda: confirmed == [False, False])
+    harness.step("p1 listen")
+    harness.dispatcher.invoker.call_off("j3", "p1", until + 9 * SECOND, confirmed.append)
+    harness.step("p1 expect DELETE /jobs/j3 HTTP")
     assert len(confirmed) == 2
-    stage.step(f"p1 send {answer(204)}")
-    stage.until("confirmed", lambda: confirmed == [False, False, True])
-    stage.close()
+    harness.step(f"p1 send {answer(204)}")
+    harness.run_until("confirmed", lambda: confirmed == [False, False, True])
+    harness.close()
 
 
 # The table of proofs
@@ -411,16 +411,16 @@
         self.on_close: Any = None
         self.closed = False
         self.has_unread = False
-        self.started = False
+        self.message_started = False
 
     def request_bytes(self, method: str, target: str, headers: Any, body: bytes = b"") -> bytes:
         self.method = method
         return method.encode()
 
-    def write(self, data: bytes, until: int, before_first: Any = None) -> Coroutine[None]:
+    def write(self, data: bytes, until: int, before_first_byte: Any = None) -> Coroutine[None]:
         yield from wait(self.world.loop.now() + self.world.random.randrange(20) * MS)
-        if before_first is not None:
-            before_first()
+        if before_first_byte is not None:
+            before_first_byte()
         if self.worker.mode(self.world.loop.now()) == "resets" and self.world.random.random() < 0.5:
             raise ConnectionEndedError(Ending.RESET)
         if self.method == "POST":
@@ -466,7 +466,7 @@
     def read_message(self, until: int) -> Coroutine[Message]:
         return (yield from self.read_head(until))
 
-    def is_silent(self) -> bool:
+    def is_idle(self) -> bool:
         return not self.closed
 
     def next_cycle(self) -> bool:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -7,7 +7,7 @@
 from ironbarrow.daemon.dispatcher import _descriptors
 from ironbarrow.lab.live.ports import LoopbackNetwork
 from ironbarrow.runtime.sockets import listen
-from tests.scenario import Stage, job
+from tests.scenario import Harness, job
 
 READY = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
 UNLIMITED = resource.RLIM_INFINITY
@@ -46,8 +46,8 @@
 ) -> None:
     # A task that waits for a descriptor which is never freed would wait for ever.
     network = LoopbackNetwork.reserve(1)  # reserves the discovery port while its listener is closed
-    stage = Stage(sockets=38, known=False, discovery_host=network.party(0)[0])  # room for three clients
-    discovery = stage.peers["d"]
+    harness = Harness(sockets=38, known=False, discovery_host=network.party(0)[0])  # room for three clients
+    discovery = harness.peers["d"]
     assert discovery.listener is not None
     address = discovery.listener.getsockname()
     discovery.listener.close()
@@ -55,17 +55,17 @@
     try:
         for n in range(1, 9):
             if idle:
-                stage.step(f"c{n} send {idle}")
-            stage.step("wait 1" if idle else f"c{n} silent 1")
-        stage.step("wait 250")
+                harness.step(f"c{n} send {idle}")
+            harness.step("wait 1" if idle else f"c{n} silent 1")
+        harness.step("wait 250")
         discovery.listener = listen(address)
-        news = stage.news(stage.entry("p1"), whole=True).split("\r\n")[1].strip()
-        stage.play(
+        news = harness.list_chunk(harness.entry("p1"), full=True).split("\r\n")[1].strip()
+        harness.run(
             f"""d expect GET /api/targets HTTP
             d send HTTP/1.1 200 X\\r\\nContent-Length: {len(news)}\\r\\n\\r\\n{news}
             c9 send {job("late")}
             p1 expect : late.*in$"""
         )
     finally:
-        stage.close()
+        harness.close()
         network.close()
--- a/tests/test_invoker.py
+++ b/tests/test_invoker.py
@@ -54,17 +54,17 @@
 def test_a_duplicate_answer_is_not_taken_for_the_next_requests(name: str) -> None:
     # A duplicate proof would claim that a booking never ran while it is running.
     first, late = DUPLICATE_ANSWERS[name]
-    stage, _ = fixed_order("p1")
+    harness, _ = fixed_order("p1")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {first if late else first + first}"):
-        stage.step(line)
-    connection = stage.peers["p1"].sock
+        harness.step(line)
+    connection = harness.peers["p1"].sock
     assert connection is not None
-    stage.pass_time(0.01)
-    stage.step(f"c2 send {booking('j2')}")
-    stage.pass_time(0.01)
+    harness.run_for(0.01)
+    harness.step(f"c2 send {booking('j2')}")
+    harness.run_for(0.01)
     if late:
         connection.sendall(first.replace("\\r", "\r").replace("\\n", "\n").encode())
-    stage.play(
+    harness.run(
         f"""p1 expect X-Request-ID: j2.*in$
         c2 silent 30
         p1 send {ACCEPTED}
@@ -140,31 +140,31 @@
 ) -> None:
     sent, order, event, outcomes, status = EVENTS_BEFORE_FIRST_BYTE[name]
     gate = Gate(monkeypatch, moment)
-    stage, decisions = fixed_order(*order, settings=SHORT)
+    harness, decisions = fixed_order(*order, settings=SHORT)
     if event == "time":
         decisions.timeout = 150 * MS
         event = "c1 expect 503"
-    stage.step("d expect GET")
-    stage.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n\\n\\r\\n")
+    harness.step("d expect GET")
+    harness.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n\\n\\r\\n")
     if order == ("p1",):
         gate.open = False
-    stage.step(f"c1 send {sent}")
+    harness.step(f"c1 send {sent}")
     if order != ("p1",):
-        stage.step("p2 expect in$")
+        harness.step("p2 expect in$")
         gate.open = False
-        stage.step(f"p2 send {answer(500)}")
-    stage.until("held", lambda: gate.held)
-    news = stage.news(stage.entry("p1", "draining")).replace("\r", "\\r").replace("\n", "\\n")
-    stage.step(event.replace("$drained", news))
-    stage.pass_time(0.05)
+        harness.step(f"p2 send {answer(500)}")
+    harness.run_until("held", lambda: gate.held)
+    news = harness.list_chunk(harness.entry("p1", "draining")).replace("\r", "\\r").replace("\n", "\\n")
+    harness.step(event.replace("$drained", news))
+    harness.run_for(0.05)
     gate.open = True
-    stage.pass_time(0.1)
+    harness.run_for(0.1)
     assert decisions.outcomes == outcomes
-    assert stage.peers["p1"].seen == b""
-    assert not stage.dispatcher.host.jobs_in_memory
+    assert harness.peers["p1"].received == b""
+    assert not harness.dispatcher.host.jobs_in_memory
     if status and "expect" not in event:
-        stage.step(f"c1 expect ^HTTP/1.1 {status}")
-    stage.close()
+        harness.step(f"c1 expect ^HTTP/1.1 {status}")
+    harness.close()
 
 
 def test_the_decision_module_answers_even_if_the_loop_is_late(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -172,11 +172,11 @@
     # 500.
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, _ = fixed_order("p1")
-    stage.step(f"c1 send {booking(ms=200)}")
-    stage.until("held", lambda: gate.held)
+    harness, _ = fixed_order("p1")
+    harness.step(f"c1 send {booking(ms=200)}")
+    harness.run_until("held", lambda: gate.held)
     time.sleep(0.3)  # the loop is blocked
-    stage.play("c1 expect ^HTTP/1.1 503")
+    harness.run("c1 expect ^HTTP/1.1 503")
 
 
 @pytest.mark.parametrize(("effect", "outcome"), [("book", "CONNECT_FAILED"), ("map", "CANCELLED")])
@@ -186,16 +186,16 @@
     # A safe job may be sent elsewhere anyway, so its worker need not be ejected.
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, decisions = fixed_order("p1")
-    stage.step(f"c1 send {job(path=effect)}")
-    stage.until("held", lambda: gate.held)
-    host = stage.dispatcher.host
+    harness, decisions = fixed_order("p1")
+    harness.step(f"c1 send {job(path=effect)}")
+    harness.run_until("held", lambda: gate.held)
+    host = harness.dispatcher.host
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
     gate.open = True
-    stage.pass_time(0.05)
+    harness.run_for(0.05)
     assert [found.name for found in decisions.outcomes] == [outcome]
-    assert stage.peers["p1"].seen == b""
-    stage.close()
+    assert harness.peers["p1"].received == b""
+    harness.close()
 
 
 def test_a_wake_up_meant_for_another_socket_does_not_establish_a_connection() -> None:
@@ -233,7 +233,7 @@
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     sent, event, outcomes, status = EVENTS_DURING_WRITE[name]
-    stage, decisions = fixed_order("p1")
+    harness, decisions = fixed_order("p1")
     decisions.cancels = name == "the client leaves"
     if event == "time":
         decisions.timeout, event = 60 * MS, "wait 90"
@@ -250,22 +250,22 @@
         return real(sock, data, flags)
 
     monkeypatch.setattr(socket.socket, "send", send)
-    stage.step("d expect GET")
-    stage.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n\\n\\r\\n")
-    stage.step(f"c1 send {sent}")
-    stage.step("p1 expect POST")
-    news = stage.news(stage.entry("p1", "draining")).replace("\r", "\\r").replace("\n", "\\n")
-    stage.step(event.replace("$drained", news))
-    stage.pass_time(0.05)
+    harness.step("d expect GET")
+    harness.step("d send HTTP/1.1 200 X\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n\\n\\r\\n")
+    harness.step(f"c1 send {sent}")
+    harness.step("p1 expect POST")
+    news = harness.list_chunk(harness.entry("p1", "draining")).replace("\r", "\\r").replace("\n", "\\n")
+    harness.step(event.replace("$drained", news))
+    harness.run_for(0.05)
     writable[0] = True
     if status == "200":
         for line in ("p1 expect in$", f"p1 send {ACCEPTED}", f"c9 send {call_back('done', result='out')}"):
-            stage.step(line)
+            harness.step(line)
     if status:
-        stage.step(f"c1 expect ^HTTP/1.1 {status}")
+        harness.step(f"c1 expect ^HTTP/1.1 {status}")
     assert decisions.outcomes == outcomes
-    assert not stage.peers["p1"].seen.endswith(b"in")
-    stage.close()
+    assert not harness.peers["p1"].received.endswith(b"in")
+    harness.close()
 
 
 # Answers
@@ -309,17 +309,17 @@
 ) -> None:
     sent, closes, outcome, kept = ANSWERS[name]
     monkeypatch.setattr(invoker, "_BODY_TIMEOUT", 50 * MS)
-    stage, decisions = fixed_order("p1", "p2")
+    harness, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {sent}"):
-        stage.step(line)
+        harness.step(line)
     if closes:
-        stage.step("p1 close")
-    stage.step("p2 expect in$")
+        harness.step("p1 close")
+    harness.step("p2 expect in$")
     assert decisions.outcomes == [outcome]
     if not closes:
-        stage.pass_time(0.004)
-        assert stage.peers["p1"].over is not kept
-    stage.play(f"p2 send {ACCEPTED}\nc9 send {call_back('done', source='p2', result='out')}\nc1 expect out$")
+        harness.run_for(0.004)
+        assert harness.peers["p1"].ended is not kept
+    harness.run(f"p2 send {ACCEPTED}\nc9 send {call_back('done', source='p2', result='out')}\nc1 expect out$")
 
 
 # The worker has accepted the job; sent to another worker, it would run twice.
@@ -335,16 +335,16 @@
 def test_a_202_counts_whatever_happens_to_its_body(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     sent, closes = INCOMPLETE_ACCEPTANCES[name]
     monkeypatch.setattr(invoker, "_BODY_TIMEOUT", 50 * MS)
-    stage, decisions = fixed_order("p1", "p2")
+    harness, decisions = fixed_order("p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {sent}"):
-        stage.step(line)
-    stage.step("p1 close" if closes else "p1 ended")
-    stage.pass_time(0.05)
+        harness.step(line)
+    harness.step("p1 close" if closes else "p1 ended")
+    harness.run_for(0.05)
     assert decisions.outcomes == []
-    assert stage.peers["p2"].sock is None
-    stage.play(f"c9 send {call_back('done', result='out')}\nc1 expect HTTP/1.1 200 .*out$\nwait 10")
+    assert harness.peers["p2"].sock is None
+    harness.run(f"c9 send {call_back('done', result='out')}\nc1 expect HTTP/1.1 200 .*out$\nwait 10")
     assert decisions.outcomes == [Outcome.OK]
-    assert not stage.dispatcher.host.jobs_in_memory
+    assert not harness.dispatcher.host.jobs_in_memory
 
 
 @pytest.mark.parametrize("sent", ["", "HTTP/1.1 20", HEAD.format(202, "")], ids=["none", "half", "no end"])
@@ -352,12 +352,12 @@
     sent: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(invoker, "_BODY_TIMEOUT", 50 * MS)
-    stage, _ = fixed_order("p1")
+    harness, _ = fixed_order("p1")
     for line in (f"c1 send {booking()}", "p1 expect in$", f"c9 send {call_back('done', result='out')}"):
-        stage.step(line)
+        harness.step(line)
     if sent:
-        stage.step(f"p1 send {sent}")
-    stage.play("c1 expect out$\np1 ended")
+        harness.step(f"p1 send {sent}")
+    harness.run("c1 expect out$\np1 ended")
 
 
 # Call-backs in unusual orders: the steps after p1 has received the request, the outcomes, the client's
@@ -427,24 +427,24 @@
 @pytest.mark.parametrize("name", CALL_BACKS)
 def test_call_backs_in_any_order_lead_to_one_answer(name: str) -> None:
     steps, outcomes, status = CALL_BACKS[name]
-    stage, decisions = fixed_order("p1", "p2")
-    host = stage.dispatcher.host
+    harness, decisions = fixed_order("p1", "p2")
+    host = harness.dispatcher.host
     at_deadline = "deadline" in name
     if at_deadline:
         decisions.order = ("p1",)
-    stage.step(f"c1 send {job(ms=400 if at_deadline else 9000)}")
-    stage.step("p1 expect in$")
+    harness.step(f"c1 send {job(ms=400 if at_deadline else 9000)}")
+    harness.step("p1 expect in$")
     for line in steps.splitlines():
         if line == "cancel":
             host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
         else:
-            stage.step(line)
+            harness.step(line)
     if status:
-        stage.step(f"c1 expect ^HTTP/1.1 {status}")
-    stage.step("c1 silent 20")
+        harness.step(f"c1 expect ^HTTP/1.1 {status}")
+    harness.step("c1 silent 20")
     assert decisions.outcomes == outcomes
-    stage.until("forgotten", lambda: not host.jobs_in_memory)
-    stage.close()
+    harness.run_until("forgotten", lambda: not host.jobs_in_memory)
+    harness.close()
 
 
 # DELETE
@@ -455,24 +455,24 @@
 ) -> None:
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, _ = fixed_order("p1")
-    back, done = stage.dispatcher.invoker, []
-    until = stage.dispatcher.loop.now() + 150 * MS
+    harness, _ = fixed_order("p1")
+    back, done = harness.dispatcher.invoker, []
+    until = harness.dispatcher.loop.now() + 150 * MS
     for n in range(200):
         back.call_off(f"j{n}", "p1", until, done.append)
-    stage.pass_time(0.05)
+    harness.run_for(0.05)
     assert 0 < gate.waiting <= 32
     gate.open = True
-    stage.until("all DELETEs sent or given up", lambda: len(done) == 200)
+    harness.run_until("all DELETEs sent or given up", lambda: len(done) == 200)
     assert not any(done)  # none is confirmed
     assert not back._delete_sender.in_flight
-    stage.close()
+    harness.close()
 
 
 def test_an_idle_connection_is_closed_when_no_descriptor_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage, _ = fixed_order("p1")
+    harness, _ = fixed_order("p1")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", DONE, "c1 expect out$"):
-        stage.step(line)
+        harness.step(line)
     real = sockets.stream_socket
     fails = iter((True,))
 
@@ -482,57 +482,57 @@
         return real(address)
 
     monkeypatch.setattr(sockets, "stream_socket", stream_socket)
-    stage.dispatcher.host._dispatcher.order = ("p2",)  # type: ignore[attr-defined]
-    stage.play(f"c1 send {job('j2')}\np2 expect X-Request-ID: j2\np1 ended")
+    harness.dispatcher.host._dispatcher.order = ("p2",)  # type: ignore[attr-defined]
+    harness.run(f"c1 send {job('j2')}\np2 expect X-Request-ID: j2\np1 ended")
 
 
 def test_no_further_attempt_is_sent_before_the_worker_has_answered_a_delete() -> None:
     # p1 has accepted the job and closes the connection of each DELETE. Until it answers one, p2 gets nothing.
-    stage, decisions = fixed_order("p1", "p2")
-    host = stage.dispatcher.host
+    harness, decisions = fixed_order("p1", "p2")
+    host = harness.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 10"):
-        stage.step(line)
+        harness.step(line)
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
     for _ in range(5):
-        stage.step("p1 expect DELETE /jobs/j1 HTTP")
-        assert stage.peers["p2"].sock is None
-        stage.step("p1 close")
-    stage.step("p1 expect DELETE /jobs/j1 HTTP")
+        harness.step("p1 expect DELETE /jobs/j1 HTTP")
+        assert harness.peers["p2"].sock is None
+        harness.step("p1 close")
+    harness.step("p1 expect DELETE /jobs/j1 HTTP")
     assert decisions.outcomes == []
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    harness.run(f"p1 send {answer(204)}\np2 expect in$")
 
 
 def test_a_delete_on_an_idle_connection_counts_only_if_it_is_answered() -> None:
     # A worker that is cut off behind a connection that looks open never receives it, and an attempt at p2
     # would be a second copy.
-    stage, _ = fixed_order("p1", "p2")
-    host = stage.dispatcher.host
+    harness, _ = fixed_order("p1", "p2")
+    host = harness.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {ACCEPTED}", "wait 10"):
-        stage.step(line)
-    old = stage.peers["p1"].sock
+        harness.step(line)
+    old = harness.peers["p1"].sock
     assert old is not None
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
-    stage.step("p1 expect DELETE /jobs/j1 HTTP")
-    assert stage.peers["p1"].sock is old
-    stage.peers["p1"].older.append(old)  # not read or written any more
-    stage.peers["p1"].sock = None
-    stage.step("p1 expect DELETE /jobs/j1 HTTP")
-    assert stage.peers["p2"].sock is None
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+    harness.step("p1 expect DELETE /jobs/j1 HTTP")
+    assert harness.peers["p1"].sock is old
+    harness.peers["p1"].earlier.append(old)  # not read or written any more
+    harness.peers["p1"].sock = None
+    harness.step("p1 expect DELETE /jobs/j1 HTTP")
+    assert harness.peers["p2"].sock is None
+    harness.run(f"p1 send {answer(204)}\np2 expect in$")
 
 
 def test_a_delete_whose_connection_is_closed_before_the_202_is_sent_again() -> None:
     # The 202 may have been in flight when the attempt's connection was closed, and the worker runs the job.
-    stage, _ = fixed_order("p1", "p2")
-    host = stage.dispatcher.host
+    harness, _ = fixed_order("p1", "p2")
+    host = harness.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$"):
-        stage.step(line)
+        harness.step(line)
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
     for _ in range(2):
-        stage.step("p1 close")
-        stage.step("p1 expect DELETE /jobs/j1 HTTP")
-        assert stage.peers["p2"].sock is None
-    stage.play(f"p1 send {answer(204)}\np2 expect in$")
+        harness.step("p1 close")
+        harness.step("p1 expect DELETE /jobs/j1 HTTP")
+        assert harness.peers["p2"].sock is None
+    harness.run(f"p1 send {answer(204)}\np2 expect in$")
 
 
 @pytest.mark.parametrize(("took", "waits"), [(10, 0.1), (40, 0.24)])
@@ -544,23 +544,23 @@
     real, connected_at = invoker.connect, []
 
     def connect(address: Address, until: int) -> Coroutine[Connection]:
-        yield Wait(-1, 0, stage.dispatcher.loop.now() + took * MS)
+        yield Wait(-1, 0, harness.dispatcher.loop.now() + took * MS)
         connection = yield from real(address, until)
         connected_at.append(time.monotonic())
         return connection
 
     monkeypatch.setattr(invoker, "connect", connect)
-    stage, _ = fixed_order("p1", "p2")
-    host = stage.dispatcher.host
+    harness, _ = fixed_order("p1", "p2")
+    host = harness.dispatcher.host
     for line in (f"c1 send {job()}", "p1 expect in$"):
-        stage.step(line)
+        harness.step(line)
     host._cancel(api.CancelAttempt(next(iter(host._jobs)), 0))
     for line in ("p1 ended", "p1 close", "p1 expect DELETE /jobs/j1 HTTP"):
-        stage.step(line)
-    stage.step(
+        harness.step(line)
+    harness.step(
         "p2 expect in$"
     )  # the close has given the attempt up, so p1 need not answer, but gets the time to
-    stage.close()
+    harness.close()
     _, delete, to_p2 = connected_at
     assert to_p2 - delete >= waits + took / 1000
 
@@ -569,21 +569,21 @@
     # Otherwise none would be left for clients, call-backs and the discovery service.
     gate = Gate(monkeypatch, "connecting")
     gate.open = False
-    stage, decisions = fixed_order("p1", sockets=256)  # 140 connections of clients, 100 to workers
+    harness, decisions = fixed_order("p1", sockets=256)  # 140 connections of clients, 100 to workers
     for n in range(110):
-        stage.step(f"c{n} send {job(f'j{n}')}")
-    stage.until(
+        harness.step(f"c{n} send {job(f'j{n}')}")
+    harness.run_until(
         "the others ended without having been sent", lambda: len(decisions.outcomes) == 110 - gate.waiting
     )
     assert 0 < gate.waiting <= 100 and set(decisions.outcomes) == {Outcome.FULL}
     gate.open = True
-    stage.play("p1 expect in$")
+    harness.run("p1 expect in$")
 
 
 def test_without_cancellation_an_attempt_has_until_the_deadline() -> None:
-    stage, decisions = fixed_order("p1", "p2", settings=SHORT)
+    harness, decisions = fixed_order("p1", "p2", settings=SHORT)
     decisions.timeout = 100 * MS
-    stage.play(
+    harness.run(
         f"""c1 send {job(ms=600)}
         p1 expect in$
         p1 send {ACCEPTED}
@@ -591,7 +591,7 @@
         c1 expect HTTP/1.1 500
         p1 silent 200"""
     )
-    assert decisions.outcomes == [Outcome.TIMEOUT, Outcome.MOOT] and stage.peers["p2"].sock is None
+    assert decisions.outcomes == [Outcome.TIMEOUT, Outcome.MOOT] and harness.peers["p2"].sock is None
 
 
 # Sequences of endings, with the real decision module
@@ -728,12 +728,12 @@
 
 def test_an_attempt_beside_a_live_one_is_not_sent() -> None:
     # It would be a second copy, even if the decision module orders it.
-    stage, decisions = fixed_order("p1")
+    harness, decisions = fixed_order("p1")
     for line in (f"c1 send {job()}", "p1 expect in$"):
-        stage.step(line)
-    host = stage.dispatcher.host
+        harness.step(line)
+    host = harness.dispatcher.host
     host._send(api.Send(next(iter(host._jobs)), "p2"))
-    stage.pass_time(0.05)
+    harness.run_for(0.05)
     assert decisions.outcomes[0] is Outcome.MOOT
-    assert stage.peers["p2"].sock is None
-    stage.close()
+    assert harness.peers["p2"].sock is None
+    harness.close()
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -12,48 +12,48 @@
 from ironbarrow.runtime.loop import Coroutine
 from tests import test_attempt
 from tests.decisions import fixed_order
-from tests.scenario import Stage, answer, call_back, job
+from tests.scenario import Harness, answer, call_back, job
 
 
-def violations(stage: Stage) -> dict[str, int]:
-    counts = stage.dispatcher.host.event_log.counts
+def violations(harness: Harness) -> dict[str, int]:
+    counts = harness.dispatcher.host.event_log.counts
     return {kind: number for (event, kind), number in counts.items() if event == "decision not carried out"}
 
 
 def test_a_booking_that_may_have_run_is_not_sent_again() -> None:
     """Guards against a decision module that repeats an effect (bcef66)."""
-    stage, _ = fixed_order("p1", "p2")
+    harness, _ = fixed_order("p1", "p2")
     for line in (f"c1 send {job(path='book/x')}", "p1 expect in$", f"p1 send {answer(500)}", "c1 expect 500"):
-        stage.step(line)
-    assert stage.peers["p2"].sock is None
-    assert violations(stage) == {Rule.NO_REPEATED_EFFECT.value: 1}
-    stage.close()
+        harness.step(line)
+    assert harness.peers["p2"].sock is None
+    assert violations(harness) == {Rule.NO_REPEATED_EFFECT.value: 1}
+    harness.close()
 
 
 def test_a_booking_that_may_have_run_is_not_refused() -> None:
     """Guards against a decision module that refuses a job which may have run: the client would repeat it
     (bcef66)."""
-    stage, decisions = fixed_order("p1")
+    harness, decisions = fixed_order("p1")
     real = decisions.handle
     decisions.handle = lambda now, events: [  # type: ignore[method-assign]
         api.Refuse(action.job) if isinstance(action, api.Fail) else action for action in real(now, events)
     ]
     for line in (f"c1 send {job(path='book/x')}", "p1 expect in$", f"p1 send {answer(500)}", "c1 expect 500"):
-        stage.step(line)
-    assert violations(stage) == {Rule.LAWFUL_REFUSAL.value: 1}
-    stage.close()
+        harness.step(line)
+    assert violations(harness) == {Rule.LAWFUL_REFUSAL.value: 1}
+    harness.close()
 
 
 def test_no_job_goes_to_one_worker_twice() -> None:
     """Guards against a duplicate call-back that ends the next attempt at the same worker (bcef66)."""
-    stage, _ = fixed_order("p1", "p1", "p2")
+    harness, _ = fixed_order("p1", "p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {answer(202)}"):
-        stage.step(line)
+        harness.step(line)
     for line in (f"c9 send {call_back('returned')}", "c9 expect 204", "p2 expect in$"):
-        stage.step(line)
-    assert not stage.peers["p1"].seen
-    assert violations(stage) == {Rule.ONE_ATTEMPT_PER_WORKER.value: 1}
-    stage.close()
+        harness.step(line)
+    assert not harness.peers["p1"].received
+    assert violations(harness) == {Rule.ONE_ATTEMPT_PER_WORKER.value: 1}
+    harness.close()
 
 
 class RandomDecisions:
