--- a/ironbarrow/fleet/members/failure_detector.py
+++ b/ironbarrow/fleet/members/failure_detector.py
@@ -9,13 +9,13 @@
 from ironbarrow.fleet.api import NEVER, Health, Incarnation
 from ironbarrow.fleet.members.context import MemberContext
 from ironbarrow.fleet.members.dissemination import Dissemination
-from ironbarrow.fleet.members.helpers import choose_helpers
+from ironbarrow.fleet.members.known_state import seen_state
 from ironbarrow.fleet.members.messages import Ack, Ask, Ping
 from ironbarrow.fleet.members.probe_schedule import ProbeSchedule
-from ironbarrow.fleet.members.relays import Relays
+from ironbarrow.fleet.members.relay_selection import choose_helpers
+from ironbarrow.fleet.members.relayed_probes import Relays
 from ironbarrow.fleet.members.suspicion import Suspicions
 from ironbarrow.fleet.members.table import Entry
-from ironbarrow.fleet.members.views import seen_state
 
 
 @dataclass(slots=True, eq=False)
--- a/ironbarrow/fleet/members/local_member.py
+++ b/ironbarrow/fleet/members/local_member.py
@@ -6,8 +6,8 @@
 from ironbarrow.fleet.invariants import check
 from ironbarrow.fleet.members.context import MemberContext
 from ironbarrow.fleet.members.dissemination import Dissemination
+from ironbarrow.fleet.members.events import Replaced
 from ironbarrow.fleet.members.messages import VERSION_MOST
-from ironbarrow.fleet.members.news import Replaced
 
 ACCUSATIONS = (Health.SUSPECT, Health.DEAD)
 
--- a/ironbarrow/fleet/members/machine.py
+++ b/ironbarrow/fleet/members/machine.py
@@ -17,6 +17,7 @@
 from ironbarrow.fleet.members.context import MemberContext
 from ironbarrow.fleet.members.dissemination import Dissemination
 from ironbarrow.fleet.members.failure_detector import FailureDetector
+from ironbarrow.fleet.members.known_state import seen_state
 from ironbarrow.fleet.members.local_health import LocalHealth
 from ironbarrow.fleet.members.local_member import LocalMember
 from ironbarrow.fleet.members.merge import RumourMerger
@@ -27,7 +28,6 @@
 from ironbarrow.fleet.members.table import MembershipTable
 from ironbarrow.fleet.members.transitions import Transitions
 from ironbarrow.fleet.members.validation import health_from_rank
-from ironbarrow.fleet.members.views import seen_state
 
 
 class MemberMachine:
--- a/ironbarrow/fleet/members/relays.py
+++ b/ironbarrow/fleet/members/relayed_probes.py
@@ -6,8 +6,8 @@
 from ironbarrow.fleet.api import NEVER, Incarnation
 from ironbarrow.fleet.members.context import MemberContext
 from ironbarrow.fleet.members.dissemination import Dissemination
+from ironbarrow.fleet.members.known_state import SeenState, seen_state
 from ironbarrow.fleet.members.messages import Ack, Ask, Ping, Rumour
-from ironbarrow.fleet.members.views import SeenState, seen_state
 
 MAX_RELAYS = 256  # at a time
 
