--- a/ironbarrow/fleet/starvation/machine.py
+++ b/ironbarrow/fleet/starvation/machine.py
@@ -32,7 +32,7 @@
     rank,
 )
 from ironbarrow.fleet.file import StarvationRules
-from ironbarrow.fleet.starvation.remedy import Mover, Transfer
+from ironbarrow.fleet.starvation.job_moves import Mover, Transfer
 from ironbarrow.fleet.starvation.tables import (
     REST,
     SHARDS,
--- a/tests/test_fleet_starvation.py
+++ b/tests/test_fleet_starvation.py
@@ -17,8 +17,8 @@
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.invariants import INVARIANTS, InvariantError
 from ironbarrow.fleet.starvation import tables, verdict, waits
+from ironbarrow.fleet.starvation.job_moves import MOST, Held, Mover
 from ironbarrow.fleet.starvation.machine import Shares, VerdictRecord
-from ironbarrow.fleet.starvation.remedy import MOST, Held, Mover
 from ironbarrow.fleet.starvation.tables import BUCKETS, Collected, Row, Tally, Waits, Window
 from ironbarrow.fleet.starvation.verdict import Evidence, Look, State, Verdicts
 from ironbarrow.lab.fleet import starved
