--- a/ironbarrow/fleet/members/context.py
+++ b/ironbarrow/fleet/members/context.py
@@ -9,7 +9,7 @@
 from ironbarrow.fleet.members.outbox import Outbox
 from ironbarrow.fleet.members.table import MembershipTable
 
-CREDIBLE_AFTER = 3  # times the longest suspicion
+CREDIBILITY_DELAY_FACTOR = 3  # times the longest suspicion
 
 
 @dataclass(slots=True, eq=False)
@@ -26,6 +26,6 @@
     dropped: Counter[str] = field(default_factory=Counter)  # received and not used, by cause
 
     @property
-    def credible_after(self) -> int:
+    def credibility_delay(self) -> int:
         """How long a member must have been in sight until its suspicions count, ns."""
-        return CREDIBLE_AFTER * self.rules.suspect_for
+        return CREDIBILITY_DELAY_FACTOR * self.rules.suspect_for
--- a/ironbarrow/fleet/members/dissemination.py
+++ b/ironbarrow/fleet/members/dissemination.py
@@ -8,12 +8,12 @@
 
 from ironbarrow.fleet.api import NEVER, Health
 from ironbarrow.fleet.members.context import MemberContext
-from ironbarrow.fleet.members.messages import RANK, Cards, Rumour
+from ironbarrow.fleet.members.messages import RANK_BY_HEALTH, Rumour, RumourBatch
 from ironbarrow.runtime.clock import MS
 
 MAX_RUMOURS = 10  # in a message
 MAX_RUMOUR_BYTES = 1400  # of rumours in a message, but for the first
-SYNCED_TRANSMISSIONS = 3  # of what a sync brought: one member's view is no news to most
+SYNC_RUMOUR_TRANSMISSIONS = 3  # of what a sync brought: one member's view is no news to most
 GOSSIP_FANOUT = 2  # members that are told in half a period, while there is something to tell
 LEAVE_FANOUT = 8  # members that are told at once that this one leaves
 
@@ -30,12 +30,12 @@
 
     # The queue
 
-    def enqueue(self, name: str, synced: bool = False) -> None:
+    def enqueue(self, name: str, from_sync: bool = False) -> None:
         """Has the present state of a member told from now on. ``synced``: a sync brought it."""
         if not self._transmissions:
             self._gossip_at = max(self._gossip_at, self._context.now)
-        made = max(0, self._transmission_limit() - SYNCED_TRANSMISSIONS) if synced else 0
-        self._transmissions[name] = made
+        transmissions = max(0, self._transmission_limit() - SYNC_RUMOUR_TRANSMISSIONS) if from_sync else 0
+        self._transmissions[name] = transmissions
         self._sizes.pop(name, None)
 
     def discard(self, name: str) -> None:
@@ -57,7 +57,7 @@
         """What this member says of itself."""
         card = self._table.own_card
         health = Health.LEFT if self._context.leaving else Health.ALIVE
-        return Rumour(card.incarnation, card.version, RANK[health], card=card)
+        return Rumour(card.incarnation, card.version, RANK_BY_HEALTH[health], card=card)
 
     def rumour_about(self, name: str) -> Rumour | None:
         """What is passed on of a member; the card of those that are ALIVE alone. None if it is unknown."""
@@ -82,29 +82,31 @@
         own_name = self._table.own_name
         accuser = own_name if own_name in entry.accusers else min(entry.accusers, default="")
         card = entry.card if with_card or entry.health is Health.ALIVE else None
-        return Rumour(entry.incarnation, entry.advertised_version, RANK[entry.health], accuser, card=card)
+        return Rumour(
+            entry.incarnation, entry.advertised_version, RANK_BY_HEALTH[entry.health], accuser, card=card
+        )
 
     def select(self, to: str, first: Sequence[str] = ()) -> tuple[Rumour, ...]:
         """The rumours that travel with a message: of the members named, then those told least."""
         limit = self._transmission_limit()
         selected: list[Rumour] = []
-        room = MAX_RUMOUR_BYTES
+        budget = MAX_RUMOUR_BYTES
         for name in self._candidates(to, first):
             rumour = self.rumour_about(name)
             if rumour is None:
                 self.discard(name)
                 continue
             size = self._sizes.get(name) or len(msgspec.msgpack.encode(rumour))
-            if selected and size > room:
+            if selected and size > budget:
                 continue
-            room -= size
+            budget -= size
             selected.append(rumour)
             self._count_transmission(name, size, limit)
         return tuple(selected)
 
     def _candidates(self, to: str, first: Sequence[str]) -> list[str]:
         names = list(first)
-        queued = ((made, name) for name, made in self._transmissions.items() if name != to)
+        queued = ((transmissions, name) for name, transmissions in self._transmissions.items() if name != to)
         for _, name in nsmallest(MAX_RUMOURS, queued):
             if name not in names:
                 names.append(name)
@@ -128,7 +130,7 @@
         for incarnation in self._context.random.sample(reachable, min(count, len(reachable))):
             rumours = self.select(to=incarnation.name)
             if rumours:
-                self._context.outbox.send(incarnation, Cards(rumours))
+                self._context.outbox.send(incarnation, RumourBatch(rumours))
 
     def tick(self, now: int) -> None:
         """Gossips if that is due."""
--- a/ironbarrow/fleet/members/events.py
+++ b/ironbarrow/fleet/members/events.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Replaced(News):
+class IncarnationReplaced(News):
     """Another process goes by this member's name, with a later start.
 
     This incarnation is held dead for good.
--- a/ironbarrow/fleet/members/failure_detector.py
+++ b/ironbarrow/fleet/members/failure_detector.py
@@ -9,11 +9,11 @@
 from ironbarrow.fleet.api import NEVER, Health, Incarnation
 from ironbarrow.fleet.members.context import MemberContext
 from ironbarrow.fleet.members.dissemination import Dissemination
-from ironbarrow.fleet.members.known_state import seen_state
-from ironbarrow.fleet.members.messages import Ack, Ask, Ping
+from ironbarrow.fleet.members.known_state import latest_known_state
+from ironbarrow.fleet.members.messages import Ack, Ping, PingRequest
 from ironbarrow.fleet.members.probe_schedule import ProbeSchedule
-from ironbarrow.fleet.members.relay_selection import choose_helpers
-from ironbarrow.fleet.members.relayed_probes import Relays
+from ironbarrow.fleet.members.relay_selection import select_relays
+from ironbarrow.fleet.members.relayed_probes import RelayedProbes
 from ironbarrow.fleet.members.suspicion import Suspicions
 from ironbarrow.fleet.members.table import Entry
 
@@ -26,13 +26,13 @@
     started_at: int
     indirect_at: int  # when helpers are asked
     fails_at: int
-    helpers: int | None = None  # asked; None: not yet
-    refusals: int = 0  # helpers that could not reach it either
+    relays: int | None = None  # asked; None: not yet
+    nacks: int = 0  # helpers that could not reach it either
 
     @property
     def next_at(self) -> int:
         """When the next step is due."""
-        return self.fails_at if self.helpers is not None else min(self.fails_at, self.indirect_at)
+        return self.fails_at if self.relays is not None else min(self.fails_at, self.indirect_at)
 
 
 class FailureDetector:
@@ -51,43 +51,43 @@
         self._dissemination = dissemination
         self._schedule = schedule
         self._suspicions = suspicions
-        self._numbers = itertools.count(1)
+        self._probe_numbers = itertools.count(1)
         self._probes: dict[int, Probe] = {}
-        self._last_heard_at = now  # anybody
+        self._last_message_at = now  # anybody
         self._next_probe_at = now + context.random.randrange(context.rules.period)
-        self.relays = Relays(context, dissemination, self._numbers)
+        self.relayed_probes = RelayedProbes(context, dissemination, self._probe_numbers)
 
     # Messages
 
-    def heard(self, now: int) -> None:
+    def note_message(self, now: int) -> None:
         """Notes that a message of another member has come."""
-        self._last_heard_at = now
+        self._last_message_at = now
 
     def on_ack(self, now: int, sender: Incarnation, ack: Ack) -> None:
         """Takes in an answer of a target, or the report of a helper; its rumours have been taken in."""
-        self.relays.on_ack(sender, ack)
+        self.relayed_probes.on_ack(sender, ack)
         probe = self._probes.get(ack.number)
-        if probe is None or probe.target != (ack.about or sender):
+        if probe is None or probe.target != (ack.relayed_target or sender):
             return
         if ack.reached:
             del self._probes[ack.number]
             self._context.local_health.improve()
         else:
-            self._on_refusal(now, probe)
+            self._on_nack(now, probe)
 
     def on_connection_lost(self, now: int, name: str) -> None:
         """Probes a member at once, directly and through helpers: a connection to it broke."""
         entry = self._table.get(name)
         if entry is None or entry.health is not Health.ALIVE or self._context.leaving:
             return
-        if now - entry.last_doubted_at >= self._context.rules.period:
-            entry.last_doubted_at = now
+        if now - entry.last_extra_probe_at >= self._context.rules.period:
+            entry.last_extra_probe_at = now
             self._probe(now, entry, indirect_after=0)
 
-    def _on_refusal(self, now: int, probe: Probe) -> None:
-        probe.refusals += 1
-        helpers = probe.helpers or 0
-        if probe.indirect_at <= now and probe.refusals >= helpers > 0:
+    def _on_nack(self, now: int, probe: Probe) -> None:
+        probe.nacks += 1
+        relays = probe.relays or 0
+        if probe.indirect_at <= now and probe.nacks >= relays > 0:
             probe.fails_at = now
 
     # Time
@@ -98,9 +98,9 @@
             if probe.fails_at <= now:
                 del self._probes[number]
                 self._on_failure(now, probe)
-            elif probe.helpers is None and probe.indirect_at <= now:
-                self._ask_helpers(number, probe)
-        self.relays.tick(now)
+            elif probe.relays is None and probe.indirect_at <= now:
+                self._request_relayed_probes(number, probe)
+        self.relayed_probes.tick(now)
 
     def tick_period(self, now: int) -> None:
         """Begins the probe of a new period if that is due."""
@@ -115,7 +115,7 @@
 
     def next_at(self) -> int:
         """When something is due, ns; NEVER if nothing is."""
-        due = min(self._next_probe_at, self.relays.next_at())
+        due = min(self._next_probe_at, self.relayed_probes.next_at())
         for probe in self._probes.values():
             due = min(due, probe.next_at)
         return due
@@ -125,7 +125,7 @@
         for probe in self._probes.values():
             probe.indirect_at += duration
             probe.fails_at += duration
-        self.relays.postpone(duration)
+        self.relayed_probes.postpone(duration)
         self._next_probe_at = max(self._next_probe_at, now)
 
     def cancel_probes(self) -> None:
@@ -138,28 +138,28 @@
         target = entry.incarnation
         if any(probe.target == target for probe in self._probes.values()):
             return
-        number = next(self._numbers)
+        number = next(self._probe_numbers)
         fails_at = now + self._context.local_health.scale(self._context.rules.period)
         probe = Probe(target, now, now + indirect_after, fails_at)
         self._probes[number] = probe
-        seen = seen_state(self._table, target)
+        known_state = latest_known_state(self._table, target)
         rumours = self._dissemination.select(to=target.name)
-        self._context.outbox.send(target, Ping(number, self._table.own_card.version, *seen, rumours))
+        self._context.outbox.send(target, Ping(number, self._table.own_card.version, *known_state, rumours))
         if indirect_after == 0:
-            self._ask_helpers(number, probe)
+            self._request_relayed_probes(number, probe)
 
-    def _ask_helpers(self, number: int, probe: Probe) -> None:
-        helpers = self._choose_helpers(probe.target.name)
-        probe.helpers = len(helpers)
-        seen = seen_state(self._table, probe.target)
-        for helper in helpers:
-            rumours = self._dissemination.select(to=helper.name)
-            self._context.outbox.send(helper, Ask(number, probe.target, *seen, rumours))
+    def _request_relayed_probes(self, number: int, probe: Probe) -> None:
+        relays = self._select_relays(probe.target.name)
+        probe.relays = len(relays)
+        known_state = latest_known_state(self._table, probe.target)
+        for relay in relays:
+            rumours = self._dissemination.select(to=relay.name)
+            self._context.outbox.send(relay, PingRequest(number, probe.target, *known_state, rumours))
 
-    def _choose_helpers(self, target: str) -> list[Incarnation]:
+    def _select_relays(self, target: str) -> list[Incarnation]:
         entry = self._table.get(target)
         target_site = entry.card.site if entry is not None else ""
-        return choose_helpers(
+        return select_relays(
             self._table,
             target,
             (target_site, self._table.own_card.site),
@@ -171,7 +171,7 @@
         entry = self._table.of_incarnation(probe.target)
         if entry is None:
             return
-        if self._last_heard_at < probe.started_at:
+        if self._last_message_at < probe.started_at:
             self._context.local_health.degrade()  # nobody is heard: it may be this member that is cut off
         if entry.reachable:
             self._suspicions.suspect(now, entry, entry.version, accuser=self._table.own_name)
--- a/ironbarrow/fleet/members/known_state.py
+++ b/ironbarrow/fleet/members/known_state.py
@@ -3,25 +3,27 @@
 from typing import NamedTuple
 
 from ironbarrow.fleet.api import Incarnation
-from ironbarrow.fleet.members.messages import RANK
+from ironbarrow.fleet.members.messages import RANK_BY_HEALTH
 from ironbarrow.fleet.members.table import MembershipTable
 
 UNKNOWN_VERSION = -1
 
 
-class SeenState(NamedTuple):
+class KnownState(NamedTuple):
     """The version and health (by rank) that a member holds of another; the greater one is later."""
 
     version: int = UNKNOWN_VERSION
-    health: int = 0
+    health_rank: int = 0
 
 
-UNKNOWN = SeenState()
+UNKNOWN_STATE = KnownState()
 
 
-def seen_state(table: MembershipTable, incarnation: Incarnation, told: SeenState = UNKNOWN) -> SeenState:
+def latest_known_state(
+    table: MembershipTable, incarnation: Incarnation, reported: KnownState = UNKNOWN_STATE
+) -> KnownState:
     """What the table holds of an incarnation, or what was told of it if that is later."""
     entry = table.of_incarnation(incarnation)
     if entry is None:
-        return told
-    return max(SeenState(entry.advertised_version, RANK[entry.health]), told)
+        return reported
+    return max(KnownState(entry.advertised_version, RANK_BY_HEALTH[entry.health]), reported)
--- a/ironbarrow/fleet/members/local_member.py
+++ b/ironbarrow/fleet/members/local_member.py
@@ -6,8 +6,8 @@
 from ironbarrow.fleet.invariants import check
 from ironbarrow.fleet.members.context import MemberContext
 from ironbarrow.fleet.members.dissemination import Dissemination
-from ironbarrow.fleet.members.events import Replaced
-from ironbarrow.fleet.members.messages import VERSION_MOST
+from ironbarrow.fleet.members.events import IncarnationReplaced
+from ironbarrow.fleet.members.messages import VERSION_LIMIT
 
 ACCUSATIONS = (Health.SUSPECT, Health.DEAD)
 
@@ -20,7 +20,7 @@
         self._table = context.table
         self._dissemination = dissemination
         self._replaced_by: Incarnation | None = None
-        self.refuted = 0  # suspicions of this member
+        self.refutations = 0  # suspicions of this member
 
     def set_ledgers(self, ledgers: tuple[LedgerAt, ...]) -> None:
         """Changes the ledgers on the card."""
@@ -40,23 +40,23 @@
             self._on_replacement(incarnation)
             return
         accused = incarnation == own.incarnation and health in ACCUSATIONS and not self._context.leaving
-        if accused and own.version <= version < VERSION_MOST:
+        if accused and own.version <= version < VERSION_LIMIT:
             self._refute(version)
 
     def _on_replacement(self, incarnation: Incarnation) -> None:
         if self._replaced_by is None or self._replaced_by.start < incarnation.start:
             self._replaced_by = incarnation
-            self._context.outbox.publish(Replaced(incarnation))
+            self._context.outbox.publish(IncarnationReplaced(incarnation))
 
     def _refute(self, version: int) -> None:
-        self.refuted += 1
+        self.refutations += 1
         self._context.local_health.degrade()
-        self._renew_card(self._table.own_card, over=version)
+        self._renew_card(self._table.own_card, above=version)
 
-    def _renew_card(self, card: Card, over: int = 0) -> None:
+    def _renew_card(self, card: Card, above: int = 0) -> None:
         """Takes a changed card under a version above the present one and ``over``."""
         present = self._table.own_card.version
-        version = max(present, over) + 1
+        version = max(present, above) + 1
         check("versions rise", version > present, was=present, now=version)
         self._table.replace_own_card(msgspec.structs.replace(card, version=version))
         self._dissemination.enqueue(self._table.own_name)
--- a/ironbarrow/fleet/members/machine.py
+++ b/ironbarrow/fleet/members/machine.py
@@ -17,11 +17,20 @@
 from ironbarrow.fleet.members.context import MemberContext
 from ironbarrow.fleet.members.dissemination import Dissemination
 from ironbarrow.fleet.members.failure_detector import FailureDetector
-from ironbarrow.fleet.members.known_state import seen_state
+from ironbarrow.fleet.members.known_state import latest_known_state
 from ironbarrow.fleet.members.local_health import LocalHealth
 from ironbarrow.fleet.members.local_member import LocalMember
 from ironbarrow.fleet.members.merge import RumourMerger
-from ironbarrow.fleet.members.messages import RANK, Ack, Ask, Cards, Ping, Rumour, Sync, Want
+from ironbarrow.fleet.members.messages import (
+    RANK_BY_HEALTH,
+    Ack,
+    CardRequest,
+    Ping,
+    PingRequest,
+    Rumour,
+    RumourBatch,
+    Sync,
+)
 from ironbarrow.fleet.members.probe_schedule import ProbeSchedule
 from ironbarrow.fleet.members.suspicion import Suspicions
 from ironbarrow.fleet.members.sync import Synchronizer
@@ -34,7 +43,7 @@
     """The membership of one member. ``seeds``: names that it knows from its file, none of them its own;
     ``known``: cards of others that an earlier incarnation of it held alive."""
 
-    handles: tuple[type[Message], ...] = (Ping, Ack, Ask, Sync, Cards, Want)
+    handles: tuple[type[Message], ...] = (Ping, Ack, PingRequest, Sync, RumourBatch, CardRequest)
 
     def __init__(
         self,
@@ -42,7 +51,7 @@
         rules: MemberRules,
         seeds: Iterable[str] = (),
         now: int = 0,
-        known: Iterable[Card] = (),
+        known_cards: Iterable[Card] = (),
     ) -> None:
         self.rules = rules
         self.seeds = tuple(sorted(seeds))
@@ -58,8 +67,10 @@
         self._synchronizer = Synchronizer(
             context, self._dissemination, transitions, self._merger, self.seeds, now
         )
-        for card in known:
-            self._merger.merge(now, Rumour(card.incarnation, card.version, RANK[Health.ALIVE], card=card))
+        for card in known_cards:
+            self._merger.merge(
+                now, Rumour(card.incarnation, card.version, RANK_BY_HEALTH[Health.ALIVE], card=card)
+            )
 
     # Questions
 
@@ -79,9 +90,9 @@
         return self._context.local_health
 
     @property
-    def refuted(self) -> int:
+    def refutations(self) -> int:
         """Suspicions of this member that it has refuted."""
-        return self._local_member.refuted
+        return self._local_member.refutations
 
     def alive(self) -> Sequence[Member]:
         """The members that are ALIVE or SUSPECT and this one, in order of name."""
@@ -99,9 +110,9 @@
         """All others, also the dead and those that left, in order of name."""
         return self._table.known()
 
-    def sites_out_of_sight(self) -> list[str]:
+    def unreachable_sites(self) -> list[str]:
         """Other sites of which no known member is ALIVE and at least one neither that nor LEFT."""
-        return self._table.sites_out_of_sight()
+        return self._table.unreachable_sites()
 
     # Orders
 
@@ -111,7 +122,7 @@
         self._dissemination.gossip()
         return self._context.outbox.drain()
 
-    def fronts(self, front: str) -> list[Action]:
+    def announce_front(self, front: str) -> list[Action]:
         """Tells all others that clients and workers reach this member at another address now."""
         self._local_member.set_front(front)
         self._dissemination.gossip()
@@ -124,9 +135,9 @@
         self._dissemination.announce_leaving()
         return self._context.outbox.drain()
 
-    def doubted(self, now: int, name: str) -> list[Action]:
+    def connection_lost(self, now: int, name: str) -> list[Action]:
         """Probes a member at once: a connection to it broke or was refused."""
-        self._notice_stop(now)
+        self._compensate_for_pause(now)
         self._detector.on_connection_lost(now, name)
         return self._context.outbox.drain()
 
@@ -134,7 +145,7 @@
 
     def received(self, now: int, sender: Incarnation, message: Any) -> list[Action]:
         """Takes in a message of another member."""
-        self._notice_stop(now)
+        self._compensate_for_pause(now)
         if sender.name == self._table.own_name:
             self._local_member.on_rumour(sender, self.me.version, Health.ALIVE)
         elif self._note_sender(now, sender):
@@ -145,11 +156,11 @@
 
     def _note_sender(self, now: int, sender: Incarnation) -> bool:
         """Notes that a member is heard; False if it had left."""
-        self._detector.heard(now)
+        self._detector.note_message(now)
         entry = self._table.of_incarnation(sender)
         if entry is None:
             return True
-        entry.last_heard_at = now
+        entry.last_message_at = now
         return entry.health is not Health.LEFT
 
     def _dispatch(self, now: int, sender: Incarnation, message: Any) -> None:
@@ -157,40 +168,44 @@
             self._on_ping(now, sender, message)
         elif isinstance(message, Ack):
             self._on_ack(now, sender, message)
-        elif isinstance(message, Ask):
-            self._merger.merge_all(now, message.news)
-            self._detector.relays.on_request(now, sender, message)
+        elif isinstance(message, PingRequest):
+            self._merger.merge_all(now, message.piggybacked)
+            self._detector.relayed_probes.on_request(now, sender, message)
         elif isinstance(message, Sync):
             self._synchronizer.on_sync(now, sender, message)
-        elif isinstance(message, Cards):
-            self._synchronizer.on_cards(now, message)
-        elif isinstance(message, Want):
-            self._synchronizer.on_want(now, sender, message)
+        elif isinstance(message, RumourBatch):
+            self._synchronizer.on_rumour_batch(now, message)
+        elif isinstance(message, CardRequest):
+            self._synchronizer.on_card_request(now, sender, message)
 
     def _on_ping(self, now: int, sender: Incarnation, ping: Ping) -> None:
-        self._local_member.on_rumour(self.me.incarnation, ping.seen, health_from_rank(ping.seen_health))
-        self._merger.merge_all(now, ping.news)
-        seen = seen_state(self._table, sender)
-        first = [self.me.incarnation.name] if ping.seen < self.me.version else []
+        self._local_member.on_rumour(
+            self.me.incarnation, ping.known_version, health_from_rank(ping.known_health)
+        )
+        self._merger.merge_all(now, ping.piggybacked)
+        known_state = latest_known_state(self._table, sender)
+        first = [self.me.incarnation.name] if ping.known_version < self.me.version else []
         entry = self._table.get(sender.name)
         if entry is not None and entry.incarnation.start > sender.start:
             first.append(sender.name)  # it is told that it has been replaced
         rumours = self._dissemination.select(to=sender.name, first=first)
-        self._context.outbox.send(sender, Ack(ping.number, self.me.version, *seen, rumours))
+        self._context.outbox.send(sender, Ack(ping.number, self.me.version, *known_state, rumours))
 
     def _on_ack(self, now: int, sender: Incarnation, ack: Ack) -> None:
-        self._merger.merge_all(now, ack.news)
-        if ack.about is None:
-            self._local_member.on_rumour(self.me.incarnation, ack.seen, health_from_rank(ack.seen_health))
-            if ack.seen < self.me.version and not self._context.leaving:
-                self._synchronizer.send_cards(sender, [self._dissemination.own_rumour()], synced=False)
+        self._merger.merge_all(now, ack.piggybacked)
+        if ack.relayed_target is None:
+            self._local_member.on_rumour(
+                self.me.incarnation, ack.known_version, health_from_rank(ack.known_health)
+            )
+            if ack.known_version < self.me.version and not self._context.leaving:
+                self._synchronizer.send_rumours(sender, [self._dissemination.own_rumour()], from_sync=False)
         self._detector.on_ack(now, sender, ack)
 
     # Time
 
     def ticked(self, now: int) -> list[Action]:
         """Does what is due."""
-        self._notice_stop(now)
+        self._compensate_for_pause(now)
         self._detector.tick_probes(now)
         self._suspicions.tick(now)
         self._detector.tick_period(now)
@@ -206,15 +221,15 @@
         """When something but gossip is due: that is put off and taken up without the time being known."""
         return min(self._detector.next_at(), self._suspicions.next_at(), self._synchronizer.next_at())
 
-    def _notice_stop(self, now: int) -> None:
+    def _compensate_for_pause(self, now: int) -> None:
         """Postpones all time-outs if this process was stopped: it finds them past before it has read what
         came meanwhile. It was away, not the others, so that their times begin where it came back."""
-        late = now - self._timers_due_at()
+        overdue = now - self._timers_due_at()
         self._context.now = now
-        if late < self.rules.timeout:
+        if overdue < self.rules.timeout:
             return
         self.local_health.degrade()
-        self._detector.postpone(now, late)
-        self._suspicions.postpone(late)
+        self._detector.postpone(now, overdue)
+        self._suspicions.postpone(overdue)
         self._dissemination.resume(now)
         self._synchronizer.resume(now)
--- a/ironbarrow/fleet/members/messages.py
+++ b/ironbarrow/fleet/members/messages.py
@@ -6,9 +6,9 @@
 
 from ironbarrow.fleet.api import Card, Health, Incarnation, Message
 
-RANKS = (Health.ALIVE, Health.SUSPECT, Health.DEAD, Health.LEFT)  # by their number on the wire
-RANK = {health: number for number, health in enumerate(RANKS)}
-VERSION_MOST = 1 << 53  # danger: a version without bound in a broken message could never be outdone
+HEALTH_BY_RANK = (Health.ALIVE, Health.SUSPECT, Health.DEAD, Health.LEFT)  # by their number on the wire
+RANK_BY_HEALTH = {health: number for number, health in enumerate(HEALTH_BY_RANK)}
+VERSION_LIMIT = 1 << 53  # danger: a version without bound in a broken message could never be outdone
 
 
 class Rumour(Struct, frozen=True, array_like=True):
@@ -16,8 +16,8 @@
 
     incarnation: Incarnation
     version: int
-    health: int
-    by: str = ""  # who could not reach it itself
+    health_rank: int
+    accuser: str = ""  # who could not reach it itself
     age_ms: int = 0  # since its death
     card: Card | None = None
 
@@ -29,9 +29,9 @@
     KIND: ClassVar[int] = 1
     number: int
     version: int
-    seen: int = -1
-    seen_health: int = 0
-    news: tuple[Rumour, ...] = ()
+    known_version: int = -1
+    known_health: int = 0
+    piggybacked: tuple[Rumour, ...] = ()
 
 
 class Ack(Message, frozen=True, array_like=True):
@@ -40,22 +40,22 @@
     KIND: ClassVar[int] = 2
     number: int
     version: int
-    seen: int = -1
-    seen_health: int = 0
-    news: tuple[Rumour, ...] = ()
-    about: Incarnation | None = None
+    known_version: int = -1
+    known_health: int = 0
+    piggybacked: tuple[Rumour, ...] = ()
+    relayed_target: Incarnation | None = None
     reached: bool = True
 
 
-class Ask(Message, frozen=True, array_like=True):
+class PingRequest(Message, frozen=True, array_like=True):
     """Ask that one for me."""
 
     KIND: ClassVar[int] = 3
     number: int
     target: Incarnation
-    seen: int = -1
-    seen_health: int = 0
-    news: tuple[Rumour, ...] = ()
+    known_version: int = -1
+    known_health: int = 0
+    piggybacked: tuple[Rumour, ...] = ()
 
 
 class Sync(Message, frozen=True, array_like=True):
@@ -64,20 +64,20 @@
 
     KIND: ClassVar[int] = 4
     card: Card
-    parts: int = 1
-    part: int = 0
-    known: tuple[Rumour, ...] = ()
+    partitions: int = 1
+    partition: int = 0
+    states: tuple[Rumour, ...] = ()
 
 
-class Cards(Message, frozen=True, array_like=True):
+class RumourBatch(Message, frozen=True, array_like=True):
     """Rumours, most of them with cards. ``synced``: they are one member's view, not news."""
 
     KIND: ClassVar[int] = 5
-    items: tuple[Rumour, ...]
-    synced: bool = False
+    rumours: tuple[Rumour, ...]
+    from_sync: bool = False
 
 
-class Want(Message, frozen=True, array_like=True):
+class CardRequest(Message, frozen=True, array_like=True):
     """The cards of these, please."""
 
     KIND: ClassVar[int] = 6
--- a/ironbarrow/fleet/members/relay_selection.py
+++ b/ironbarrow/fleet/members/relay_selection.py
@@ -7,10 +7,10 @@
 from ironbarrow.fleet.members.table import Entry
 
 
-def choose_helpers(
+def select_relays(
     entries: Iterable[Entry],
     target: str,
-    sites_last: tuple[str, str],
+    last_resort_sites: tuple[str, str],
     count: int,
     random_source: random.Random,
 ) -> list[Incarnation]:
@@ -21,15 +21,15 @@
     by_site = _candidates_by_site(entries, target)
     sites = list(by_site)
     random_source.shuffle(sites)
-    sites.sort(key=lambda site: site in sites_last)
+    sites.sort(key=lambda site: site in last_resort_sites)
     for candidates in by_site.values():
         random_source.shuffle(candidates)
-    helpers: list[Incarnation] = []
-    while len(helpers) < count and any(by_site.values()):
+    relays: list[Incarnation] = []
+    while len(relays) < count and any(by_site.values()):
         for site in sites:
-            if by_site[site] and len(helpers) < count:
-                helpers.append(by_site[site].pop())
-    return helpers
+            if by_site[site] and len(relays) < count:
+                relays.append(by_site[site].pop())
+    return relays
 
 
 def _candidates_by_site(entries: Iterable[Entry], target: str) -> dict[str, list[Incarnation]]:
--- a/ironbarrow/fleet/members/relayed_probes.py
+++ b/ironbarrow/fleet/members/relayed_probes.py
@@ -6,73 +6,83 @@
 from ironbarrow.fleet.api import NEVER, Incarnation
 from ironbarrow.fleet.members.context import MemberContext
 from ironbarrow.fleet.members.dissemination import Dissemination
-from ironbarrow.fleet.members.known_state import SeenState, seen_state
-from ironbarrow.fleet.members.messages import Ack, Ask, Ping, Rumour
+from ironbarrow.fleet.members.known_state import KnownState, latest_known_state
+from ironbarrow.fleet.members.messages import Ack, Ping, PingRequest, Rumour
 
-MAX_RELAYS = 256  # at a time
+MAX_RELAYED_PROBES = 256  # at a time
 
 
 @dataclass(slots=True, eq=False)
-class Relay:
+class RelayedProbe:
     """A probe for another member (``asker``), under the number that it gave."""
 
-    asker: Incarnation
+    requester: Incarnation
     number: int
     target: Incarnation
     expires_at: int
 
 
-class Relays:
+class RelayedProbes:
     """Probes targets on request and reports what came of it."""
 
     def __init__(self, context: MemberContext, dissemination: Dissemination, numbers: Iterator[int]) -> None:
         self._context = context
         self._table = context.table
         self._dissemination = dissemination
-        self._numbers = numbers  # shared with this member's own probes
-        self._relays: dict[int, Relay] = {}
+        self._probe_numbers = numbers  # shared with this member's own probes
+        self._probes: dict[int, RelayedProbe] = {}
 
-    def on_request(self, now: int, asker: Incarnation, request: Ask) -> None:
+    def on_request(self, now: int, requester: Incarnation, request: PingRequest) -> None:
         """Probes the target of a request; its rumours have been taken in."""
         target = request.target
-        if target.name == self._table.own_name or len(self._relays) >= MAX_RELAYS:
+        if target.name == self._table.own_name or len(self._probes) >= MAX_RELAYED_PROBES:
             self._context.dropped["asked"] += 1
             return
-        number = next(self._numbers)
+        number = next(self._probe_numbers)
         expires_at = now + self._context.rules.timeout
-        self._relays[number] = Relay(asker, request.number, target, expires_at)
+        self._probes[number] = RelayedProbe(requester, request.number, target, expires_at)
         rumours = self._dissemination.select(to=target.name)
-        seen = seen_state(self._table, target, SeenState(request.seen, request.seen_health))
-        self._context.outbox.send(target, Ping(number, self._table.own_card.version, *seen, rumours))
+        known_state = latest_known_state(
+            self._table, target, KnownState(request.known_version, request.known_health)
+        )
+        self._context.outbox.send(target, Ping(number, self._table.own_card.version, *known_state, rumours))
 
     def on_ack(self, sender: Incarnation, ack: Ack) -> None:
         """Reports that a target has answered, if this is the answer to such a probe."""
-        relay = self._relays.get(ack.number)
-        if relay is None or relay.target != sender:
+        probe = self._probes.get(ack.number)
+        if probe is None or probe.target != sender:
             return
-        del self._relays[ack.number]
-        rumours = self._dissemination.select(to=relay.asker.name, first=[sender.name])
-        self._report(relay, reached=True, rumours_for_asker=rumours)
+        del self._probes[ack.number]
+        rumours = self._dissemination.select(to=probe.requester.name, first=[sender.name])
+        self._report(probe, reached=True, rumours_for_requester=rumours)
 
     def tick(self, now: int) -> None:
         """Reports the targets that did not answer in time."""
-        for number, relay in list(self._relays.items()):
-            if relay.expires_at <= now:
-                del self._relays[number]
-                self._report(relay, reached=False)
+        for number, probe in list(self._probes.items()):
+            if probe.expires_at <= now:
+                del self._probes[number]
+                self._report(probe, reached=False)
 
     def next_at(self) -> int:
         """When the next target is given up, ns; NEVER if there is none."""
-        if not self._relays:  # the usual case, asked for with every message
+        if not self._probes:  # the usual case, asked for with every message
             return NEVER
-        return min(relay.expires_at for relay in self._relays.values())
+        return min(probe.expires_at for probe in self._probes.values())
 
     def postpone(self, duration: int) -> None:
         """Makes up for a stop of the process."""
-        for relay in self._relays.values():
-            relay.expires_at += duration
+        for probe in self._probes.values():
+            probe.expires_at += duration
 
-    def _report(self, relay: Relay, reached: bool, rumours_for_asker: tuple[Rumour, ...] = ()) -> None:
+    def _report(
+        self, probe: RelayedProbe, reached: bool, rumours_for_requester: tuple[Rumour, ...] = ()
+    ) -> None:
         own_version = self._table.own_card.version
-        report = Ack(relay.number, own_version, news=rumours_for_asker, about=relay.target, reached=reached)
-        self._context.outbox.send(relay.asker, report)
+        report = Ack(
+            probe.number,
+            own_version,
+            piggybacked=rumours_for_requester,
+            relayed_target=probe.target,
+            reached=reached,
+        )
+        self._context.outbox.send(probe.requester, report)
--- a/ironbarrow/fleet/members/suspicion.py
+++ b/ironbarrow/fleet/members/suspicion.py
@@ -13,7 +13,7 @@
 from ironbarrow.fleet.members.transitions import Transitions
 
 MAX_CONFIRMATIONS = 3  # others that can't reach it either; more make the time no shorter
-SHORTEST_PART = 3  # the time of a suspicion shrinks to this part of the longest
+MIN_TIMEOUT_DIVISOR = 3  # the time of a suspicion shrinks to this part of the longest
 
 
 class Suspicions:
@@ -37,14 +37,14 @@
         ``publish`` False: the caller publishes the entry itself."""
         if entry.gone and version <= entry.version:
             return
-        begins = entry.health is not Health.SUSPECT or version > entry.version
+        starts_suspicion = entry.health is not Health.SUSPECT or version > entry.version
         if version > entry.version or entry.health is Health.ALIVE:
             entry.accusers.clear()
-        if not begins and not self._is_new_confirmation(entry, accuser):
+        if not starts_suspicion and not self._is_new_confirmation(entry, accuser):
             return
         if accuser:
             entry.accusers.add(accuser)
-        if begins:
+        if starts_suspicion:
             self._begin(now, entry, version, accuser, publish)
         else:
             self._dissemination.enqueue(entry.incarnation.name)
@@ -52,7 +52,7 @@
 
     def is_confirmed_death_credible(self, now: int, entry: Entry) -> bool:
         """Whether a suspicion has lasted long enough for the word of another that it ended in a death."""
-        return now - entry.since >= self._context.rules.suspect_for // SHORTEST_PART
+        return now - entry.since >= self._context.rules.suspect_for // MIN_TIMEOUT_DIVISOR
 
     def declare_dead(self, now: int, entry: Entry, version: int) -> None:
         """Takes a suspect for DEAD, as another member does."""
@@ -89,7 +89,7 @@
 
     def _duration(self, entry: Entry) -> int:
         longest = self._context.local_health.scale(self._context.rules.suspect_for)
-        shortest = longest / SHORTEST_PART
+        shortest = longest / MIN_TIMEOUT_DIVISOR
         alive = sum(1 for member in self._table.alive() if member.health is Health.ALIVE)
         others = min(MAX_CONFIRMATIONS, alive - 1)
         confirmations = max(0, len(entry.accusers) - 1)
@@ -98,8 +98,8 @@
 
     def _expire(self, now: int, entry: Entry) -> None:
         suspect_for = self._context.rules.suspect_for
-        if now - entry.last_heard_at < suspect_for // 2:
+        if now - entry.last_message_at < suspect_for // 2:
             # one that is heard is alive, even if it can't be reached from here
-            entry.suspected_until = entry.last_heard_at + suspect_for
+            entry.suspected_until = entry.last_message_at + suspect_for
             return
         self._transitions.set_health(now, entry, entry.version, Health.DEAD)
--- a/ironbarrow/fleet/members/sync.py
+++ b/ironbarrow/fleet/members/sync.py
@@ -10,13 +10,13 @@
 from ironbarrow.fleet.members.context import MemberContext
 from ironbarrow.fleet.members.dissemination import Dissemination
 from ironbarrow.fleet.members.merge import RumourMerger, merge_key
-from ironbarrow.fleet.members.messages import RANK, Cards, Rumour, Sync, Want
+from ironbarrow.fleet.members.messages import RANK_BY_HEALTH, CardRequest, Rumour, RumourBatch, Sync
 from ironbarrow.fleet.members.table import Entry
 from ironbarrow.fleet.members.transitions import Transitions
 from ironbarrow.runtime.clock import MS, SECOND
 
 PARTITION_SIZE = 64  # members whose state is compared in a sync, about
-MAX_WANTED = 4 * PARTITION_SIZE  # cards asked for, or sent on request, at once
+MAX_REQUESTED_CARDS = 4 * PARTITION_SIZE  # cards asked for, or sent on request, at once
 MAX_CARDS = 24  # in a message
 MAX_SYNC_INTERVAL = 5 * SECOND
 MIN_SYNC_INTERVAL = SECOND // 2  # as long as a sync brings news
@@ -50,68 +50,68 @@
 
     def on_sync(self, now: int, sender: Incarnation, sync: Sync) -> None:
         """Answers a sync with what the sender lacks, and asks for what this member lacks."""
-        if sync.card.incarnation != sender or not 0 <= sync.part < sync.parts:
+        if sync.card.incarnation != sender or not 0 <= sync.partition < sync.partitions:
             self._context.dropped["malformed"] += 1
             return
-        own_view = Rumour(sender, sync.card.version, RANK[Health.ALIVE], card=sync.card)
+        own_view = Rumour(sender, sync.card.version, RANK_BY_HEALTH[Health.ALIVE], card=sync.card)
         self._merger.merge(now, own_view)
-        wanted = self._merge_states(now, sync.known)
-        self._send_later_states(now, sender, sync)
-        if wanted:
-            self._context.outbox.send(sender, Want(tuple(wanted[:MAX_WANTED])))
+        missing = self._merge_states(now, sync.states)
+        self._send_newer_rumours(now, sender, sync)
+        if missing:
+            self._context.outbox.send(sender, CardRequest(tuple(missing[:MAX_REQUESTED_CARDS])))
 
-    def on_want(self, now: int, sender: Incarnation, want: Want) -> None:
+    def on_card_request(self, now: int, sender: Incarnation, request: CardRequest) -> None:
         """Sends the cards that another member asks for."""
-        self.send_cards(sender, self._full_rumours(now, want.names[:MAX_WANTED]))
+        self.send_rumours(sender, self._full_rumours(now, request.names[:MAX_REQUESTED_CARDS]))
 
-    def on_cards(self, now: int, cards: Cards) -> None:
+    def on_rumour_batch(self, now: int, batch: RumourBatch) -> None:
         """Takes in cards; the next sync is soon if these came of one and brought something new."""
         outbox = self._context.outbox
         before = len(outbox)
-        self._merger.merge_all(now, cards.items, cards.synced)
-        if cards.synced and len(outbox) > before and self._interval > MIN_SYNC_INTERVAL:
+        self._merger.merge_all(now, batch.rumours, batch.from_sync)
+        if batch.from_sync and len(outbox) > before and self._interval > MIN_SYNC_INTERVAL:
             self._interval = MIN_SYNC_INTERVAL
             self._sync_at = min(self._sync_at, now + MIN_SYNC_INTERVAL)
 
-    def send_cards(self, to: Incarnation, rumours: Sequence[Rumour], synced: bool = True) -> None:
+    def send_rumours(self, to: Incarnation, rumours: Sequence[Rumour], from_sync: bool = True) -> None:
         """Sends rumours with their cards, a bounded number in a message."""
         for start in range(0, len(rumours), MAX_CARDS):
-            self._context.outbox.send(to, Cards(tuple(rumours[start : start + MAX_CARDS]), synced))
+            self._context.outbox.send(to, RumourBatch(tuple(rumours[start : start + MAX_CARDS]), from_sync))
 
     def _merge_states(self, now: int, states: Iterable[Rumour]) -> list[str]:
-        """Takes in states without cards; returns the names whose cards are wanted."""
-        wanted: list[str] = []
+        """Takes in states without cards; returns the names whose cards are missing."""
+        missing: list[str] = []
         for rumour in states:
             name = rumour.incarnation.name
             entry = self._table.get(name)
             if name == self._table.own_name or (
                 entry is not None and entry.incarnation == rumour.incarnation
             ):
-                self._merger.merge(now, rumour, synced=True)
-            if self._is_wanted(entry, rumour):
-                wanted.append(name)
-        return wanted
+                self._merger.merge(now, rumour, from_sync=True)
+            if self._is_card_missing(entry, rumour):
+                missing.append(name)
+        return missing
 
-    def _is_wanted(self, entry: Entry | None, rumour: Rumour) -> bool:
+    def _is_card_missing(self, entry: Entry | None, rumour: Rumour) -> bool:
         if entry is not None:
             return (rumour.incarnation.start, rumour.version) > (entry.incarnation.start, entry.card.version)
         is_other = rumour.incarnation.name != self._table.own_name
         return is_other and rumour.age_ms * MS < self._context.rules.keep_dead
 
-    def _send_later_states(self, now: int, sender: Incarnation, sync: Sync) -> None:
-        theirs = {rumour.incarnation.name: rumour for rumour in sync.known}
-        later: list[Rumour] = []
-        for mine in self._full_rumours(now, self._names_of_partition(sync, sender)):
-            known = theirs.get(mine.incarnation.name)
-            if known is None or merge_key(known) < merge_key(mine):
-                later.append(mine)
-        self.send_cards(sender, later)
+    def _send_newer_rumours(self, now: int, sender: Incarnation, sync: Sync) -> None:
+        known_by_sender = {rumour.incarnation.name: rumour for rumour in sync.states}
+        newer: list[Rumour] = []
+        for own_rumour in self._full_rumours(now, self._names_of_partition(sync, sender)):
+            known = known_by_sender.get(own_rumour.incarnation.name)
+            if known is None or merge_key(known) < merge_key(own_rumour):
+                newer.append(own_rumour)
+        self.send_rumours(sender, newer)
 
     def _names_of_partition(self, sync: Sync, sender: Incarnation) -> list[str]:
         """This member and those others that the sync is about, but for the sender."""
         names = [self._table.own_name]
         for name in self._table.entries:
-            if name != sender.name and self._table.hash_of(name) % sync.parts == sync.part:
+            if name != sender.name and self._table.sync_hash_of(name) % sync.partitions == sync.partition:
                 names.append(name)
         return names
 
@@ -154,13 +154,13 @@
         states = tuple(
             self._state(now, entry)
             for name, entry in self._table.entries.items()
-            if entry.hash % partitions == partition or name == to.name
+            if entry.sync_hash % partitions == partition or name == to.name
         )
         self._context.outbox.send(to, Sync(self._table.own_card, partitions, partition, states))
 
     def _state(self, now: int, entry: Entry) -> Rumour:
         age_ms = (now - entry.since) // MS if entry.health is Health.DEAD else 0
-        return Rumour(entry.incarnation, entry.advertised_version, RANK[entry.health], "", age_ms)
+        return Rumour(entry.incarnation, entry.advertised_version, RANK_BY_HEALTH[entry.health], "", age_ms)
 
     def _forget_expired(self, now: int) -> None:
         for name, entry in list(self._table.entries.items()):
@@ -172,7 +172,7 @@
             self._join(now)
             return
         names = [name for name, entry in self._table.entries.items() if entry.health is Health.DEAD]
-        names += [seed for seed in self._seeds if self._is_seed_out_of_sight(seed)]
+        names += [seed for seed in self._seeds if self._is_seed_unknown_or_left(seed)]
         if names:
             self._sync_with(now, Incarnation(self._context.random.choice(names)))
 
@@ -181,7 +181,7 @@
         for name in self._context.random.sample(self._seeds, count):
             self._sync_with(now, Incarnation(name))
 
-    def _is_seed_out_of_sight(self, seed: str) -> bool:
+    def _is_seed_unknown_or_left(self, seed: str) -> bool:
         """Whether a seed is unknown, or LEFT: it may have begun again where it could not be heard."""
         entry = self._table.get(seed)
         return entry is None or entry.health is Health.LEFT
--- a/ironbarrow/fleet/members/table.py
+++ b/ironbarrow/fleet/members/table.py
@@ -20,13 +20,13 @@
     version: int
     health: Health
     since: int  # ns, when that health was first seen
-    hash: int  # the name's place among the partitions of a sync
+    sync_hash: int  # the name's place among the partitions of a sync
     member: Member  # the same, as the other parts of the fleet are told
-    last_heard_at: int = 0  # when a message of its own last came
+    last_message_at: int = 0  # when a message of its own last came
     accusers: set[str] = field(default_factory=set)  # members that could not reach it
     suspected_until: int = NEVER
-    last_doubted_at: int = 0  # when a broken connection last had it probed
-    in_sight_since: int = -NEVER  # when it came in sight, or came back, after others had begun
+    last_extra_probe_at: int = 0  # when a broken connection last had it probed
+    reachable_since: int = -NEVER  # when it came in sight, or came back, after others had begun
 
     @property
     def incarnation(self) -> Incarnation:
@@ -137,7 +137,7 @@
         """All others, also the dead and those that left, in order of name."""
         return [self.entries[name].member for name in sorted(self.entries)]
 
-    def sites_out_of_sight(self) -> list[str]:
+    def unreachable_sites(self) -> list[str]:
         """Other sites of which no known member is ALIVE and at least one neither that nor LEFT."""
         seen: dict[str, set[Health]] = {}
         for entry in self:
@@ -148,10 +148,10 @@
             if site != self.own_card.site and Health.ALIVE not in healths and healths != {Health.LEFT}
         )
 
-    def hash_of(self, name: str) -> int:
+    def sync_hash_of(self, name: str) -> int:
         """The place of a name among the partitions of a sync: the same at every member."""
         entry = self.entries.get(name)
-        return entry.hash if entry is not None else rank("sync", name)
+        return entry.sync_hash if entry is not None else rank("sync", name)
 
     def has_ended(self, incarnation: Incarnation) -> bool:
         """Whether an incarnation is known to be over for good."""
--- a/ironbarrow/fleet/members/transitions.py
+++ b/ironbarrow/fleet/members/transitions.py
@@ -34,21 +34,21 @@
 
         SUSPECT is set by ``suspicion``.
         """
-        self._check_later(entry, version, health)
+        self._check_transition(entry, version, health)
         entry.version = version
         self._end_suspicion(entry, health)
         if health is entry.health:
             self._dissemination.enqueue(entry.incarnation.name)
             return
         if health is Health.ALIVE:
-            entry.in_sight_since = now
+            entry.reachable_since = now
         entry.health, entry.since = health, now
         self.publish(entry)
 
-    def publish(self, entry: Entry, synced: bool = False) -> None:
+    def publish(self, entry: Entry, from_sync: bool = False) -> None:
         """Tells the process and the other members of a changed entry. ``synced``: a sync brought it."""
         self._table.refresh_member(entry)
-        self._dissemination.enqueue(entry.incarnation.name, synced)
+        self._dissemination.enqueue(entry.incarnation.name, from_sync)
         self._context.outbox.publish(MemberChanged(entry.member))
 
     def end(self, now: int, entry: Entry) -> None:
@@ -78,7 +78,7 @@
         self._dissemination.discard(name)
         self._schedule.discard(name)
 
-    def _check_later(self, entry: Entry, version: int, health: Health) -> None:
+    def _check_transition(self, entry: Entry, version: int, health: Health) -> None:
         check("versions rise", version >= entry.version, was=entry.version, now=version)
         check(
             "gone stays gone",
--- a/ironbarrow/fleet/members/validation.py
+++ b/ironbarrow/fleet/members/validation.py
@@ -5,7 +5,7 @@
 """
 
 from ironbarrow.fleet.api import NEVER, Card, Health, Incarnation, LedgerAt
-from ironbarrow.fleet.members.messages import RANKS, VERSION_MOST, Rumour
+from ironbarrow.fleet.members.messages import HEALTH_BY_RANK, VERSION_LIMIT, Rumour
 
 MAX_NAME_LENGTH = 64  # characters, as in the fleet file
 MAX_TEXT_LENGTH = 300  # characters of an address, a site or a ledger's name
@@ -15,16 +15,16 @@
 
 def health_from_rank(number: int) -> Health | None:
     """The health with that number on the wire; None if there is none."""
-    return RANKS[number] if 0 <= number < len(RANKS) else None
+    return HEALTH_BY_RANK[number] if 0 <= number < len(HEALTH_BY_RANK) else None
 
 
 def is_valid_rumour(rumour: Rumour) -> bool:
     """Whether all values of a rumour are in range and its card, if any, is of the same incarnation."""
     return (
-        health_from_rank(rumour.health) is not None
-        and 0 <= rumour.version < VERSION_MOST
-        and 0 <= rumour.age_ms < VERSION_MOST
-        and len(rumour.by) <= MAX_NAME_LENGTH
+        health_from_rank(rumour.health_rank) is not None
+        and 0 <= rumour.version < VERSION_LIMIT
+        and 0 <= rumour.age_ms < VERSION_LIMIT
+        and len(rumour.accuser) <= MAX_NAME_LENGTH
         and _is_valid_incarnation(rumour.incarnation)
         and (rumour.card is None or _is_valid_card(rumour.card, rumour.incarnation))
     )
@@ -37,7 +37,7 @@
 def _is_valid_card(card: Card, incarnation: Incarnation) -> bool:
     return (
         card.incarnation == incarnation
-        and 0 <= card.version < VERSION_MOST
+        and 0 <= card.version < VERSION_LIMIT
         and max(len(card.address), len(card.site), len(card.front)) <= MAX_TEXT_LENGTH
         and len(card.ledgers) <= MAX_LEDGERS
         and all(_is_valid_ledger(ledger) for ledger in card.ledgers)
--- a/ironbarrow/fleet/service.py
+++ b/ironbarrow/fleet/service.py
@@ -10,7 +10,7 @@
 from ironbarrow.fleet.codec import Codec
 from ironbarrow.fleet.file import Fleet
 from ironbarrow.fleet.links import Links
-from ironbarrow.fleet.members import MemberMachine, Replaced
+from ironbarrow.fleet.members import IncarnationReplaced, MemberMachine
 from ironbarrow.fleet.node import Node
 from ironbarrow.runtime import sockets
 from ironbarrow.runtime.clock import Timer
@@ -141,7 +141,7 @@
 
     def _broke(self, name: str) -> None:
         if not self._closed:
-            self.order(self.members.doubted(self._loop.now(), name))
+            self.order(self.members.connection_lost(self._loop.now(), name))
 
     def _told(self, news: News) -> None:
         if isinstance(news, MemberChanged):
@@ -151,7 +151,7 @@
             )
         for listener in self._listeners:
             listener(news)
-        if isinstance(news, Replaced):
+        if isinstance(news, IncarnationReplaced):
             # danger: a clock that was set back makes this incarnation look like an earlier one than its last;
             # two processes of one name would renew against each other for ever
             if self._loop.now() - self._began < _RENEW_WITHIN:
--- a/ironbarrow/lab/capacity/counting.py
+++ b/ironbarrow/lab/capacity/counting.py
@@ -7,7 +7,7 @@
 from ironbarrow.fleet.api import Incarnation, Message
 from ironbarrow.fleet.codec import Codec
 from ironbarrow.fleet.ledgers.messages import Append
-from ironbarrow.fleet.members.messages import Ack, Ask, Cards, Ping, Sync
+from ironbarrow.fleet.members.messages import Ack, Ping, PingRequest, RumourBatch, Sync
 from ironbarrow.fleet.rollout.commands import Observed
 from ironbarrow.fleet.starvation.tables import Elsewhere, Waits
 from ironbarrow.lab.fleet.net import SimulatedNet
@@ -43,12 +43,12 @@
 
 def items_of(message: Message) -> int:
     """How many entries a message carries."""
-    if isinstance(message, Ping | Ack | Ask):
-        return len(message.news)
-    if isinstance(message, Cards):
-        return len(message.items)
+    if isinstance(message, Ping | Ack | PingRequest):
+        return len(message.piggybacked)
+    if isinstance(message, RumourBatch):
+        return len(message.rumours)
     if isinstance(message, Sync):
-        return len(message.known)
+        return len(message.states)
     if isinstance(message, Append):
         return len(message.changes)
     if isinstance(message, Waits):
--- a/tests/test_fleet_frames.py
+++ b/tests/test_fleet_frames.py
@@ -23,10 +23,10 @@
 MESSAGES: list[Message] = [
     members.Ping(1, 2, 3, 1, (SUSPECTED, ALIVE)),
     members.Ack(1, 2, 3, 2, (ALIVE,), OTHER, False),
-    members.Ask(4, OTHER, 5, 1, (SUSPECTED,)),
+    members.PingRequest(4, OTHER, 5, 1, (SUSPECTED,)),
     members.Sync(CARD, 3, 2, (ALIVE, SUSPECTED)),
-    members.Cards((SUSPECTED, ALIVE), True),
-    members.Want(("dispatcher-2", "dispatcher-3")),
+    members.RumourBatch((SUSPECTED, ALIVE), True),
+    members.CardRequest(("dispatcher-2", "dispatcher-3")),
     ledgers.Append("l", 1, 2, 3, CHANGES),
     ledgers.AppendReply("l", 1, 9, ledgers.ReplyStatus.SEALED, BALLOT, MOVED),
     ledgers.Seal("l", 1, BALLOT, OTHER),
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -17,7 +17,7 @@
 from ironbarrow.fleet.members import MemberMachine
 from ironbarrow.fleet.members import machine as machine_module
 from ironbarrow.fleet.members import merge as merge_module
-from ironbarrow.fleet.members.messages import RANK, VERSION_MOST, Ack, Cards, Ping, Rumour
+from ironbarrow.fleet.members.messages import RANK_BY_HEALTH, VERSION_LIMIT, Ack, Ping, Rumour, RumourBatch
 from ironbarrow.lab.fleet.net import SimulatedNet
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS, SECOND
@@ -30,7 +30,7 @@
     monkeypatch.setattr(INVARIANTS, "fatal", True)
 
 
-class Crowd:
+class SimulatedFleet:
     """So many members, named m0, m1, ..., over three sites in turn."""
 
     def __init__(self, count: int, seed: int = 1, rules: MemberRules | None = None) -> None:
@@ -60,7 +60,7 @@
     def all_alive(self) -> bool:
         return all(set(self.healths(name).values()) == {Health.ALIVE} for name in self.running())
 
-    def until(self, holds: Callable[[], bool], limit: int) -> int:
+    def run_until(self, holds: Callable[[], bool], limit: int) -> int:
         """ns until something holds; an AssertionError after the limit."""
         start = self.net.clock.now()
         while not holds():
@@ -68,7 +68,7 @@
             self.net.run(20 * MS)
         return self.net.clock.now() - start
 
-    def deaths(self) -> int:
+    def death_events(self) -> int:
         """Deaths that members that run have been told of."""
         return sum(
             isinstance(news, MemberChanged) and news.member.health is Health.DEAD
@@ -77,96 +77,96 @@
         )
 
 
-def crowd(count: int, seed: int = 1) -> Crowd:
+def converged_fleet(count: int, seed: int = 1) -> SimulatedFleet:
     """A crowd in which everybody knows everybody."""
-    made = Crowd(count, seed)
-    made.until(made.all_alive, 20 * SECOND)
-    made.net.run(2 * SECOND)
-    assert made.deaths() == 0
-    return made
+    fleet = SimulatedFleet(count, seed)
+    fleet.run_until(fleet.all_alive, 20 * SECOND)
+    fleet.net.run(2 * SECOND)
+    assert fleet.death_events() == 0
+    return fleet
 
 
 @pytest.mark.parametrize(("count", "bound_s"), [(3, 2.5), (10, 3.0), (30, 3.5)])
 def test_a_death_is_known_to_all_in_time(count: int, bound_s: float) -> None:
     for seed in (1, 2, 3):
-        made = crowd(count, seed)
-        made.net.crash("m1")
-        took = made.until(
-            lambda made=made: set(made.healths("m1").values()) == {Health.DEAD}, int(bound_s * SECOND)
+        fleet = converged_fleet(count, seed)
+        fleet.net.crash("m1")
+        duration = fleet.run_until(
+            lambda fleet=fleet: set(fleet.healths("m1").values()) == {Health.DEAD}, int(bound_s * SECOND)
         )
-        assert took > made.rules.suspect_for // 3
-        made.net.run(5 * SECOND)
-        assert made.deaths() == count - 1  # its own, once at each
+        assert duration > fleet.rules.suspect_for // 3
+        fleet.net.run(5 * SECOND)
+        assert fleet.death_events() == count - 1  # its own, once at each
 
 
 @pytest.mark.parametrize("both", [False, True])
 def test_a_cut_between_two_kills_nobody_where_a_third_sees_both(both: bool) -> None:
-    made = crowd(3)
-    made.net.cut("m0", "m1", both=both)
-    made.net.run(60 * SECOND)
-    assert made.deaths() == 0
-    made.net.mend()
-    made.net.run(2 * SECOND)
-    assert made.all_alive()
+    fleet = converged_fleet(3)
+    fleet.net.cut("m0", "m1", both=both)
+    fleet.net.run(60 * SECOND)
+    assert fleet.death_events() == 0
+    fleet.net.mend()
+    fleet.net.run(2 * SECOND)
+    assert fleet.all_alive()
 
 
 def test_a_cut_between_two_sites_kills_nobody_and_a_lost_site_is_told_from_the_rest() -> None:
-    made = crowd(9)
-    made.net.cut_sites("x", "y")
-    made.net.run(20 * SECOND)
-    assert made.deaths() == 0
-    made.net.cut_sites("x", "z")
-    made.net.run(5 * SECOND)
-    assert {name: m.sites_out_of_sight() for name, m in made.machines.items()} == {
-        name: ["y", "z"] if made.net.seats[name].site == "x" else ["x"] for name in made.names
+    fleet = converged_fleet(9)
+    fleet.net.cut_sites("x", "y")
+    fleet.net.run(20 * SECOND)
+    assert fleet.death_events() == 0
+    fleet.net.cut_sites("x", "z")
+    fleet.net.run(5 * SECOND)
+    assert {name: m.unreachable_sites() for name, m in fleet.machines.items()} == {
+        name: ["y", "z"] if fleet.net.seats[name].site == "x" else ["x"] for name in fleet.names
     }
-    made.net.mend()
-    made.until(made.all_alive, 10 * SECOND)
+    fleet.net.mend()
+    fleet.run_until(fleet.all_alive, 10 * SECOND)
 
 
 @pytest.mark.parametrize(("pause_s", "dies"), [(0.5, False), (10, True)])
 def test_a_pause_is_not_a_death_unless_it_is_long(pause_s: float, dies: bool) -> None:
-    made = crowd(10)
-    made.net.pause("m4")
-    made.net.run(int(pause_s * SECOND))
-    assert (made.deaths() == 9) == dies
-    assert dies or made.deaths() == 0
-    made.net.resume("m4")
-    made.until(lambda: set(made.healths("m4").values()) == {Health.ALIVE}, 3 * SECOND)
-    assert (made.machines["m4"].refuted > 0) or not dies
+    fleet = converged_fleet(10)
+    fleet.net.pause("m4")
+    fleet.net.run(int(pause_s * SECOND))
+    assert (fleet.death_events() == 9) == dies
+    assert dies or fleet.death_events() == 0
+    fleet.net.resume("m4")
+    fleet.run_until(lambda: set(fleet.healths("m4").values()) == {Health.ALIVE}, 3 * SECOND)
+    assert (fleet.machines["m4"].refutations > 0) or not dies
     assert not any(isinstance(n, MemberChanged) and n.member.health is Health.DEAD
-                   for n in made.net.seats["m4"].told)  # fmt: skip
-    made.net.run(3 * SECOND)
-    assert made.all_alive()
+                   for n in fleet.net.seats["m4"].told)  # fmt: skip
+    fleet.net.run(3 * SECOND)
+    assert fleet.all_alive()
 
 
 def test_an_order_between_two_turns_is_not_taken_for_a_stop() -> None:
-    made = Crowd(3, rules=MemberRules(period=ms(1500), suspect_for=ms(3000)))
-    made.until(made.all_alive, 20 * SECOND)
-    machine = made.machines["m0"]
+    fleet = SimulatedFleet(3, rules=MemberRules(period=ms(1500), suspect_for=ms(3000)))
+    fleet.run_until(fleet.all_alive, 20 * SECOND)
+    machine = fleet.machines["m0"]
     for segment in range(20):
-        made.net.run((6130 + 97 * segment) * MS)
+        fleet.net.run((6130 + 97 * segment) * MS)
         at = (LedgerAt("l", segment, ()),)
-        made.net.order("m0", lambda node, now, at=at: node.carry_out(machine.writes(at)))
-        made.net.run(MS)
+        fleet.net.order("m0", lambda node, now, at=at: node.carry_out(machine.writes(at)))
+        fleet.net.run(MS)
         assert machine.local_health.score == 0, segment
-    made.net.pause("m0")
-    made.net.run(3 * SECOND)
-    made.net.resume("m0")
+    fleet.net.pause("m0")
+    fleet.net.run(3 * SECOND)
+    fleet.net.resume("m0")
     assert machine.local_health.score > 0
 
 
 def test_one_that_flaps_comes_back_each_time() -> None:
-    made = crowd(10)
+    fleet = converged_fleet(10)
     for _ in range(10):
-        made.net.pause("m2")
-        made.net.run(1500 * MS)
-        made.net.resume("m2")
-        made.net.run(1500 * MS)
-    made.until(made.all_alive, 3 * SECOND)
+        fleet.net.pause("m2")
+        fleet.net.run(1500 * MS)
+        fleet.net.resume("m2")
+        fleet.net.run(1500 * MS)
+    fleet.run_until(fleet.all_alive, 3 * SECOND)
     assert all(
         news.member.card.incarnation.name == "m2"
-        for seat in made.net.seats.values()
+        for seat in fleet.net.seats.values()
         for news in seat.told
         if isinstance(news, MemberChanged) and news.member.health is Health.DEAD
     )
@@ -174,67 +174,67 @@
 
 @pytest.mark.parametrize("count", [6, 30])
 def test_sites_cut_off_from_each_other_come_together_again(count: int) -> None:
-    made = crowd(count)
+    fleet = converged_fleet(count)
     for other in "yz":
-        made.net.cut_sites("x", other)
-    made.net.run(5 * SECOND)
-    third, deaths = count // 3, made.deaths()
-    assert deaths >= 0.9 * (2 * third * 2 * third)
-    made.net.mend()
-    made.until(made.all_alive, 10 * SECOND)
-    made.net.run(5 * SECOND)
-    assert made.deaths() == deaths  # none died of what the others had thought
-    assert made.all_alive()
+        fleet.net.cut_sites("x", other)
+    fleet.net.run(5 * SECOND)
+    third, death_events = count // 3, fleet.death_events()
+    assert death_events >= 0.9 * (2 * third * 2 * third)
+    fleet.net.mend()
+    fleet.run_until(fleet.all_alive, 10 * SECOND)
+    fleet.net.run(5 * SECOND)
+    assert fleet.death_events() == death_events  # none died of what the others had thought
+    assert fleet.all_alive()
 
 
 def test_nobody_dies_of_five_in_a_hundred_messages_lost() -> None:
     for seed in (1, 2, 3):
-        made = crowd(10, seed)
-        made.net.usual.lost = 0.05
-        made.net.run(60 * SECOND)
-        assert made.deaths() == 0
+        fleet = converged_fleet(10, seed)
+        fleet.net.usual.lost = 0.05
+        fleet.net.run(60 * SECOND)
+        assert fleet.death_events() == 0
 
 
 def test_a_restart_is_another_incarnation_and_the_earlier_one_ends_first() -> None:
-    made = crowd(6)
-    before = made.machines["m3"].me.incarnation
-    made.net.crash("m3")
-    made.net.run(100 * MS)
-    after = made.net.start("m3")
-    made.until(lambda: set(made.healths("m3").values()) == {Health.ALIVE}, 3 * SECOND)
-    for name in made.running():
+    fleet = converged_fleet(6)
+    before = fleet.machines["m3"].me.incarnation
+    fleet.net.crash("m3")
+    fleet.net.run(100 * MS)
+    after = fleet.net.start("m3")
+    fleet.run_until(lambda: set(fleet.healths("m3").values()) == {Health.ALIVE}, 3 * SECOND)
+    for name in fleet.running():
         if name != "m3":
-            assert made.machines[name].health(before) is Health.DEAD
+            assert fleet.machines[name].health(before) is Health.DEAD
             told = [
                 (n.member.card.incarnation, n.member.health)
-                for n in made.net.seats[name].told
+                for n in fleet.net.seats[name].told
                 if isinstance(n, MemberChanged) and n.member.card.incarnation.name == "m3"
             ]
             assert told.index((before, Health.DEAD)) == told.index((after, Health.ALIVE)) - 1
     assert before == Incarnation("m3", before.start)
-    assert made.all_alive()
+    assert fleet.all_alive()
 
 
 def test_one_that_leaves_is_not_dead() -> None:
-    made = crowd(10)
-    made.net.order("m5", lambda node, now: node.carry_out(made.machines["m5"].leave(now)))
-    made.net.run(500 * MS)
-    made.net.crash("m5")
-    made.until(lambda: set(made.healths("m5").values()) == {Health.LEFT}, 2 * SECOND)
-    made.net.run(3 * SECOND)
-    assert made.deaths() == 0
+    fleet = converged_fleet(10)
+    fleet.net.order("m5", lambda node, now: node.carry_out(fleet.machines["m5"].leave(now)))
+    fleet.net.run(500 * MS)
+    fleet.net.crash("m5")
+    fleet.run_until(lambda: set(fleet.healths("m5").values()) == {Health.LEFT}, 2 * SECOND)
+    fleet.net.run(3 * SECOND)
+    assert fleet.death_events() == 0
 
 
-def trouble(seed: int, count: int = 7, steps: int = 25) -> None:
+def run_random_faults(seed: int, count: int = 7, steps: int = 25) -> None:
     """Members that end, begin, stop, go on, leave and are cut off at random; then all is mended."""
-    dice = random.Random(seed)
-    made = Crowd(count, seed)
-    net = made.net
+    rng = random.Random(seed)
+    fleet = SimulatedFleet(count, seed)
+    net = fleet.net
     net.run(3 * SECOND)
     for _ in range(steps):
-        name, other = dice.sample(made.names, 2)
+        name, other = rng.sample(fleet.names, 2)
         seat = net.seats[name]
-        what = dice.choice(["kill", "stop", "leave", "cut", "half", "site", "mend", "loss", "write"])
+        what = rng.choice(["kill", "stop", "leave", "cut", "half", "site", "mend", "loss", "write"])
         if seat.node is None:
             net.start(name)
         elif seat.paused:
@@ -244,39 +244,39 @@
         elif what == "stop":
             net.pause(name)
         elif what == "leave":
-            net.order(name, lambda node, now, name=name: node.carry_out(made.machines[name].leave(now)))
-            net.run(dice.randrange(200 * MS))
+            net.order(name, lambda node, now, name=name: node.carry_out(fleet.machines[name].leave(now)))
+            net.run(rng.randrange(200 * MS))
             net.crash(name)
         elif what in ("cut", "half"):
             net.cut(name, other, both=what == "cut")
         elif what == "site":
-            net.cut_sites(*dice.sample(SITES, 2))
+            net.cut_sites(*rng.sample(SITES, 2))
         elif what == "mend":
             net.mend()
         elif what == "loss":
-            net.usual.lost, net.usual.doubled = dice.choice([(0.0, 0.0), (0.2, 0.1)])
-            net.usual.jitter = dice.choice([MS // 10, 100 * MS])
+            net.usual.lost, net.usual.doubled = rng.choice([(0.0, 0.0), (0.2, 0.1)])
+            net.usual.jitter = rng.choice([MS // 10, 100 * MS])
         else:
-            at = (LedgerAt("l", dice.randrange(9), ()),)
-            net.order(name, lambda node, now, m=made.machines[name], at=at: node.carry_out(m.writes(at)))
-        net.run(dice.randrange(3 * SECOND))
+            at = (LedgerAt("l", rng.randrange(9), ()),)
+            net.order(name, lambda node, now, m=fleet.machines[name], at=at: node.carry_out(m.writes(at)))
+        net.run(rng.randrange(3 * SECOND))
     net.mend()
     net.usual.lost = net.usual.doubled = 0.0
     net.usual.jitter = MS // 10
-    for name in made.names:
+    for name in fleet.names:
         seat = net.seats[name]
         if seat.node is None:
             net.start(name)
         elif seat.paused:
             net.resume(name)
 
-    def agreed() -> bool:
-        cards = {name: machine.me for name, machine in made.machines.items()}
-        return made.all_alive() and all(
-            machine.card(name) == of for machine in made.machines.values() for name, of in cards.items()
+    def cards_agree() -> bool:
+        cards = {name: machine.me for name, machine in fleet.machines.items()}
+        return fleet.all_alive() and all(
+            machine.card(name) == of for machine in fleet.machines.values() for name, of in cards.items()
         )
 
-    made.until(agreed, 15 * SECOND)
+    fleet.run_until(cards_agree, 15 * SECOND)
     for seat in net.seats.values():
         last: dict[str, Incarnation] = {}
         ended: dict[Incarnation, Health] = {}
@@ -298,13 +298,15 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_after_any_trouble_all_agree_again(seed: int) -> None:
-    trouble(seed)
+    run_random_faults(seed)
 
 
 # Bad input, bounds, versions
 
 
-def alone(rules: MemberRules | None = None, machine: type[MemberMachine] = MemberMachine) -> MemberMachine:
+def standalone_machine(
+    rules: MemberRules | None = None, machine: type[MemberMachine] = MemberMachine
+) -> MemberMachine:
     return machine(Card(Incarnation("me", 5), "h:1", "x", version=1), rules or MemberRules(), (), 0)
 
 
@@ -312,52 +314,56 @@
     return Card(Incarnation(name, start), "h:2", "y", version=version, **more)  # type: ignore[arg-type]
 
 
-def said(what: Card, health: Health = Health.ALIVE, version: int | None = None, **more: object) -> Rumour:
+def make_rumour(
+    what: Card, health: Health = Health.ALIVE, version: int | None = None, **more: object
+) -> Rumour:
     at = what.version if version is None else version
-    return Rumour(what.incarnation, at, RANK[health], card=what, **more)  # type: ignore[arg-type]
+    return Rumour(what.incarnation, at, RANK_BY_HEALTH[health], card=what, **more)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
     "rumour",
     [
-        said(card("")),
-        said(card("n" * 65)),
-        said(card("a", start=-1)),
-        said(card("a", start=NEVER)),
-        said(card("a"), version=VERSION_MOST),
-        said(card("a", version=-1), version=1),
-        said(card("a"), age_ms=-1),
-        said(card("a", ledgers=(LedgerAt("l", 1, (Incarnation("k"),)),))),
-        said(card("a", ledgers=(LedgerAt("l" * 301, 1, ()),))),
-        said(card("a", front="f" * 301)),
+        make_rumour(card("")),
+        make_rumour(card("n" * 65)),
+        make_rumour(card("a", start=-1)),
+        make_rumour(card("a", start=NEVER)),
+        make_rumour(card("a"), version=VERSION_LIMIT),
+        make_rumour(card("a", version=-1), version=1),
+        make_rumour(card("a"), age_ms=-1),
+        make_rumour(card("a", ledgers=(LedgerAt("l", 1, (Incarnation("k"),)),))),
+        make_rumour(card("a", ledgers=(LedgerAt("l" * 301, 1, ()),))),
+        make_rumour(card("a", front="f" * 301)),
         Rumour(Incarnation("b", 1), 1, 0, card=card("a")),
         Rumour(Incarnation("a", 1), 1, 4, card=card("a")),
-        Rumour(Incarnation("me", 5), VERSION_MOST, 2),
+        Rumour(Incarnation("me", 5), VERSION_LIMIT, 2),
     ],
 )
 def test_what_is_out_of_range_is_counted_and_changes_nothing(rumour: Rumour) -> None:
-    machine = alone()
-    actions = machine.received(1, Incarnation("x", 1), Cards((rumour,)))
+    machine = standalone_machine()
+    actions = machine.received(1, Incarnation("x", 1), RumourBatch((rumour,)))
     assert not actions and machine.dropped == {"malformed": 1}
     assert len(machine.alive()) == 1 and machine.me.version == 1
 
 
 @pytest.mark.parametrize("count", [1024, 2000])
 def test_the_list_holds_as_many_as_it_says_and_no_more(count: int) -> None:
-    machine = alone(MemberRules(most=count))
+    machine = standalone_machine(MemberRules(most=count))
     for start in range(0, count + 50, 50):
         names = [f"m{i}" for i in range(start, start + 50)]
-        machine.received(1 + start, Incarnation("m0", 1), Cards(tuple(said(card(name)) for name in names)))
+        machine.received(
+            1 + start, Incarnation("m0", 1), RumourBatch(tuple(make_rumour(card(name)) for name in names))
+        )
     assert len(machine.alive()) == count
     assert machine.dropped["full"] == start + 50 - (count - 1)
-    late = 2 * SECOND
-    machine.received(late, Incarnation("m0", 1), Cards((said(card("m7"), Health.LEFT),)))
+    after_join = 2 * SECOND
+    machine.received(after_join, Incarnation("m0", 1), RumourBatch((make_rumour(card("m7"), Health.LEFT),)))
     # takes the place of one that is gone
-    machine.received(late, Incarnation("m0", 1), Cards((said(card("new")),)))
+    machine.received(after_join, Incarnation("m0", 1), RumourBatch((make_rumour(card("new")),)))
     assert machine.health(Incarnation("new", 1)) is Health.ALIVE and machine.card("m7") is None
     codec = Codec(MemberMachine.handles)
     sizes: list[int] = []
-    now = late
+    now = after_join
     for _ in range(400):  # whatever the number, no message is large
         now = max(now, min(machine.next_at(), now + 100 * MS))
         for action in machine.ticked(now):
@@ -368,12 +374,14 @@
 
 def test_a_joiner_learns_two_thousand_members_from_one() -> None:
     machine, joiner = (
-        alone(),
+        standalone_machine(),
         MemberMachine(Card(Incarnation("j", 9), "h:3", "x", version=1), MemberRules(), ("me",), 0),
     )
     for start in range(0, 2000, 50):
         names = [f"m{i}" for i in range(start, start + 50)]
-        machine.received(1, Incarnation("m0", 1), Cards(tuple(said(card(name)) for name in names)))
+        machine.received(
+            1, Incarnation("m0", 1), RumourBatch(tuple(make_rumour(card(name)) for name in names))
+        )
     asked = [a.message for a in joiner.ticked(1) if isinstance(a, Send)]
     codec, largest = Codec(MemberMachine.handles), 0
     for action in machine.received(2, Incarnation("j", 9), asked[0]):
@@ -389,17 +397,17 @@
         KIND = 1
         number: int
         version: int
-        seen: int = -1
-        seen_health: int = 0
-        news: tuple[Rumour, ...] = ()
+        known_version: int = -1
+        known_health: int = 0
+        piggybacked: tuple[Rumour, ...] = ()
         more: str = ""
 
     frame = Codec([LaterPing]).encode(
-        Incarnation("new", 3), 0, LaterPing(7, 1, 1, 0, (said(card("a")),), "x")
+        Incarnation("new", 3), 0, LaterPing(7, 1, 1, 0, (make_rumour(card("a")),), "x")
     )
     found = Codec(MemberMachine.handles).decode(frame[4:])
     assert found is not None
-    machine = alone()
+    machine = standalone_machine()
     (answer,) = [a for a in machine.received(1, found[0], found[2]) if isinstance(a, Send)]
     assert isinstance(answer.message, Ack) and answer.message.number == 7
     assert machine.health(Incarnation("a", 1)) is Health.ALIVE
@@ -408,29 +416,33 @@
 # What must hold, whatever is said
 
 
-def babble(machine: MemberMachine, seed: int) -> None:
+def feed_random_messages(machine: MemberMachine, seed: int) -> None:
     """Says at random of a few incarnations what could be said of them, this member's own included."""
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     now, versions = 1, dict[str, int]()
     for _ in range(150):
-        now += dice.randrange(400 * MS)
-        name, start = dice.choice(["me", "a", "b", "c"]), dice.choice([4, 5, 6])
-        found = Card(Incarnation(name, start), "h:1", dice.choice("xy"), version=dice.randrange(6))
+        now += rng.randrange(400 * MS)
+        name, start = rng.choice(["me", "a", "b", "c"]), rng.choice([4, 5, 6])
+        found = Card(Incarnation(name, start), "h:1", rng.choice("xy"), version=rng.randrange(6))
         items = [
             Rumour(
                 found.incarnation,
-                dice.randrange(6),
-                dice.choice([0, 0, 1, 2, 2, 3]),
-                dice.choice(["", "a", "b", "c", "me"]),
-                dice.randrange(3000),
-                dice.choice([found, found, None]),
+                rng.randrange(6),
+                rng.choice([0, 0, 1, 2, 2, 3]),
+                rng.choice(["", "a", "b", "c", "me"]),
+                rng.randrange(3000),
+                rng.choice([found, found, None]),
             )
         ]
-        sender = Incarnation(dice.choice("abc"), start)
-        synced = dice.random() < 0.3
-        seen = dice.randrange(-1, 6), dice.randrange(4)
-        message = dice.choice(
-            [Cards(tuple(items), synced), Ping(1, 1, *seen, tuple(items)), Ack(dice.randrange(9), 2, *seen)]
+        sender = Incarnation(rng.choice("abc"), start)
+        from_sync = rng.random() < 0.3
+        seen = rng.randrange(-1, 6), rng.randrange(4)
+        message = rng.choice(
+            [
+                RumourBatch(tuple(items), from_sync),
+                Ping(1, 1, *seen, tuple(items)),
+                Ack(rng.randrange(9), 2, *seen),
+            ]
         )
         machine.received(now, sender, message)
         machine.ticked(max(now, min(machine.next_at(), now + SECOND)))
@@ -442,8 +454,8 @@
 
 def test_whatever_is_said_the_list_keeps_its_rules() -> None:
     for seed in range(200):
-        machine = alone()
-        babble(machine, seed)
+        machine = standalone_machine()
+        feed_random_messages(machine, seed)
         assert machine.me.incarnation == Incarnation("me", 5)
 
 
@@ -460,23 +472,23 @@
 }
 
 
-def executed(name: str, text: str) -> ModuleType:
+def load_module(name: str, text: str) -> ModuleType:
     """A module made of that text."""
-    made = ModuleType(name)
-    sys.modules[name] = made  # dataclasses look for it
-    exec(compile(text, name, "exec"), made.__dict__)
-    return made
+    fleet = ModuleType(name)
+    sys.modules[name] = fleet  # dataclasses look for it
+    exec(compile(text, name, "exec"), fleet.__dict__)
+    return fleet
 
 
 def mutant(monkeypatch: pytest.MonkeyPatch, old: str, new: str) -> type[MemberMachine]:
     """The machine with one place of the text of ``merge`` changed."""
     text = Path(merge_module.__file__).read_text()
     assert text.count(old) == 1
-    mutated = executed("ironbarrow.fleet.members.mutant_merge", text.replace(old, new))
+    mutated = load_module("ironbarrow.fleet.members.mutant_merge", text.replace(old, new))
     with monkeypatch.context() as patch:
         patch.setitem(sys.modules, merge_module.__name__, mutated)
         machine_text = Path(machine_module.__file__).read_text()
-        machine = executed("ironbarrow.fleet.members.mutant_machine", machine_text)
+        machine = load_module("ironbarrow.fleet.members.mutant_machine", machine_text)
     assert machine.RumourMerger is mutated.RumourMerger
     found: type[MemberMachine] = machine.MemberMachine
     return found
@@ -487,4 +499,4 @@
     broken = mutant(monkeypatch, *MUTANTS[name])
     with pytest.raises(InvariantError, match=name):
         for seed in range(50):
-            babble(alone(machine=broken), seed)
+            feed_random_messages(standalone_machine(machine=broken), seed)
