--- a/ironbarrow/fleet/starvation/job_moves.py
+++ b/ironbarrow/fleet/starvation/job_moves.py
@@ -11,41 +11,41 @@
 from typing import Protocol
 
 from ironbarrow.fleet.api import Action, Incarnation
-from ironbarrow.fleet.starvation.tables import Spot
+from ironbarrow.fleet.starvation.tables import PartitionWait
 from ironbarrow.runtime.clock import SECOND
 
-PER_SECOND = 2.0  # moves, over all tenants
-MOST = 10.0  # moves at once, after a pause
-LEAST_GAIN = 2.0  # times as short a wait
-PART = (
+MOVES_PER_SECOND = 2.0  # moves, over all tenants
+MAX_MOVES_AT_ONCE = 10.0  # moves at once, after a pause
+MIN_WAIT_RATIO = 2.0  # times as short a wait
+MAX_ADDED_SHARE = (
     0.25  # of a partition's own jobs of the tenant in the windows compared: so many may come on top a window
 )
-STAYS = 2  # of so many held jobs one is moved at the most
+WAITING_JOBS_PER_MOVE = 2  # of so many held jobs one is moved at the most
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class WaitingJob:
     """A job that waits here. Times in ns. ``sent``: an attempt of it was out, ever: it stays."""
 
     id: str
     waited: int
     time_left: int
-    sent: bool = False
+    attempted: bool = False
     moved: bool = False  # it came from another partition by such a move
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class JobMove:
     """A job to be transferred."""
 
     id: str
     to: Incarnation
 
 
-class Transfer(Protocol):
+class JobTransfer(Protocol):
     """How jobs are handed to another dispatcher: the take-over's part."""
 
-    def held(self, tenant: str) -> Sequence[Held]:
+    def waiting_jobs(self, tenant: str) -> Sequence[WaitingJob]:
         """The jobs of a tenant that wait here."""
 
     def transfer(self, now: int, job: str, to: Incarnation) -> list[Action]:
@@ -53,46 +53,56 @@
         partition here it has ended without a start."""
 
 
-class Mover:
+class MovePlanner:
     """Decides which jobs move where."""
 
     def __init__(self, window: int, windows: int) -> None:
         self._window, self._pause = window, windows * window
-        self._left, self._filled_at = MOST, 0
-        self._sent: dict[tuple[str, Incarnation], tuple[int, int]] = {}  # since when, how many since
-        self._came: dict[str, int] = {}  # tenant: when a job of it last came by a move
+        self._available_moves, self._refilled_at = MAX_MOVES_AT_ONCE, 0
+        self._moved_to: dict[tuple[str, Incarnation], tuple[int, int]] = {}  # since when, how many since
+        self._last_received: dict[str, int] = {}  # tenant: when a job of it last came by a move
 
-    def came(self, now: int, tenant: str) -> None:
+    def on_job_received(self, now: int, tenant: str) -> None:
         """A job of a tenant came here from a partition where it starves."""
-        self._came[tenant] = now
-
-    def decide(
-        self, now: int, tenant: str, wait: int, held: Iterable[Held], spots: Iterable[Spot]
-    ) -> list[Move]:
+        self._last_received[tenant] = now
+
+    def plan(
+        self,
+        now: int,
+        tenant: str,
+        wait: int,
+        waiting_jobs: Iterable[WaitingJob],
+        partition_waits: Iterable[PartitionWait],
+    ) -> list[JobMove]:
         """Moves for a tenant that starves here with that mean wait, ns."""
-        self._left = min(MOST, self._left + PER_SECOND * (now - self._filled_at) / SECOND)
-        self._filled_at = now
-        self._came = {t: at for t, at in self._came.items() if now - at < self._pause}
-        self._sent = {k: (at, n) for k, (at, n) in self._sent.items() if now - at < self._window}
-        if tenant in self._came:
+        self._available_moves = min(
+            MAX_MOVES_AT_ONCE, self._available_moves + MOVES_PER_SECOND * (now - self._refilled_at) / SECOND
+        )
+        self._refilled_at = now
+        self._last_received = {t: at for t, at in self._last_received.items() if now - at < self._pause}
+        self._moved_to = {k: (at, n) for k, (at, n) in self._moved_to.items() if now - at < self._window}
+        if tenant in self._last_received:
             return []
-        waiting = list(held)
-        fresh = sorted((j for j in waiting if not j.sent and not j.moved), key=lambda j: (-j.waited, j.id))
-        most = min(len(waiting) // STAYS, int(self._left))
-        good = sorted(
-            (s for s in spots if s.wait * 1000 * LEAST_GAIN <= wait), key=lambda s: (s.wait, s.incarnation)
+        all_waiting = list(waiting_jobs)
+        movable = sorted(
+            (j for j in all_waiting if not j.attempted and not j.moved), key=lambda j: (-j.waited, j.id)
+        )
+        limit = min(len(all_waiting) // WAITING_JOBS_PER_MOVE, int(self._available_moves))
+        targets = sorted(
+            (s for s in partition_waits if s.wait * 1000 * MIN_WAIT_RATIO <= wait),
+            key=lambda s: (s.wait, s.incarnation),
         )
-        moves: list[Move] = []
-        for spot in good:
-            since, sent = self._sent.get((tenant, spot.incarnation), (now, 0))
-            room = int(PART * spot.jobs) - sent
+        moves: list[JobMove] = []
+        for target in targets:
+            since, moved_count = self._moved_to.get((tenant, target.incarnation), (now, 0))
+            capacity = int(MAX_ADDED_SHARE * target.jobs) - moved_count
             # danger: what can't be in time there either only takes the place of what can
-            some = [j for j in fresh if j.time_left > 2 * spot.wait * 1000][
-                : max(0, min(room, most - len(moves)))
+            chosen = [j for j in movable if j.time_left > 2 * target.wait * 1000][
+                : max(0, min(capacity, limit - len(moves)))
             ]
-            moves += [Move(job.id, spot.incarnation) for job in some]
-            fresh = [j for j in fresh if j not in some]
-            if some:
-                self._sent[tenant, spot.incarnation] = (since, sent + len(some))
-        self._left -= len(moves)
+            moves += [JobMove(job.id, target.incarnation) for job in chosen]
+            movable = [j for j in movable if j not in chosen]
+            if chosen:
+                self._moved_to[tenant, target.incarnation] = (since, moved_count + len(chosen))
+        self._available_moves -= len(moves)
         return moves
--- a/ironbarrow/fleet/starvation/machine.py
+++ b/ironbarrow/fleet/starvation/machine.py
@@ -32,69 +32,69 @@
     rank,
 )
 from ironbarrow.fleet.file import StarvationRules
-from ironbarrow.fleet.starvation.job_moves import Mover, Transfer
+from ironbarrow.fleet.starvation.job_moves import JobTransfer, MovePlanner
 from ironbarrow.fleet.starvation.tables import (
-    REST,
-    SHARDS,
-    Collected,
-    Elsewhere,
-    Key,
-    Spot,
+    SHARD_COUNT,
+    UNTRACKED_TENANT,
+    PartitionWait,
+    RowKey,
     Tally,
-    Waits,
+    WaitCollector,
+    WaitReport,
+    WaitReportReply,
     Window,
-    read,
-    row_of,
+    merge_windows,
+    parse_row,
+    row_from_tally,
     shard_of,
-    together,
 )
 from ironbarrow.fleet.starvation.verdict import (
-    Elsewheres,
+    Assessment,
     Evidence,
-    Look,
+    RemoteWaits,
     StarvationBegan,
     StarvationEnded,
     Verdicts,
+    assess_tenants,
     horizon,
-    look,
-    mean_wait,
+    restricted_mean_wait,
 )
-from ironbarrow.fleet.starvation.waits import WaitBook, rows_to_send
+from ironbarrow.fleet.starvation.waits import WaitRecorder, rows_to_send
 from ironbarrow.runtime.clock import SECOND
 
 log = structlog.get_logger()
 
-COPIES = 2  # members that collect a shard
-OVER = 1.25  # times its share: so much more is within what chance brings
-_SPOTS = 4  # partitions named to a tenant that starves
+COLLECTORS_PER_SHARD = 2  # members that collect a shard
+SHARE_TOLERANCE = 1.25  # times its share: so much more is within what chance brings
+MAX_PARTITION_WAITS = 4  # partitions named to a tenant that starves
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
+class TenantShares:
     """What tenants may send to one partition, jobs a second. A tenant that is not named is beyond its share
     where its part of a partition's jobs is more than twice its part elsewhere, and more than an even part."""
 
-    per_s: Mapping[str, float] = field(default_factory=dict)
+    jobs_per_s: Mapping[str, float] = field(default_factory=dict)
 
-    def beyond(
-        self, rows: Mapping[Key, Tally], seconds: float, elsewhere: Mapping[str, Elsewheres]
+    def tenants_over_share(
+        self, rows: Mapping[RowKey, Tally], seconds: float, elsewhere: Mapping[str, RemoteWaits]
     ) -> set[str]:
         """The tenants that brought more than their share to a partition in that time."""
         taken: Counter[str] = Counter()
         for (tenant, _, _), tally in rows.items():
             taken[tenant] += tally.taken
-        everything, tenants = taken.total(), sum(tenant != REST for tenant in taken)
+        everything, tenants = taken.total(), sum(tenant != UNTRACKED_TENANT for tenant in taken)
         found = set[str]()
         for tenant, jobs in taken.items():
-            if tenant == REST or not jobs:
+            if tenant == UNTRACKED_TENANT or not jobs:
                 continue
-            share = self.per_s.get(tenant, 0.0) * seconds
+            share = self.jobs_per_s.get(tenant, 0.0) * seconds
             if not share:
-                known = elsewhere.get(tenant)
-                outside = sum(t.taken for k, t in known.rows.items() if k[0] == tenant) if known else 0
-                part = outside / known.taken if known and known.taken else 0.0
+                remote = elsewhere.get(tenant)
+                outside = sum(t.taken for k, t in remote.rows.items() if k[0] == tenant) if remote else 0
+                part = outside / remote.taken if remote and remote.taken else 0.0
                 share = max(2 * part, 1 / tenants) * everything
-            if jobs > OVER * share + 2 * share**0.5:
+            if jobs > SHARE_TOLERANCE * share + 2 * share**0.5:
                 found.add(tenant)
         return found
 
@@ -108,20 +108,20 @@
 
 
 @dataclass(slots=True)
-class _Answer:
+class _CollectorReply:
     """A collector's newest answer on a shard."""
 
-    asked: int
-    heard: int
+    round_number: int
+    partition_count: int
     taken: int
-    rows: dict[Key, Tally]
-    spots: tuple[Spot, ...]
+    rows: dict[RowKey, Tally]
+    partition_waits: tuple[PartitionWait, ...]
 
 
 class StarvationMachine:
     """One member's part in it. ``book`` is told of jobs by the host."""
 
-    handles: tuple[type[Message], ...] = (Waits, Elsewhere)
+    handles: tuple[type[Message], ...] = (WaitReport, WaitReportReply)
 
     def __init__(
         self,
@@ -129,101 +129,108 @@
         members: Members,
         ledgers: Ledgers,
         rules: StarvationRules,
-        shares: Shares,
+        shares: TenantShares,
         now: int,
-        transfer: Transfer | None = None,
-        book: WaitBook | None = None,
+        transfer: JobTransfer | None = None,
+        recorder: WaitRecorder | None = None,
     ) -> None:
         """``book``: that of an earlier incarnation of the same process, whose jobs still wait."""
         self._me, self._members, self._ledgers = me, members, ledgers
         self._rules, self._shares, self._transfer = rules, shares, transfer
-        self.book = book or WaitBook(rules, now)
-        self.collected = Collected(rules.windows, rules.window)
+        self.recorder = recorder or WaitRecorder(rules, now)
+        self.collector = WaitCollector(rules.windows, rules.window)
         self.verdicts = Verdicts(me.incarnation.name, rules)
-        self.mover = Mover(rules.window, rules.windows)
-        self.looks: dict[str, Look] = {}  # the last one at each tenant
+        self.move_planner = MovePlanner(rules.window, rules.windows)
+        self.assessments: dict[str, Assessment] = {}  # the last one at each tenant
         self.dropped: Counter[str] = Counter()
-        self._asked = 0
-        self._answers: dict[tuple[int, Incarnation], _Answer] = {}
+        self._round_number = 0
+        self._replies: dict[tuple[int, Incarnation], _CollectorReply] = {}
         self._acknowledged: dict[Incarnation, tuple[tuple[int, ...], frozenset[int]]] = {}
-        self._names: tuple[Incarnation, ...] = ()
+        self._alive_incarnations: tuple[Incarnation, ...] = ()
         self._collectors: dict[Incarnation, tuple[int, ...]] = {}
-        self._unwritten: dict[str, StarvationBegan] = {}
-        self._close_at, self._look_at, self._move_at = now + rules.window, NEVER, NEVER
+        self._unrecorded: dict[str, StarvationBegan] = {}
+        self._close_at, self._assess_at, self._move_at = now + rules.window, NEVER, NEVER
 
     def next_at(self) -> int:
-        return min(self._close_at, self._look_at, self._move_at)
+        return min(self._close_at, self._assess_at, self._move_at)
 
     def ticked(self, now: int) -> list[Action]:
         actions: list[Action] = []
         if now >= self._close_at:
             actions += self._close(now)
-        if now >= self._look_at:
-            self._look_at = NEVER
-            actions += self._look(now)
+        if now >= self._assess_at:
+            self._assess_at = NEVER
+            actions += self._assess(now)
         if now >= self._move_at:
             actions += self._move(now)
         return actions
 
-    def came(self, now: int, tenant: str) -> None:
+    def on_job_received(self, now: int, tenant: str) -> None:
         """A job of that tenant was moved here from where it starves."""
-        self.mover.came(now, tenant)
+        self.move_planner.on_job_received(now, tenant)
 
     @staticmethod
-    def log(news: News) -> None:
-        """Writes a verdict's news into the program's log, for people at night."""
-        if isinstance(news, StarvationBegan):
-            figures = msgspec.to_builtins(msgspec.structs.asdict(news.evidence))
-            log.warning("a tenant starves here", tenant=news.tenant, **figures)
-        elif isinstance(news, StarvationEnded):
-            lasted = (news.ended_at - news.began_at) // SECOND
-            log.warning("a tenant starves no more", tenant=news.tenant, lasted_s=lasted, why=news.why)
+    def log(event: News) -> None:
+        """Writes a verdict's event into the program's log, for people at night."""
+        if isinstance(event, StarvationBegan):
+            figures = msgspec.to_builtins(msgspec.structs.asdict(event.evidence))
+            log.warning("a tenant starves here", tenant=event.tenant, **figures)
+        elif isinstance(event, StarvationEnded):
+            lasted = (event.ended_at - event.began_at) // SECOND
+            log.warning("a tenant starves no more", tenant=event.tenant, lasted_s=lasted, why=event.reason)
 
     # Tables
 
     def _close(self, now: int) -> list[Action]:
-        self.book.close(now)
+        self.recorder.close(now)
         # danger: after a pause of the process one window is long; many empty ones would say nothing
         self._close_at = max(self._close_at + self._rules.window, now + self._rules.window // 2)
-        self._look_at = now + self._rules.window // 4
-        self._asked += 1
-        self.collected.expire(now)
+        self._assess_at = now + self._rules.window // 4
+        self._round_number += 1
+        self.collector.expire(now)
         return self._send_round(now)
 
-    def _map(self) -> dict[Incarnation, tuple[int, ...]]:
+    def _collector_map(self) -> dict[Incarnation, tuple[int, ...]]:
         """Who collects which shards."""
         names = tuple(member.card.incarnation for member in self._members.alive())
-        if names != self._names:
-            self._names = names
+        if names != self._alive_incarnations:
+            self._alive_incarnations = names
             shards: dict[Incarnation, list[int]] = {}
-            for shard in range(SHARDS):
-                for incarnation in sorted(names, key=lambda n: -rank(f"waits/{shard}", n.name))[:COPIES]:
+            for shard in range(SHARD_COUNT):
+                for incarnation in sorted(names, key=lambda n: -rank(f"waits/{shard}", n.name))[
+                    :COLLECTORS_PER_SHARD
+                ]:
                     shards.setdefault(incarnation, []).append(shard)
-            self._collectors = {incarnation: tuple(some) for incarnation, some in shards.items()}
+            self._collectors = {
+                incarnation: tuple(owned_shards) for incarnation, owned_shards in shards.items()
+            }
             self._acknowledged = {n: a for n, a in self._acknowledged.items() if n in shards}
-            self._answers = {key: a for key, a in self._answers.items() if key[1] in shards}
+            self._replies = {key: a for key, a in self._replies.items() if key[1] in shards}
         return self._collectors
 
     def _send_round(self, now: int) -> list[Action]:
         actions: list[Action] = []
         tables = [
-            (w.number, w.taken, [(shard_of(r.tenant), r) for r in rows_to_send(w)]) for w in self.book.closed
+            (w.number, w.taken, [(shard_of(r.tenant), r) for r in rows_to_send(w)])
+            for w in self.recorder.closed
         ]
-        spots_of = tuple(self.verdicts.open()) if self._rules.move else ()
-        for incarnation, shards in self._map().items():
-            before, has = self._acknowledged.get(incarnation, ((), frozenset()))
-            if before != shards:
-                has = frozenset()
-            some = set(shards)
+        waits_wanted_for = tuple(self.verdicts.open_tenants()) if self._rules.move else ()
+        for incarnation, shards in self._collector_map().items():
+            acknowledged_shards, acknowledged_windows = self._acknowledged.get(incarnation, ((), frozenset()))
+            if acknowledged_shards != shards:
+                acknowledged_windows = frozenset()
+            owned_shards = set(shards)
             windows = tuple(
-                Window(number, 1, taken, tuple(row for shard, row in rows if shard in some))
+                Window(number, 1, taken, tuple(row for shard, row in rows if shard in owned_shards))
                 for number, taken, rows in tables
-                if number not in has
+                if number not in acknowledged_windows
             )
-            asks = tuple(tenant for tenant in spots_of if shard_of(tenant) in some)
-            message = Waits(self._me.site, self._asked, shards, windows, asks)
+            starving_tenants = tuple(
+                tenant for tenant in waits_wanted_for if shard_of(tenant) in owned_shards
+            )
+            message = WaitReport(self._me.site, self._round_number, shards, windows, starving_tenants)
             if incarnation == self._me.incarnation:
-                self.collected.take(now, incarnation, message)
+                self.collector.add_report(now, incarnation, message)
                 self._acknowledged[incarnation] = (shards, frozenset(number for number, _, _ in tables))
             else:
                 actions.append(Send(incarnation, message))
@@ -234,140 +241,192 @@
         if self._members.health(sender) not in (Health.ALIVE, Health.SUSPECT):
             self.dropped["stranger"] += 1
             return []
-        if isinstance(message, Waits):
-            self.collected.take(now, sender, message)
-            return [Send(sender, self._answer(sender, message.asked, message.shards, message.spots_of))]
-        self._answered(sender, message)
+        if isinstance(message, WaitReport):
+            self.collector.add_report(now, sender, message)
+            return [
+                Send(
+                    sender,
+                    self._build_reply(sender, message.round_number, message.shards, message.waits_wanted_for),
+                )
+            ]
+        self._on_reply(sender, message)
         return []
 
-    def _answer(
-        self, incarnation: Incarnation, asked: int, shards: Sequence[int], spots_of: Iterable[str]
-    ) -> Elsewhere:
-        shards = tuple(shard for shard in shards if 0 <= shard < SHARDS)
-        kept = [set(self.collected.kept(shard, incarnation)) for shard in shards]
-        heard = min((len({n.name for n in self.collected.heard(shard)}) for shard in shards), default=0)
-        taken = max((self.collected.taken_by_others(shard, incarnation) for shard in shards), default=0)
+    def _build_reply(
+        self,
+        incarnation: Incarnation,
+        round_number: int,
+        shards: Sequence[int],
+        waits_wanted_for: Iterable[str],
+    ) -> WaitReportReply:
+        shards = tuple(shard for shard in shards if 0 <= shard < SHARD_COUNT)
+        stored_windows = [set(self.collector.window_numbers(shard, incarnation)) for shard in shards]
+        partition_count = min(
+            (len({n.name for n in self.collector.reporting_partitions(shard)}) for shard in shards), default=0
+        )
+        taken = max((self.collector.taken_by_others(shard, incarnation) for shard in shards), default=0)
         rows = [
-            row_of(k, t) for shard in shards for k, t in self.collected.others(shard, incarnation).items()
+            row_from_tally(k, t)
+            for shard in shards
+            for k, t in self.collector.sums_of_others(shard, incarnation).items()
         ]
-        return Elsewhere(
-            asked,
+        return WaitReportReply(
+            round_number,
             shards,
-            tuple(sorted(set.intersection(*kept))) if kept else (),
-            heard,
+            tuple(sorted(set.intersection(*stored_windows))) if stored_windows else (),
+            partition_count,
             taken,
             tuple(rows),
-            tuple(spot for tenant in spots_of for spot in self._spots(incarnation, tenant)),
+            tuple(
+                partition_wait
+                for tenant in waits_wanted_for
+                for partition_wait in self._shortest_waits(incarnation, tenant)
+            ),
         )
 
-    def _spots(self, asker: Incarnation, tenant: str) -> list[Spot]:
+    def _shortest_waits(self, requester: Incarnation, tenant: str) -> list[PartitionWait]:
         """Where a tenant waits least, the askers' own partition left out."""
         found = []
-        for incarnation, site, rows in self.collected.by_partition(shard_of(tenant), tenant):
+        for incarnation, site, rows in self.collector.by_partition(shard_of(tenant), tenant):
             jobs = sum(tally.entered for tally in rows.values())
-            if incarnation == asker or jobs < self._rules.least_jobs:
+            if incarnation == requester or jobs < self._rules.least_jobs:
                 continue
             wait = 0.0
             for tally in rows.values():
                 curve = tally.at_risk()
-                wait += tally.entered / jobs * mean_wait(curve, int(min(horizon(curve), len(curve[0]))))
-            found.append(Spot(tenant, incarnation, site, jobs, int(wait / 1000)))
-        return sorted(found, key=lambda spot: (spot.wait, spot.incarnation))[:_SPOTS]
+                wait += (
+                    tally.entered
+                    / jobs
+                    * restricted_mean_wait(curve, int(min(horizon(curve), len(curve[0]))))
+                )
+            found.append(PartitionWait(tenant, incarnation, site, jobs, int(wait / 1000)))
+        return sorted(found, key=lambda partition_wait: (partition_wait.wait, partition_wait.incarnation))[
+            :MAX_PARTITION_WAITS
+        ]
 
-    def _answered(self, sender: Incarnation, message: Elsewhere) -> None:
-        mine = self._collectors.get(sender)
-        if mine != message.shards or not self._asked - self._rules.windows < message.asked <= self._asked:
+    def _on_reply(self, sender: Incarnation, message: WaitReportReply) -> None:
+        own_shards = self._collectors.get(sender)
+        if (
+            own_shards != message.shards
+            or not self._round_number - self._rules.windows < message.round_number <= self._round_number
+        ):
             self.dropped["not asked for"] += 1
             return
-        by_shard: dict[int, dict[Key, Tally]] = {shard: {} for shard in mine}
+        by_shard: dict[int, dict[RowKey, Tally]] = {shard: {} for shard in own_shards}
         for row in message.rows:
-            part, tally = by_shard.get(shard_of(row.tenant)), read(row)
+            part, tally = by_shard.get(shard_of(row.tenant)), parse_row(row)
             if part is None or tally is None:
                 self.dropped["unsound"] += 1
                 return
             part[row.tenant, row.job_class, row.size] = tally
         for shard, rows in by_shard.items():
-            old = self._answers.get((shard, sender))
-            if old is None or old.asked <= message.asked:
-                self._answers[shard, sender] = _Answer(
-                    message.asked, message.heard, message.taken, rows, message.spots
+            previous = self._replies.get((shard, sender))
+            if previous is None or previous.round_number <= message.round_number:
+                self._replies[shard, sender] = _CollectorReply(
+                    message.round_number,
+                    message.partition_count,
+                    message.taken,
+                    rows,
+                    message.partition_waits,
                 )
-        before, has = self._acknowledged.get(sender, (mine, frozenset()))
+        acknowledged_shards, acknowledged_windows = self._acknowledged.get(sender, (own_shards, frozenset()))
         self._acknowledged[sender] = (
-            mine,
-            frozenset(message.kept) | (has if before == mine else frozenset()),
+            own_shards,
+            frozenset(message.stored_windows)
+            | (acknowledged_windows if acknowledged_shards == own_shards else frozenset()),
         )
 
-    def _newest(self, now: int) -> dict[int, _Answer]:
+    def _best_replies(self, now: int) -> dict[int, _CollectorReply]:
         """The answer on each shard that has heard most, of this look or the one before."""
-        found: dict[int, _Answer] = {}
+        found: dict[int, _CollectorReply] = {}
         own = self._collectors.get(self._me.incarnation, ())
-        known = [(shard, answer) for (shard, _), answer in self._answers.items()]
+        candidates = [(shard, reply) for (shard, _), reply in self._replies.items()]
         for shard in own:
-            asks = self.verdicts.open()
-            mine = self._answer(
-                self._me.incarnation, self._asked, (shard,), [t for t in asks if shard_of(t) == shard]
+            starving_tenants = self.verdicts.open_tenants()
+            own_reply = self._build_reply(
+                self._me.incarnation,
+                self._round_number,
+                (shard,),
+                [t for t in starving_tenants if shard_of(t) == shard],
+            )
+            rows = self.collector.sums_of_others(shard, self._me.incarnation)
+            candidates.append(
+                (
+                    shard,
+                    _CollectorReply(
+                        self._round_number,
+                        own_reply.partition_count,
+                        own_reply.taken,
+                        rows,
+                        own_reply.partition_waits,
+                    ),
+                )
             )
-            rows = self.collected.others(shard, self._me.incarnation)
-            known.append((shard, _Answer(self._asked, mine.heard, mine.taken, rows, mine.spots)))
-        for shard, answer in known:
-            best = found.get(shard)
-            if answer.asked < self._asked - 1:
+        for shard, reply in candidates:
+            current = found.get(shard)
+            if reply.round_number < self._round_number - 1:
                 continue
-            if best is None or (answer.heard, answer.asked) > (best.heard, best.asked):
-                found[shard] = answer
+            if current is None or (reply.partition_count, reply.round_number) > (
+                current.partition_count,
+                current.round_number,
+            ):
+                found[shard] = reply
         return found
 
     # Verdicts
 
-    def _look(self, now: int) -> list[Action]:
+    def _assess(self, now: int) -> list[Action]:
         fleet = max(1, len(self._members.alive()))
-        answers = self._newest(now)
-        closed = list(self.book.closed)
-        whole = together(window.rows for window in closed)
-        elsewhere: dict[str, Elsewheres] = {}
-        for tenant in {key[0] for key in whole} - {REST}:
-            answer = answers.get(shard_of(tenant))
-            if answer is not None and fleet > 1:
-                rows = {key: tally for key, tally in answer.rows.items() if key[0] == tenant}
-                elsewhere[tenant] = Elsewheres(rows, answer.taken, min(1.0, answer.heard / fleet))
-        seconds = (closed[-1].ended - closed[0].began) / SECOND
-        over = self._shares.beyond(whole, seconds, elsewhere)
-        self.looks = look(self._rules, closed, whole, elsewhere, over, fleet)
+        replies = self._best_replies(now)
+        closed = list(self.recorder.closed)
+        all_rows = merge_windows(window.rows for window in closed)
+        elsewhere: dict[str, RemoteWaits] = {}
+        for tenant in {key[0] for key in all_rows} - {UNTRACKED_TENANT}:
+            reply = replies.get(shard_of(tenant))
+            if reply is not None and fleet > 1:
+                rows = {key: tally for key, tally in reply.rows.items() if key[0] == tenant}
+                elsewhere[tenant] = RemoteWaits(rows, reply.taken, min(1.0, reply.partition_count / fleet))
+        seconds = (closed[-1].ended_at - closed[0].began_at) / SECOND
+        over_share = self._shares.tenants_over_share(all_rows, seconds, elsewhere)
+        self.assessments = assess_tenants(self._rules, closed, all_rows, elsewhere, over_share, fleet)
         actions: list[Action] = []
-        for news in self.verdicts.looked(now, self.looks):
-            if isinstance(news, StarvationBegan):
-                self._unwritten[news.tenant] = news
-            elif self._unwritten.pop(news.tenant, None) is None:
-                actions += self._write(now, Change(records.VERDICT + news.tenant))[1]
-                actions.append(news)
-        for tenant, began in list(self._unwritten.items()):
+        for event in self.verdicts.update(now, self.assessments):
+            if isinstance(event, StarvationBegan):
+                self._unrecorded[event.tenant] = event
+            elif self._unrecorded.pop(event.tenant, None) is None:
+                actions += self._append_verdict(now, Change(records.VERDICT + event.tenant))[1]
+                actions.append(event)
+        for tenant, began in list(self._unrecorded.items()):
             record = msgspec.msgpack.encode(VerdictRecord(tenant, began.began_at, began.evidence))
-            written, more = self._write(now, Change(records.VERDICT + tenant, record))
+            written, more = self._append_verdict(now, Change(records.VERDICT + tenant, record))
             if written:  # else again at the next look
-                del self._unwritten[tenant]
+                del self._unrecorded[tenant]
                 actions += [*more, began]
-        if self._rules.move and self._transfer is not None and self.verdicts.open():
+        if self._rules.move and self._transfer is not None and self.verdicts.open_tenants():
             self._move_at = min(self._move_at, now)
         return actions
 
-    def _write(self, now: int, change: Change) -> tuple[int, list[Action]]:
+    def _append_verdict(self, now: int, change: Change) -> tuple[int, list[Action]]:
         return self._ledgers.append(now, job_ledger(self._me.incarnation), [change])
 
     def _move(self, now: int) -> list[Action]:
         """The remedy, once a second while a tenant starves."""
-        starving = self.verdicts.open()
+        starving = self.verdicts.open_tenants()
         self._move_at = now + SECOND if starving else NEVER
         actions: list[Action] = []
         if self._transfer is None:
             return actions
-        answers = self._newest(now)
+        replies = self._best_replies(now)
         for tenant in starving:
-            seen, answer = self.looks.get(tenant), answers.get(shard_of(tenant))
-            if seen is None or seen.evidence is None or answer is None:
+            assessment, reply = self.assessments.get(tenant), replies.get(shard_of(tenant))
+            if assessment is None or assessment.evidence is None or reply is None:
                 continue
-            spots = [spot for spot in answer.spots if spot.tenant == tenant]
-            held = self._transfer.held(tenant)
-            for move in self.mover.decide(now, tenant, seen.evidence.wait * 1000, held, spots):
+            partition_waits = [
+                partition_wait for partition_wait in reply.partition_waits if partition_wait.tenant == tenant
+            ]
+            waiting_jobs = self._transfer.waiting_jobs(tenant)
+            for move in self.move_planner.plan(
+                now, tenant, assessment.evidence.wait * 1000, waiting_jobs, partition_waits
+            ):
                 actions += self._transfer.transfer(now, move.id, move.to)
         return actions
--- a/ironbarrow/fleet/starvation/waits.py
+++ b/ironbarrow/fleet/starvation/waits.py
@@ -12,24 +12,24 @@
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.invariants import check
 from ironbarrow.fleet.starvation.tables import (
-    REST,
+    UNTRACKED_TENANT,
     Curve,
-    Key,
     Row,
+    RowKey,
     Tally,
-    add_up,
+    add_rows,
     bucket_of,
-    row_of,
+    row_from_tally,
     size_of,
     sums_by_stratum,
 )
 
-_CANDIDATES = 4  # times as many tenants as a table has are weighed for the next one
+_CANDIDATE_FACTOR = 4  # times as many tenants as a table has are weighed for the next one
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 @dataclass(slots=True, eq=False)
-class _Job:
+class _TrackedJob:
     since: int
     tenant: str
     job_class: str
@@ -38,24 +38,24 @@
 
 
 @dataclass(slots=True, eq=False)
-class Closed:
+class ClosedWindow:
     """A window that is over. Rows under the tenant ``REST`` are those of no tenant, or of one beyond the
     bounds; they stay here and count in the comparison with others."""
 
     number: int
-    began: int
-    ended: int
-    rows: dict[Key, Tally]
-    curves: dict[Key, Curve]
+    began_at: int
+    ended_at: int
+    rows: dict[RowKey, Tally]
+    curves: dict[RowKey, Curve]
     sums: dict[tuple[str, int], Curve]  # of all tenants, by class and size
-    folded: int = 0  # tenants whose rows went to the rest, since the table would have been too large
+    folded_tenants: int = 0  # tenants whose rows went to the rest, since the table would have been too large
 
     @property
     def taken(self) -> int:
         return sum(tally.taken for tally in self.rows.values())
 
 
-class WaitBook:
+class WaitRecorder:
     """The waits of one partition, told by the host. Bounded by the jobs that wait and by the rules' tenants.
 
     Tenants of a table: as long as there is room, each that comes; beyond that those with the most jobs in the
@@ -64,14 +64,14 @@
 
     def __init__(self, rules: StarvationRules, now: int) -> None:
         self._rules = rules
-        self._jobs: dict[int, _Job] = {}
-        self._rows: dict[Key, Tally] = {}
+        self._jobs: dict[int, _TrackedJob] = {}
+        self._rows: dict[RowKey, Tally] = {}
         self._weights: dict[str, float] = {}
         self._tracked: set[str] = set()
-        self._began = now
+        self._began_at = now
         self._number = 0
-        self._entered = self._left = 0  # in this window, counted beside the rows
-        self.closed: deque[Closed] = deque(maxlen=rules.windows)
+        self._entered = self._exited = 0  # in this window, counted beside the rows
+        self.closed: deque[ClosedWindow] = deque(maxlen=rules.windows)
 
     # What the host tells
 
@@ -82,98 +82,106 @@
         not run it, or from another dispatcher."""
         if number in self._jobs:
             return
-        name = tenant or REST
+        name = tenant or UNTRACKED_TENANT
         since = min(since, now)
-        if name != REST:
-            self._weigh(name)
+        if name != UNTRACKED_TENANT:
+            self._count_arrival(name)
         size = size_of(slots)
-        tally = self._enter(now, since, name, job_class, size, since == now)
-        self._jobs[number] = _Job(since, name, job_class, size, tally)
+        tally = self._count_entry(now, since, name, job_class, size, since == now)
+        self._jobs[number] = _TrackedJob(since, name, job_class, size, tally)
 
     def started(self, now: int, number: int) -> None:
         """It has started; nothing if it does not wait."""
         job = self._jobs.pop(number, None)
         if job is not None:
             job.tally.started[bucket_of(now - job.since)] += 1
-            self._left += 1
+            self._exited += 1
 
     def ended(self, now: int, number: int) -> None:
         """Nothing more is owed of it here; if it still waits, its wait is censored."""
         job = self._jobs.pop(number, None)
         if job is not None:
             job.tally.censored[bucket_of(now - job.since)] += 1
-            self._left += 1
+            self._exited += 1
 
-    def _weigh(self, tenant: str) -> None:
-        if tenant in self._weights or len(self._weights) < _CANDIDATES * self._rules.tenants:
+    def _count_arrival(self, tenant: str) -> None:
+        if tenant in self._weights or len(self._weights) < _CANDIDATE_FACTOR * self._rules.tenants:
             self._weights[tenant] = self._weights.get(tenant, 0.0) + 1
             if len(self._tracked) < self._rules.tenants:
                 self._tracked.add(tenant)
 
-    def _enter(self, now: int, since: int, tenant: str, job_class: str, size: int, new: bool) -> Tally:
-        key = (tenant if tenant in self._tracked else REST, job_class, size)
+    def _count_entry(
+        self, now: int, since: int, tenant: str, job_class: str, size: int, is_new: bool
+    ) -> Tally:
+        key = (tenant if tenant in self._tracked else UNTRACKED_TENANT, job_class, size)
         tally = self._rows.get(key)
         if tally is None:
             tally = self._rows[key] = Tally()
         self._entered += 1
-        if new:
+        if is_new:
             tally.taken += 1
         else:
-            tally.late[bucket_of(now - since)] += 1
+            tally.delayed[bucket_of(now - since)] += 1
         return tally
 
     # Windows
 
-    def close(self, now: int) -> Closed:
+    def close(self, now: int) -> ClosedWindow:
         """Ends the window; those that still wait are carried on into the next."""
         for job in self._jobs.values():
             job.tally.waiting[bucket_of(now - job.since)] += 1
-        rows, folded = self._fit(self._rows)
+        rows, folded_tenants = self._fit_to_size(self._rows)
         curves = {key: tally.at_risk() for key, tally in rows.items()}
-        window = Closed(self._number, self._began, now, rows, curves, sums_by_stratum(curves), folded)
+        window = ClosedWindow(
+            self._number, self._began_at, now, rows, curves, sums_by_stratum(curves), folded_tenants
+        )
         check(
             "sums of tables conserved",
-            all(tally.entered == tally.left for tally in rows.values())
+            all(tally.entered == tally.exited for tally in rows.values())
             and sum(tally.entered for tally in rows.values()) == self._entered
-            and sum(tally.left for tally in rows.values()) == self._left + len(self._jobs),
+            and sum(tally.exited for tally in rows.values()) == self._exited + len(self._jobs),
             window=self._number,
             entered=self._entered,
-            left=self._left,
+            exited=self._exited,
             waiting=len(self._jobs),
         )
         self.closed.append(window)
         self._number += 1
-        self._began, self._rows, self._entered, self._left = now, {}, 0, 0
-        heavy = sorted(self._weights, key=lambda t: (-self._weights[t], t not in self._tracked, t))
-        self._tracked = set(heavy[: self._rules.tenants])
+        self._began_at, self._rows, self._entered, self._exited = now, {}, 0, 0
+        by_weight = sorted(self._weights, key=lambda t: (-self._weights[t], t not in self._tracked, t))
+        self._tracked = set(by_weight[: self._rules.tenants])
         self._weights = {t: weight / 2 for t, weight in self._weights.items() if weight >= 1}
         self._tracked &= self._weights.keys()
         for job in self._jobs.values():
-            job.tally = self._enter(now, job.since, job.tenant, job.job_class, job.size, False)
+            job.tally = self._count_entry(now, job.since, job.tenant, job.job_class, job.size, False)
         return window
 
-    def _fit(self, rows: dict[Key, Tally]) -> tuple[dict[Key, Tally], int]:
+    def _fit_to_size(self, rows: dict[RowKey, Tally]) -> tuple[dict[RowKey, Tally], int]:
         """Rows within the bound in bytes: those of the lightest tenants go to the rest, where they are
         counted."""
-        sizes: dict[str, int] = {}
+        encoded_sizes: dict[str, int] = {}
         jobs: dict[str, int] = {}
         for key, tally in rows.items():
-            if key[0] != REST:
-                sizes[key[0]] = sizes.get(key[0], 0) + len(_ENCODER.encode(row_of(key, tally)))
+            if key[0] != UNTRACKED_TENANT:
+                encoded_sizes[key[0]] = encoded_sizes.get(key[0], 0) + len(
+                    _ENCODER.encode(row_from_tally(key, tally))
+                )
                 jobs[key[0]] = jobs.get(key[0], 0) + tally.entered
-        left, over = sum(sizes.values()), set[str]()
+        total_bytes, folded = sum(encoded_sizes.values()), set[str]()
         for tenant in sorted(jobs, key=lambda t: (jobs[t], t)):
-            if left <= self._rules.table_bytes:
+            if total_bytes <= self._rules.table_bytes:
                 break
-            left -= sizes[tenant]
-            over.add(tenant)
-        if not over:
+            total_bytes -= encoded_sizes[tenant]
+            folded.add(tenant)
+        if not folded:
             return rows, 0
-        kept = {key: tally for key, tally in rows.items() if key[0] not in over}
-        add_up((((REST, k[1], k[2]), t) for k, t in rows.items() if k[0] in over), kept)
-        return kept, len(over)
+        kept = {key: tally for key, tally in rows.items() if key[0] not in folded}
+        add_rows((((UNTRACKED_TENANT, k[1], k[2]), t) for k, t in rows.items() if k[0] in folded), kept)
+        return kept, len(folded)
 
 
-def rows_to_send(window: Closed) -> list[Row]:
+def rows_to_send(window: ClosedWindow) -> list[Row]:
     """The rows of tenants, as others are sent them."""
-    return [row_of(key, tally) for key, tally in sorted(window.rows.items()) if key[0] != REST]
+    return [
+        row_from_tally(key, tally) for key, tally in sorted(window.rows.items()) if key[0] != UNTRACKED_TENANT
+    ]
--- a/ironbarrow/fleet/takeover/process.py
+++ b/ironbarrow/fleet/takeover/process.py
@@ -82,17 +82,17 @@
 
     def _compare_waits(self, service: FleetService, rules: StarvationRules, now: int) -> None:
         """This dispatcher's waits are compared with those at the others."""
-        from ironbarrow.fleet.starvation.machine import Shares, StarvationMachine
+        from ironbarrow.fleet.starvation.machine import StarvationMachine, TenantShares
 
         settings = self._host.settings
-        shares = Shares({t.name: t.allowance_per_s / settings.dispatchers for t in settings.tenants})
+        shares = TenantShares({t.name: t.allowance_per_s / settings.dispatchers for t in settings.tenants})
         if rules.move and self.waits is None:
             log.warning("starvation.move: jobs are not moved yet, verdicts alone are given")
-        book = self.waits.book if self.waits is not None else None
+        book = self.waits.recorder if self.waits is not None else None
         self.waits = StarvationMachine(
-            service.members.me, service.members, self.ledgers, rules, shares, now, book=book
+            service.members.me, service.members, self.ledgers, rules, shares, now, recorder=book
         )
-        self._host.waits = self.waits.book
+        self._host.waits = self.waits.recorder
         service.add(self.waits)
 
     def _told(self, news: News) -> None:
--- a/ironbarrow/lab/capacity/counting.py
+++ b/ironbarrow/lab/capacity/counting.py
@@ -9,7 +9,7 @@
 from ironbarrow.fleet.ledgers.messages import Append
 from ironbarrow.fleet.members.messages import Ack, Ping, PingRequest, RumourBatch, Sync
 from ironbarrow.fleet.rollout.commands import Observed
-from ironbarrow.fleet.starvation.tables import Elsewhere, Waits
+from ironbarrow.fleet.starvation.tables import WaitReport, WaitReportReply
 from ironbarrow.lab.fleet.net import SimulatedNet
 
 REGIONS = ("north", "south")
@@ -51,9 +51,9 @@
         return len(message.states)
     if isinstance(message, Append):
         return len(message.changes)
-    if isinstance(message, Waits):
+    if isinstance(message, WaitReport):
         return sum(len(window.rows) for window in message.windows)
-    if isinstance(message, Elsewhere):
+    if isinstance(message, WaitReportReply):
         return len(message.rows)
     if isinstance(message, Observed):
         return len(message.counts) + len(message.loads)
--- a/ironbarrow/lab/capacity/waits.py
+++ b/ironbarrow/lab/capacity/waits.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from ironbarrow.fleet.file import StarvationRules
-from ironbarrow.fleet.starvation.tables import REST, Elsewhere, Waits
+from ironbarrow.fleet.starvation.tables import UNTRACKED_TENANT, WaitReport, WaitReportReply
 from ironbarrow.lab.capacity.counting import Sent, metered, zone_of
 from ironbarrow.lab.fleet.starved import Event, Fleet
 from ironbarrow.runtime.clock import MS
@@ -69,18 +69,18 @@
     windows of ``warm_up``."""
     rules = rules or StarvationRules(least_jobs=_NO_LOOK)
     fleet = waits_fleet(dispatchers, tenants, per_window, warm_up + windows + 1, rules)
-    traffic = metered(fleet.net, (Waits, Elsewhere))
+    traffic = metered(fleet.net, (WaitReport, WaitReportReply))
     fleet.net.run(warm_up * rules.window)
     traffic.clear()
     fleet.net.run(windows * rules.window)
-    closed = next(iter(fleet.machines.values())).book.closed[-1]
-    judged = {tenant for tenant, _, _ in closed.rows} - {REST}
+    closed = next(iter(fleet.machines.values())).recorder.closed[-1]
+    judged = {tenant for tenant, _, _ in closed.rows} - {UNTRACKED_TENANT}
     return WaitsCount(
         dispatchers,
         tenants,
         windows,
-        traffic.of_kinds(Waits),
-        traffic.of_kinds(Elsewhere),
+        traffic.of_kinds(WaitReport),
+        traffic.of_kinds(WaitReportReply),
         len(judged),
         traffic.most_of_a_sender().bytes,
     )
--- a/ironbarrow/lab/fleet/starved.py
+++ b/ironbarrow/lab/fleet/starved.py
@@ -15,8 +15,8 @@
 from ironbarrow.fleet.codec import Codec
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.node import Node
-from ironbarrow.fleet.starvation.machine import Shares, StarvationMachine
-from ironbarrow.fleet.starvation.tables import Elsewhere, Waits
+from ironbarrow.fleet.starvation.machine import StarvationMachine, TenantShares
+from ironbarrow.fleet.starvation.tables import WaitReport, WaitReportReply
 from ironbarrow.fleet.starvation.verdict import StarvationBegan, StarvationEnded
 from ironbarrow.lab.fleet.net import Seat, SimulatedNet
 from ironbarrow.lab.sim.clock import SimulatedClock
@@ -341,7 +341,7 @@
     ) -> None:
         self.clock = SimulatedClock()
         self.begins = self.clock.now()
-        self.net = SimulatedNet(self.clock, Codec((Waits, Elsewhere)), seed)
+        self.net = SimulatedNet(self.clock, Codec((WaitReport, WaitReportReply)), seed)
         self.machines: dict[str, StarvationMachine] = {}
         self.pages: dict[str, Pages] = {}
         place = {name: number for number, name in enumerate(sites)}
@@ -353,7 +353,9 @@
             members = AllThere(card, cards)
             # their windows end at different times
             began = self.begins - place[seat.name] * rules.window // len(sites)
-            machine = StarvationMachine(card, members, pages, rules, Shares(shares.get(seat.name, {})), began)
+            machine = StarvationMachine(
+                card, members, pages, rules, TenantShares(shares.get(seat.name, {})), began
+            )
             self.machines[seat.name] = machine
             node.add([machine])
 
@@ -370,11 +372,11 @@
             machine, now = self.machines.get(name), self.clock.now()
             if machine is not None:
                 if what == 0:
-                    machine.book.waiting(now, number, now, tenant, job_class, slots)
+                    machine.recorder.waiting(now, number, now, tenant, job_class, slots)
                 elif what == 1:
-                    machine.book.started(now, number)
+                    machine.recorder.started(now, number)
                 else:
-                    machine.book.ended(now, number)
+                    machine.recorder.ended(now, number)
             following = next(coming, None)
             if following is not None:
                 self.clock.call_at(self.begins + following[0], step, following)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -250,7 +250,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     broken = mutant(
-        starvation_machine, ("row for shard, row in rows if shard in some", "row for shard, row in rows")
+        starvation_machine,
+        ("row for shard, row in rows if shard in owned_shards", "row for shard, row in rows"),
     )
     monkeypatch.setattr(starved, "StarvationMachine", broken.StarvationMachine)
     found = rows_by_dispatchers()
--- a/tests/test_fleet_starvation.py
+++ b/tests/test_fleet_starvation.py
@@ -17,10 +17,10 @@
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.invariants import INVARIANTS, InvariantError
 from ironbarrow.fleet.starvation import tables, verdict, waits
-from ironbarrow.fleet.starvation.job_moves import MOST, Held, Mover
-from ironbarrow.fleet.starvation.machine import Shares, VerdictRecord
-from ironbarrow.fleet.starvation.tables import BUCKETS, Collected, Row, Tally, Waits, Window
-from ironbarrow.fleet.starvation.verdict import Evidence, Look, State, Verdicts
+from ironbarrow.fleet.starvation.job_moves import MAX_MOVES_AT_ONCE, MovePlanner, WaitingJob
+from ironbarrow.fleet.starvation.machine import TenantShares, VerdictRecord
+from ironbarrow.fleet.starvation.tables import BUCKET_COUNT, Row, Tally, WaitCollector, WaitReport, Window
+from ironbarrow.fleet.starvation.verdict import Assessment, Evidence, TenantState, Verdicts
 from ironbarrow.lab.fleet import starved
 from ironbarrow.lab.model.spec import load_world
 from ironbarrow.lab.sim.run import Simulation
@@ -37,7 +37,7 @@
 # Oracles
 
 
-def _curve(times, started, bounds):
+def _life_curve(times, started, bounds):
     """A group's curve over buckets of those bounds."""
     tally = Tally(len(times))
     for time, event in zip(times, started, strict=True):
@@ -51,36 +51,36 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_log_rank_and_survival_are_scipys_in_fine_buckets(seed):
-    draw = np.random.default_rng(seed)
+    rng = np.random.default_rng(seed)
     groups = []
-    for size in draw.integers(8, 120, 2):
-        times = draw.exponential(draw.uniform(0.5, 2), size)
-        limits = draw.exponential(2, size)
+    for size in rng.integers(8, 120, 2):
+        times = rng.exponential(rng.uniform(0.5, 2), size)
+        limits = rng.exponential(2, size)
         groups.append((np.minimum(times, limits), times <= limits))
     bounds = np.concatenate([[0.0], np.sort(np.concatenate([g[0] for g in groups]))])  # one time a bucket
-    curves = [_curve(*group, bounds) for group in groups]
+    curves = [_life_curve(*group, bounds) for group in groups]
     ours = verdict.logrank([(curves[0], curves[1])])
     theirs = stats.logrank(_censored(*groups[0]), _censored(*groups[1]), alternative="less")
     assert ours.z == pytest.approx(-theirs.statistic, rel=1e-9)  # the sign: longer waits are above 0
     assert ours.p == pytest.approx(theirs.pvalue, rel=1e-9)
     for group, curve in zip(groups, curves, strict=True):
-        found = verdict.survival(curve)
+        found = verdict.survival_curve(curve)
         ecdf = stats.ecdf(_censored(*group)).sf
         assert found == pytest.approx(list(ecdf.evaluate(bounds[: len(found)])), abs=1e-9)
         steps = [0.0, *group[0]]  # the area, with starts at their time: ours has them half a bucket later
         area = sum(ecdf.evaluate(a) * (b - a) for a, b in pairwise(sorted(steps)))
         most = np.diff(bounds).max()
-        assert verdict.mean_wait(curve, len(found), list(bounds)) == pytest.approx(area, abs=most)
+        assert verdict.restricted_mean_wait(curve, len(found), list(bounds)) == pytest.approx(area, abs=most)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_the_buckets_in_use_lose_little_of_the_log_rank_test(seed):
-    draw = np.random.default_rng(100 + seed)
+    rng = np.random.default_rng(100 + seed)
     groups = []
     for slower in (2.0, 1.0):
-        wanted, limits = draw.exponential(slower, 200), draw.exponential(3, 200)
+        wanted, limits = rng.exponential(slower, 200), rng.exponential(3, 200)
         groups.append((np.minimum(wanted, limits) * SECOND, wanted <= limits))
-    ours = verdict.logrank([tuple(_curve(*group, tables.BOUNDS) for group in groups)])
+    ours = verdict.logrank([tuple(_life_curve(*group, tables.BUCKET_BOUNDS) for group in groups)])
     theirs = stats.logrank(_censored(*groups[0]), _censored(*groups[1]))
     assert ours.z == pytest.approx(abs(theirs.statistic), rel=0.1)
 
@@ -100,163 +100,167 @@
 )
 
 
-def _played(events, rules=RULES):
+def _recorded(events, rules=RULES):
     """A book after those events, its windows, and what became of each job's stay: (entered at, ended as)."""
-    book, now, closed = waits.WaitBook(rules, 0), 0, []
+    recorder, now, closed = waits.WaitRecorder(rules, 0), 0, []
     waiting, ends = {}, Counter()
     for what, number, later, tenant, job_class, slots in [*events, ("close", 0, 1, None, "map", 1.0)]:
         now += later * MS
         if what in ("wait", "back") and number not in waiting:
             waiting[number] = since = now if what == "wait" else max(0, now - 700 * MS)
-            book.waiting(now, number, since, tenant, job_class, slots)
+            recorder.waiting(now, number, since, tenant, job_class, slots)
             ends["entered"] += 1
         elif what == "start" and number in waiting:
             ends["started", tables.bucket_of(now - waiting.pop(number))] += 1
-            book.started(now, number)
+            recorder.started(now, number)
         elif what == "end" and number in waiting:
             ends["censored", tables.bucket_of(now - waiting.pop(number))] += 1
-            book.ended(now, number)
+            recorder.ended(now, number)
         elif what == "close":
-            closed.append(book.close(now))
+            closed.append(recorder.close(now))
     for since in waiting.values():
         ends["waiting", tables.bucket_of(now - since)] += 1
-    return book, closed, ends
+    return recorder, closed, ends
 
 
 @given(EVENTS)
 def test_windows_put_together_are_the_waits_as_they_were(events):
     """Carried on over windows, each stay is one job at risk, in whichever rows it was."""
-    _, closed, ends = _played(events, msgspec.structs.replace(RULES, windows=200, tenants=2))
+    _, closed, ends = _recorded(events, msgspec.structs.replace(RULES, windows=200, tenants=2))
     whole = Tally()
     for window in closed:
         merged = Tally()
         for tally in window.rows.values():
             merged.add(tally)
-        whole.follow(merged)
+        whole.append_later(merged)
     for name in ("started", "censored", "waiting"):
-        assert getattr(whole, name) == Counter({b: n for (what, b), n in _pairs(ends) if what == name})
-    assert whole.entered == whole.left == ends["entered"]
+        assert getattr(whole, name) == Counter(
+            {b: n for (what, b), n in _counts_by_bucket(ends) if what == name}
+        )
+    assert whole.entered == whole.exited == ends["entered"]
     assert sum(window.taken for window in closed) == whole.taken
 
 
-def _pairs(ends):
+def _counts_by_bucket(ends):
     return [(key, n) for key, n in ends.items() if isinstance(key, tuple)]
 
 
 @pytest.mark.parametrize("bounds", [{"tenants": 3}, {"table_bytes": 200}])
 def test_a_table_is_bounded_and_what_is_beyond_is_counted(bounds):
     rules = msgspec.structs.replace(RULES, **bounds)
-    book, draw, number = waits.WaitBook(rules, 0), random.Random(4), 0
+    recorder, rng, number = waits.WaitRecorder(rules, 0), random.Random(4), 0
     for window in range(6):
         for _ in range(400):
             number += 1
             at = window * 5 * SECOND + number * MS
-            heavy = draw.random() < 0.5
-            tenant = draw.choice("xyz") if heavy else f"t{draw.randrange(5000)}"
-            book.waiting(at, number, at, tenant, "map", 1.0)
-            book.started(at + 5 * MS, number)
-        closed = book.close((window + 1) * 5 * SECOND)
+            heavy = rng.random() < 0.5
+            tenant = rng.choice("xyz") if heavy else f"t{rng.randrange(5000)}"
+            recorder.waiting(at, number, at, tenant, "map", 1.0)
+            recorder.started(at + 5 * MS, number)
+        closed = recorder.close((window + 1) * 5 * SECOND)
         assert sum(t.entered for t in closed.rows.values()) == 400
     tenants = {key[0] for key in closed.rows} - {""}
     assert {"x", "y", "z"} <= tenants  # the heavy ones are kept
     rows = waits.rows_to_send(closed)
     assert sum(len(msgspec.msgpack.encode(row)) for row in rows) <= rules.table_bytes
     assert len(tenants) <= rules.tenants
-    assert len(book._weights) <= 4 * rules.tenants
+    assert len(recorder._weights) <= 4 * rules.tenants
 
 
 def _messages(seed):
     """Windows of three partitions, some in two versions."""
-    draw, found = random.Random(seed), []
+    rng, found = random.Random(seed), []
     for name in "pqr":
-        for number in range(draw.randrange(1, 5)):
-            for version in range(1, draw.randrange(2, 4)):
+        for number in range(rng.randrange(1, 5)):
+            for version in range(1, rng.randrange(2, 4)):
                 rows = []
-                for tenant in draw.sample(["a", "b", "c"], draw.randrange(3)):
+                for tenant in rng.sample(["a", "b", "c"], rng.randrange(3)):
                     tally = Tally(0)
-                    for _ in range(draw.randrange(1, 6)):
+                    for _ in range(rng.randrange(1, 6)):
                         tally.taken += 1
-                        draw.choice([tally.started, tally.censored, tally.waiting])[
-                            draw.randrange(BUCKETS)
+                        rng.choice([tally.started, tally.censored, tally.waiting])[
+                            rng.randrange(BUCKET_COUNT)
                         ] += 1
-                    rows.append(tables.row_of((tenant, "map", 0), tally))
-                shards = tuple(range(tables.SHARDS))
+                    rows.append(tables.row_from_tally((tenant, "map", 0), tally))
+                shards = tuple(range(tables.SHARD_COUNT))
                 window = Window(number, version, len(rows), tuple(rows))
-                found.append((Incarnation(name, 1), Waits("s", 1, shards, (window,))))
+                found.append((Incarnation(name, 1), WaitReport("s", 1, shards, (window,))))
     return found
 
 
-def _state(collected):
+def _collector_state(collector):
     return {
         (shard, incarnation): (
-            collected.kept(shard, incarnation),
-            collected._kept[shard][incarnation].taken,
-            _flat(shard, collected, incarnation),
+            collector.window_numbers(shard, incarnation),
+            collector._by_shard[shard][incarnation].taken,
+            _rows_of_others(shard, collector, incarnation),
         )
-        for shard in range(tables.SHARDS)
-        for incarnation in collected.heard(shard)
+        for shard in range(tables.SHARD_COUNT)
+        for incarnation in collector.reporting_partitions(shard)
     }
 
 
-def _flat(shard, collected, incarnation):
-    return sorted(tables.row_of(k, t) for k, t in collected.others(shard, incarnation).items())
+def _rows_of_others(shard, collector, incarnation):
+    return sorted(
+        tables.row_from_tally(k, t) for k, t in collector.sums_of_others(shard, incarnation).items()
+    )
 
 
 def _collect(messages):
-    collected = Collected(3, 5 * SECOND)
+    collector = WaitCollector(3, 5 * SECOND)
     for sender, message in messages:
-        collected.take(7, sender, message)
-    return collected
+        collector.add_report(7, sender, message)
+    return collector
 
 
 @pytest.mark.parametrize("seed", range(25))
 def test_what_is_collected_is_the_same_in_any_order_and_however_often_it_comes(seed):
-    messages, draw = _messages(seed), random.Random(seed)
-    wanted = _state(_collect(messages))
+    messages, rng = _messages(seed), random.Random(seed)
+    wanted = _collector_state(_collect(messages))
     for _ in range(4):
-        again = messages + draw.choices(messages, k=len(messages))
-        draw.shuffle(again)
-        assert _state(_collect(again)) == wanted
+        again = messages + rng.choices(messages, k=len(messages))
+        rng.shuffle(again)
+        assert _collector_state(_collect(again)) == wanted
     for few in permutations(messages[:4]):
-        assert _state(_collect(few)) == _state(_collect(messages[:4]))
+        assert _collector_state(_collect(few)) == _collector_state(_collect(messages[:4]))
 
 
 @settings(max_examples=60)
 @given(st.binary(max_size=60), st.lists(st.integers(-3, 50), max_size=8), st.integers(-2, 5))
 def test_unsound_rows_are_dropped_and_change_nothing(tenant, hist, taken):
-    collected = _collect(_messages(1))
-    before = _state(collected)
+    collector = _collect(_messages(1))
+    before = _collector_state(collector)
     row = Row(repr(tenant), "map", 0, taken, (), tuple(hist), (), ())
-    message = Waits("s", 1, tuple(range(tables.SHARDS)), (Window(0, 9, 1, (row,)),))
-    sound = tables.read(row) is not None
+    message = WaitReport("s", 1, tuple(range(tables.SHARD_COUNT)), (Window(0, 9, 1, (row,)),))
+    sound = tables.parse_row(row) is not None
     assert not sound or (taken == sum(hist[1::2]) and len(hist) % 2 == 0)
-    collected.take(7, Incarnation("p", 1), message)
+    collector.add_report(7, Incarnation("p", 1), message)
     if not sound:
-        assert collected.dropped["unsound"] == 1
-        rest = {k: v for k, v in _state(collected).items() if k[1] != Incarnation("p", 1)}
+        assert collector.dropped["unsound"] == 1
+        rest = {k: v for k, v in _collector_state(collector).items() if k[1] != Incarnation("p", 1)}
         assert {k: v[:2] for k, v in rest.items()} == {
             k: v[:2] for k, v in before.items() if k[1] != Incarnation("p", 1)
         }
 
 
 def test_a_dead_partitions_windows_run_out():
-    collected = _collect(_messages(3))
-    assert any(collected.heard(shard) for shard in range(tables.SHARDS))
-    collected.expire(7 + 4 * 5 * SECOND - 1)
-    assert any(collected.heard(shard) for shard in range(tables.SHARDS))
-    collected.expire(7 + 4 * 5 * SECOND)
-    assert not any(collected.heard(shard) for shard in range(tables.SHARDS))
-    assert all(not sums for sums in collected._sums.values())
+    collector = _collect(_messages(3))
+    assert any(collector.reporting_partitions(shard) for shard in range(tables.SHARD_COUNT))
+    collector.expire(7 + 4 * 5 * SECOND - 1)
+    assert any(collector.reporting_partitions(shard) for shard in range(tables.SHARD_COUNT))
+    collector.expire(7 + 4 * 5 * SECOND)
+    assert not any(collector.reporting_partitions(shard) for shard in range(tables.SHARD_COUNT))
+    assert all(not sums for sums in collector._sums.values())
 
 
 def test_sums_that_are_not_conserved_are_caught(monkeypatch):
     """Mutants: a start that is not counted; a repeat that is."""
     with monkeypatch.context() as broken:
-        broken.setattr(waits.WaitBook, "started", lambda self, now, number: self._jobs.pop(number, None))
+        broken.setattr(waits.WaitRecorder, "started", lambda self, now, number: self._jobs.pop(number, None))
         with pytest.raises(InvariantError, match="sums of tables conserved"):
-            _played([("wait", 1, 1, "a", "map", 1.0), ("start", 1, 1, "a", "map", 1.0)])
-    add_up = tables.add_up
-    monkeypatch.setattr(tables, "add_up", lambda rows, into, sign=1: add_up(rows, into, 1))
+            _recorded([("wait", 1, 1, "a", "map", 1.0), ("start", 1, 1, "a", "map", 1.0)])
+    add_rows = tables.add_rows
+    monkeypatch.setattr(tables, "add_rows", lambda rows, into, sign=1: add_rows(rows, into, 1))
     with pytest.raises(InvariantError, match="sums of tables conserved"):
         _collect(_messages(2))
 
@@ -265,21 +269,21 @@
 
 _EVIDENCE = Evidence("", 50, 50, 50, 9, 0, 9, 0, 5.0, 5.0, 900_000, 1, 1.0)
 _NEAR = msgspec.structs.replace(_EVIDENCE, times_others=1.8)
-_LOOKS = {
-    "starved": Look(State.STARVED, _EVIDENCE),
-    "near": Look(State.FINE, _NEAR),
-    "fine": Look(State.FINE, msgspec.structs.replace(_EVIDENCE, times_elsewhere=1.0)),
-    "few": Look(State.FEW),
-    "unseen": Look(State.UNSEEN),
+_ASSESSMENTS = {
+    "starved": Assessment(TenantState.STARVED, _EVIDENCE),
+    "near": Assessment(TenantState.NOT_STARVED, _NEAR),
+    "fine": Assessment(TenantState.NOT_STARVED, msgspec.structs.replace(_EVIDENCE, times_elsewhere=1.0)),
+    "few": Assessment(TenantState.TOO_FEW_JOBS),
+    "unseen": Assessment(TenantState.TOO_FEW_REPORTS),
 }
 
 
-@given(st.lists(st.sampled_from(sorted(_LOOKS)), max_size=60))
-def test_a_verdict_begins_and_ends_once(looks):
+@given(st.lists(st.sampled_from(sorted(_ASSESSMENTS)), max_size=60))
+def test_a_verdict_begins_and_ends_once(assessments):
     verdicts, open_at, ended_at = Verdicts("p", RULES), None, -99
-    for number, name in enumerate(looks):
-        for news in verdicts.looked(number + 1, {"a": _LOOKS[name]}):
-            counted = [n for n in looks[: number + 1] if n != "unseen"]
+    for number, name in enumerate(assessments):
+        for news in verdicts.update(number + 1, {"a": _ASSESSMENTS[name]}):
+            counted = [n for n in assessments[: number + 1] if n != "unseen"]
             if isinstance(news, verdict.StarvationBegan):
                 assert open_at is None and number - ended_at > RULES.windows
                 assert counted[-RULES.lasting :] == ["starved"] * RULES.lasting
@@ -288,32 +292,32 @@
                 assert news.began_at == open_at
                 assert not {"starved", "near"} & set(counted[-2 * RULES.lasting :])
                 open_at, ended_at = None, number
-        assert verdicts.open() == (["a"] if open_at else [])
+        assert verdicts.open_tenants() == (["a"] if open_at else [])
 
 
 def test_a_verdict_that_begins_twice_is_caught(monkeypatch):
     end = Verdicts._end
 
-    def forgetful(self, now, tenant, about, why):
-        about.ended -= 1
-        return end(self, now, tenant, about, why)
+    def forgetful(self, now, tenant, record, reason):
+        record.end_count -= 1
+        return end(self, now, tenant, record, reason)
 
     monkeypatch.setattr(Verdicts, "_end", forgetful)
     verdicts = Verdicts("p", RULES)
     with pytest.raises(InvariantError, match="begins and ends once"):
         for number, name in enumerate(["starved"] * 3 + ["fine"] * 5):
-            verdicts.looked(number + 1, {"a": _LOOKS[name]})
+            verdicts.update(number + 1, {"a": _ASSESSMENTS[name]})
 
 
 def test_holm_keeps_the_chance_of_a_false_alarm():
-    draw = np.random.default_rng(1)
+    rng = np.random.default_rng(1)
     alarms = sum(
-        bool(verdict.holm({("t", str(i)): p for i, p in enumerate(draw.random(40))}, 0.05, 40))
+        bool(verdict.holm_rejected({("t", str(i)): p for i, p in enumerate(rng.random(40))}, 0.05, 40))
         for _ in range(2000)
     )
     assert 60 < alarms < 140  # 0.05 of 2000 is 100
     chances = {("t", "a"): 0.001, ("t", "b"): 0.02, ("t", "c"): 0.5}
-    assert verdict.holm(chances, 0.05, 3) == {("t", "a"), ("t", "b")}
+    assert verdict.holm_rejected(chances, 0.05, 3) == {("t", "a"), ("t", "b")}
 
 
 def _rows(**waits_of):
@@ -327,64 +331,72 @@
 
 
 @pytest.mark.parametrize(
-    ("here", "away", "over", "seen", "state"),
+    ("here", "away", "over_share", "seen", "state"),
     [
-        ({"x": 900, "y": 100, "z": 100}, 100, (), 1.0, State.STARVED),
-        ({"x": 900, "y": 900, "z": 900}, 100, (), 1.0, State.FINE),  # slow for all
-        ({"x": 900, "y": 100, "z": 100}, 900, (), 1.0, State.FINE),  # it is like that everywhere
-        ({"x": 130, "y": 100, "z": 100}, 100, (), 1.0, State.FINE),  # under the least effect
-        ({"x": 9, "y": 1, "z": 1}, 1, (), 1.0, State.FINE),  # nobody's trouble
-        ({"x": 900, "y": 100, "z": 100}, 100, ("x",), 1.0, State.OVER),
-        ({"x": 900, "y": 9000}, 100, ("y",), 1.0, State.ALONE),
-        ({"x": 900, "y": 9000, "z": 100}, 100, ("y",), 1.0, State.STARVED),  # danger: one flood hides another
-        ({"x": 900, "y": 100, "z": 100}, 100, (), 0.4, State.UNSEEN),
+        ({"x": 900, "y": 100, "z": 100}, 100, (), 1.0, TenantState.STARVED),
+        ({"x": 900, "y": 900, "z": 900}, 100, (), 1.0, TenantState.NOT_STARVED),  # slow for all
+        ({"x": 900, "y": 100, "z": 100}, 900, (), 1.0, TenantState.NOT_STARVED),  # it is like that everywhere
+        ({"x": 130, "y": 100, "z": 100}, 100, (), 1.0, TenantState.NOT_STARVED),  # under the least effect
+        ({"x": 9, "y": 1, "z": 1}, 1, (), 1.0, TenantState.NOT_STARVED),  # nobody's trouble
+        ({"x": 900, "y": 100, "z": 100}, 100, ("x",), 1.0, TenantState.OVER_SHARE),
+        ({"x": 900, "y": 9000}, 100, ("y",), 1.0, TenantState.NOT_COMPARABLE),
+        (
+            {"x": 900, "y": 9000, "z": 100},
+            100,
+            ("y",),
+            1.0,
+            TenantState.STARVED,
+        ),  # danger: one flood hides another
+        ({"x": 900, "y": 100, "z": 100}, 100, (), 0.4, TenantState.TOO_FEW_REPORTS),
     ],
 )
-def test_what_starvation_is_and_what_it_is_not(here, away, over, seen, state):
+def test_what_starvation_is_and_what_it_is_not(here, away, over_share, seen, state):
     rows = _rows(**here)
-    elsewhere = {"x": verdict.Elsewheres(_rows(x=away), 60, seen)}
+    elsewhere = {"x": verdict.RemoteWaits(_rows(x=away), 60, seen)}
     curves = {key: tally.at_risk() for key, tally in rows.items()}
-    window = waits.Closed(0, 0, SECOND, rows, curves, tables.sums_by_stratum(curves))
-    found = verdict.look(RULES, [window], rows, elsewhere, over, partitions=6)
+    window = waits.ClosedWindow(0, 0, SECOND, rows, curves, tables.sums_by_stratum(curves))
+    found = verdict.assess_tenants(RULES, [window], rows, elsewhere, over_share, partitions=6)
     assert found["x"].state is state
 
 
 def test_shares_are_as_the_settings_say_or_as_elsewhere():
     rows = _rows(x=100, y=100, z=100)
-    elsewhere = {"x": verdict.Elsewheres(_rows(x=1), 600, 1.0)}
-    assert Shares({"x": 10.0}).beyond(rows, 10, {}) == set()
-    assert Shares({"x": 2.0}).beyond(rows, 10, {}) == {"x"}
-    assert Shares().beyond(rows, 10, elsewhere) == set()
+    elsewhere = {"x": verdict.RemoteWaits(_rows(x=1), 600, 1.0)}
+    assert TenantShares({"x": 10.0}).tenants_over_share(rows, 10, {}) == set()
+    assert TenantShares({"x": 2.0}).tenants_over_share(rows, 10, {}) == {"x"}
+    assert TenantShares().tenants_over_share(rows, 10, elsewhere) == set()
     rows["x", "map", 0].taken = 300
-    assert Shares().beyond(rows, 10, elsewhere) == {"x"}
+    assert TenantShares().tenants_over_share(rows, 10, elsewhere) == {"x"}
 
 
 # The remedy
 
-SPOTS = [
-    tables.Spot("x", Incarnation(n, 1), "s", 400, wait)
+PARTITION_WAITS = [
+    tables.PartitionWait("x", Incarnation(n, 1), "s", 400, wait)
     for n, wait in (("q", 50_000), ("r", 80_000), ("t", 600_000))
 ]
 
 
 def test_moves_keep_to_their_budget_and_no_job_is_moved_twice():
-    mover, moved, now, jobs = Mover(5 * SECOND, 6), [], 0, {}
+    planner, moved, now, jobs = MovePlanner(5 * SECOND, 6), [], 0, {}
     for second in range(60):
         now = second * SECOND
         for i in range(20):
-            jobs[f"{second}.{i}"] = Held(f"{second}.{i}", 0, 9 * SECOND, sent=i == 0, moved=i == 1)
-        moves = mover.decide(now, "x", 1000 * MS, jobs.values(), SPOTS)
+            jobs[f"{second}.{i}"] = WaitingJob(f"{second}.{i}", 0, 9 * SECOND, attempted=i == 0, moved=i == 1)
+        moves = planner.plan(now, "x", 1000 * MS, jobs.values(), PARTITION_WAITS)
         for move in moves:
             job = jobs.pop(move.id)
-            assert not job.sent and not job.moved and move.to.name in "qr"  # t is not clearly shorter
+            assert not job.attempted and not job.moved and move.to.name in "qr"  # t is not clearly shorter
         moved += [move.id for move in moves]
-    assert len(set(moved)) == len(moved) <= MOST + 2 * 60
+    assert len(set(moved)) == len(moved) <= MAX_MOVES_AT_ONCE + 2 * 60
     assert len(moved) > 60
-    left = Mover(5 * SECOND, 6).decide(0, "x", 1000 * MS, [Held("1", 0, SECOND), Held("2", 5, 0)], SPOTS)
+    left = MovePlanner(5 * SECOND, 6).plan(
+        0, "x", 1000 * MS, [WaitingJob("1", 0, SECOND), WaitingJob("2", 5, 0)], PARTITION_WAITS
+    )
     assert [move.id for move in left] == ["1"]  # half stays; what can't be in time there stays, too
-    mover.came(now, "x")
-    assert not mover.decide(now + 29 * SECOND, "x", 1000 * MS, jobs.values(), SPOTS)  # no ping-pong
-    assert mover.decide(now + 31 * SECOND, "x", 1000 * MS, jobs.values(), SPOTS)
+    planner.on_job_received(now, "x")
+    assert not planner.plan(now + 29 * SECOND, "x", 1000 * MS, jobs.values(), PARTITION_WAITS)  # no ping-pong
+    assert planner.plan(now + 31 * SECOND, "x", 1000 * MS, jobs.values(), PARTITION_WAITS)
 
 
 # The machines together
@@ -419,8 +431,8 @@
     sites = dict.fromkeys("abc", "s")
     fleet = starved.Fleet(sites, {}, RULES, 1)
     machine, now = fleet.machines["a"], fleet.clock.now()
-    assert machine.received(now, Incarnation("z", 1), Waits("s", 1, (0,), ())) == []
-    assert machine.received(now, Incarnation("b", 1), tables.Elsewhere(9, (0,), (), 3, 0, ())) == []
+    assert machine.received(now, Incarnation("z", 1), WaitReport("s", 1, (0,), ())) == []
+    assert machine.received(now, Incarnation("b", 1), tables.WaitReportReply(9, (0,), (), 3, 0, ())) == []
     assert machine.dropped == {"stranger": 1, "not asked for": 1}
 
 
@@ -434,17 +446,17 @@
 
         def with_book(dispatcher=dispatcher, start=start):
             start()
-            books.append(waits.WaitBook(RULES, simulation.clock.now()))
+            books.append(waits.WaitRecorder(RULES, simulation.clock.now()))
             dispatcher.process.host.waits = books[-1]
 
         dispatcher.start = with_book
     simulation.run()
     whole = Tally()
-    for book in books:
-        assert not book._jobs
-        for tally in book.close(simulation.clock.now()).rows.values():
+    for recorder in books:
+        assert not recorder._jobs
+        for tally in recorder.close(simulation.clock.now()).rows.values():
             whole.add(tally)
-    assert whole.entered == whole.left and whole.taken >= 100
+    assert whole.entered == whole.exited and whole.taken >= 100
     hosts = [dispatcher.process.host for dispatcher in simulation.dispatchers]
     served = sum(n for host in hosts for (_, how), n in host.figures.ended.items() if how == "served")
     assert sum(whole.started.values()) >= served > 100
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,7 +19,7 @@
 from ironbarrow.fleet.file import parse
 from ironbarrow.fleet.ledgers.messages import Append
 from ironbarrow.fleet.members.messages import Ping
-from ironbarrow.fleet.starvation.tables import Waits
+from ironbarrow.fleet.starvation.tables import WaitReport
 from ironbarrow.fleet.takeover.messages import Told as TakeoverTold
 from ironbarrow.lab.live.wire import HttpClient
 from ironbarrow.lab.model.discovery import Entry
@@ -160,7 +160,7 @@
 
 
 def test_messages_are_counted_by_the_part_of_the_fleet():
-    kinds = [kind_of(kind) for kind in (Ping, Append, TakeoverTold, Waits)]
+    kinds = [kind_of(kind) for kind in (Ping, Append, TakeoverTold, WaitReport)]
     assert kinds == [KINDS[0], KINDS[1], KINDS[2], KINDS[4]]
 
 
