--- a/ironbarrow/fleet/members/__init__.py
+++ b/ironbarrow/fleet/members/__init__.py
@@ -1,4 +1,4 @@
-"""Who there is: members that watch each other, as in SWIM, with suspicion and by site."""
+"""Group membership after SWIM: failure detection with suspicion, dissemination and anti-entropy."""
 
 from ironbarrow.fleet.members.events import IncarnationReplaced
 from ironbarrow.fleet.members.machine import MemberMachine
