--- a/ironbarrow/fleet/members/context.py
+++ b/ironbarrow/fleet/members/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one member machine share."""
+"""State shared by the components of one member machine."""
 
 import random
 from collections import Counter
@@ -9,23 +9,23 @@
 from ironbarrow.fleet.members.outbox import Outbox
 from ironbarrow.fleet.members.table import MembershipTable
 
-CREDIBILITY_DELAY_FACTOR = 3  # times the longest suspicion
+CREDIBILITY_DELAY_FACTOR = 3  # times the longest suspicion timeout
 
 
 @dataclass(slots=True, eq=False)
 class MemberContext:
-    """One member's rules, table, random numbers and outgoing actions."""
+    """The settings, table, random source and outgoing actions of one member."""
 
     rules: MemberRules
     table: MembershipTable
     random: random.Random
-    now: int  # ns, of the latest call that brought the time
-    leaving: bool = False  # this member goes in good order
+    now: int  # ns; the time passed with the latest call that had one
+    leaving: bool = False  # this member is shutting down gracefully
     outbox: Outbox = field(default_factory=Outbox)
     local_health: LocalHealth = field(default_factory=LocalHealth)
-    dropped: Counter[str] = field(default_factory=Counter)  # received and not used, by cause
+    dropped: Counter[str] = field(default_factory=Counter)  # ignored messages and rumours, by cause
 
     @property
     def credibility_delay(self) -> int:
-        """How long a member must have been in sight until its suspicions count, ns."""
+        """How long a member must have been reachable before its accusations are accepted, ns."""
         return CREDIBILITY_DELAY_FACTOR * self.rules.suspect_for
