--- a/ironbarrow/fleet/members/dissemination.py
+++ b/ironbarrow/fleet/members/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination of rumours: each travels with other messages, or by gossip, a bounded number of times."""
+"""Dissemination: each rumour is piggybacked on messages or gossiped a bounded number of times."""
 
 import math
 from collections.abc import Sequence
@@ -11,27 +11,27 @@
 from ironbarrow.fleet.members.messages import RANK_BY_HEALTH, Rumour, RumourBatch
 from ironbarrow.runtime.clock import MS
 
-MAX_RUMOURS = 10  # in a message
-MAX_RUMOUR_BYTES = 1400  # of rumours in a message, but for the first
-SYNC_RUMOUR_TRANSMISSIONS = 3  # of what a sync brought: one member's view is no news to most
-GOSSIP_FANOUT = 2  # members that are told in half a period, while there is something to tell
-LEAVE_FANOUT = 8  # members that are told at once that this one leaves
+MAX_RUMOURS = 10  # per message
+MAX_RUMOUR_BYTES = 1400  # of rumours per message; the first one is sent whatever its size
+SYNC_RUMOUR_TRANSMISSIONS = 3  # of a rumour learned by sync: most members already know it
+GOSSIP_FANOUT = 2  # members per gossip round (every half period)
+LEAVE_FANOUT = 8  # members to which a leaving member announces it
 
 
 class Dissemination:
-    """The queue of rumours to pass on: by name of the member, since only its latest state is told."""
+    """The queue of rumours to send, keyed by member name: only the latest state of a member is sent."""
 
     def __init__(self, context: MemberContext, now: int) -> None:
         self._context = context
         self._table = context.table
-        self._transmissions: dict[str, int] = {self._table.own_name: 0}  # made of each queued rumour
+        self._transmissions: dict[str, int] = {self._table.own_name: 0}  # of each queued rumour so far
         self._sizes: dict[str, int] = {}  # encoded, bytes
         self._gossip_at = now
 
     # The queue
 
     def enqueue(self, name: str, from_sync: bool = False) -> None:
-        """Has the present state of a member told from now on. ``synced``: a sync brought it."""
+        """Queues the current state of a member. ``from_sync``: learned by anti-entropy."""
         if not self._transmissions:
             self._gossip_at = max(self._gossip_at, self._context.now)
         transmissions = max(0, self._transmission_limit() - SYNC_RUMOUR_TRANSMISSIONS) if from_sync else 0
@@ -39,12 +39,12 @@
         self._sizes.pop(name, None)
 
     def discard(self, name: str) -> None:
-        """Tells nothing of a member any more."""
+        """Removes a member from the queue."""
         self._transmissions.pop(name, None)
         self._sizes.pop(name, None)
 
     def announce_leaving(self) -> None:
-        """Tells several members that this one leaves, in place of all that waits to be told."""
+        """Gossips at once that this member leaves; all other queued rumours are dropped."""
         self._transmissions = {self._table.own_name: 0}
         self.gossip(LEAVE_FANOUT)
 
@@ -54,19 +54,19 @@
     # Rumours
 
     def own_rumour(self) -> Rumour:
-        """What this member says of itself."""
+        """The rumour about this member itself: ALIVE, or LEFT once it is leaving."""
         card = self._table.own_card
         health = Health.LEFT if self._context.leaving else Health.ALIVE
         return Rumour(card.incarnation, card.version, RANK_BY_HEALTH[health], card=card)
 
     def rumour_about(self, name: str) -> Rumour | None:
-        """What is passed on of a member; the card of those that are ALIVE alone. None if it is unknown."""
+        """The rumour to piggyback or gossip: only that of an ALIVE member has its card. None if unknown."""
         if name == self._table.own_name:
             return self.own_rumour()
         return self._rumour(name, with_card=False)
 
     def full_rumour_about(self, name: str, now: int) -> Rumour | None:
-        """All that is known of a member: with its card and the time since its death."""
+        """The rumour to send by sync: with the card and, for a DEAD member, the time since its death."""
         if name == self._table.own_name:
             return self.own_rumour()
         rumour = self._rumour(name, with_card=True)
@@ -87,7 +87,7 @@
         )
 
     def select(self, to: str, first: Sequence[str] = ()) -> tuple[Rumour, ...]:
-        """The rumours that travel with a message: of the members named, then those told least."""
+        """Selects rumours for a message: first those about ``first``, then those sent least often."""
         limit = self._transmission_limit()
         selected: list[Rumour] = []
         budget = MAX_RUMOUR_BYTES
@@ -123,7 +123,7 @@
     # Gossip
 
     def gossip(self, count: int = GOSSIP_FANOUT) -> None:
-        """Sends rumours to so many random members, if there are any."""
+        """Sends queued rumours to ``count`` random reachable members."""
         if not self._transmissions:
             return
         reachable = [entry.incarnation for entry in self._table if entry.reachable]
@@ -133,15 +133,15 @@
                 self._context.outbox.send(incarnation, RumourBatch(rumours))
 
     def tick(self, now: int) -> None:
-        """Gossips if that is due."""
+        """Gossips if a round is due."""
         if self._gossip_at <= now:
             self._gossip_at = now + self._context.rules.period // 2
             self.gossip()
 
     def next_at(self) -> int:
-        """When gossip is due, ns; NEVER while there is nothing to tell."""
+        """When the next gossip round is due, ns; NEVER while the queue is empty."""
         return self._gossip_at if self._transmissions else NEVER
 
     def resume(self, now: int) -> None:
-        """Makes up for a stop of the process: gossip is due now at the earliest."""
+        """Skips the gossip rounds missed while the process was paused."""
         self._gossip_at = max(self._gossip_at, now)
