--- a/ironbarrow/fleet/members/events.py
+++ b/ironbarrow/fleet/members/events.py
@@ -1,4 +1,4 @@
-"""What the member machine tells its process beyond ``MemberChanged``."""
+"""Events of the member machine for its process, besides ``MemberChanged``."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationReplaced(News):
-    """Another process goes by this member's name, with a later start.
+    """Another process uses this member's name and started later (incarnation ``by``).
 
-    This incarnation is held dead for good.
+    The other members regard this incarnation as DEAD from now on; it cannot refute that.
     """
 
     by: Incarnation
