--- a/ironbarrow/fleet/members/failure_detector.py
+++ b/ironbarrow/fleet/members/failure_detector.py
@@ -1,6 +1,6 @@
-"""The failure detector: one probe in each period, direct first, then through helpers.
+"""The failure detector: one probe per period, first direct, then through relays.
 
-Who answers neither way by the end of the period becomes SUSPECT.
+A member that answers neither way by the end of the period becomes SUSPECT.
 """
 
 import itertools
@@ -20,23 +20,23 @@
 
 @dataclass(slots=True, eq=False)
 class Probe:
-    """A question to a member that is not answered yet."""
+    """A probe without an answer so far. Times in ns."""
 
     target: Incarnation
     started_at: int
-    indirect_at: int  # when helpers are asked
+    indirect_at: int  # when relays are asked to probe the target, too
     fails_at: int
-    relays: int | None = None  # asked; None: not yet
-    nacks: int = 0  # helpers that could not reach it either
+    relays: int | None = None  # number of relays asked; None: none yet
+    nacks: int = 0  # relays that reported no answer from the target
 
     @property
     def next_at(self) -> int:
-        """When the next step is due."""
+        """When the next step of this probe is due."""
         return self.fails_at if self.relays is not None else min(self.fails_at, self.indirect_at)
 
 
 class FailureDetector:
-    """Probes the other members in turn, and those in doubt at once."""
+    """Probes the other members in turn, and at once a member whose connection broke."""
 
     def __init__(
         self,
@@ -53,18 +53,18 @@
         self._suspicions = suspicions
         self._probe_numbers = itertools.count(1)
         self._probes: dict[int, Probe] = {}
-        self._last_message_at = now  # anybody
+        self._last_message_at = now  # from any member
         self._next_probe_at = now + context.random.randrange(context.rules.period)
         self.relayed_probes = RelayedProbes(context, dissemination, self._probe_numbers)
 
     # Messages
 
     def note_message(self, now: int) -> None:
-        """Notes that a message of another member has come."""
+        """Records that a message from another member has arrived."""
         self._last_message_at = now
 
     def on_ack(self, now: int, sender: Incarnation, ack: Ack) -> None:
-        """Takes in an answer of a target, or the report of a helper; its rumours have been taken in."""
+        """Handles the answer of a target or of a relay; the caller has merged its rumours."""
         self.relayed_probes.on_ack(sender, ack)
         probe = self._probes.get(ack.number)
         if probe is None or probe.target != (ack.relayed_target or sender):
@@ -76,7 +76,10 @@
             self._on_nack(now, probe)
 
     def on_connection_lost(self, now: int, name: str) -> None:
-        """Probes a member at once, directly and through helpers: a connection to it broke."""
+        """Probes a member at once, directly and through relays, after a connection to it broke.
+
+        At most once per period for each member.
+        """
         entry = self._table.get(name)
         if entry is None or entry.health is not Health.ALIVE or self._context.leaving:
             return
@@ -93,7 +96,7 @@
     # Time
 
     def tick_probes(self, now: int) -> None:
-        """Takes the steps that are due in the open probes, and in those made for others."""
+        """Takes the due steps of pending probes, including those relayed for other members."""
         for number, probe in list(self._probes.items()):
             if probe.fails_at <= now:
                 del self._probes[number]
@@ -103,7 +106,7 @@
         self.relayed_probes.tick(now)
 
     def tick_period(self, now: int) -> None:
-        """Begins the probe of a new period if that is due."""
+        """Starts the next regular probe if the period is over."""
         if self._context.leaving:
             self._next_probe_at = NEVER
         if self._next_probe_at > now:
@@ -114,14 +117,14 @@
             self._probe(now, entry, self._context.local_health.scale(self._context.rules.timeout))
 
     def next_at(self) -> int:
-        """When something is due, ns; NEVER if nothing is."""
+        """When the next step is due, ns; NEVER if there is none."""
         due = min(self._next_probe_at, self.relayed_probes.next_at())
         for probe in self._probes.values():
             due = min(due, probe.next_at)
         return due
 
     def postpone(self, now: int, duration: int) -> None:
-        """Makes up for a stop of the process of that duration: no answer could be read meanwhile."""
+        """Extends all probe timeouts by ``duration``: a paused process cannot read answers."""
         for probe in self._probes.values():
             probe.indirect_at += duration
             probe.fails_at += duration
@@ -129,7 +132,7 @@
         self._next_probe_at = max(self._next_probe_at, now)
 
     def cancel_probes(self) -> None:
-        """Waits for no answers any more."""
+        """Abandons all pending probes of this member."""
         self._probes.clear()
 
     # Probes
@@ -172,6 +175,7 @@
         if entry is None:
             return
         if self._last_message_at < probe.started_at:
-            self._context.local_health.degrade()  # nobody is heard: it may be this member that is cut off
+            # no message at all has arrived since: this member may be the one that is cut off
+            self._context.local_health.degrade()
         if entry.reachable:
             self._suspicions.suspect(now, entry, entry.version, accuser=self._table.own_name)
