--- a/ironbarrow/fleet/members/known_state.py
+++ b/ironbarrow/fleet/members/known_state.py
@@ -1,4 +1,4 @@
-"""What a probe states of its target, so that the target can refute a suspicion at once."""
+"""The known state that a probe carries to its target, so that it can refute a suspicion at once."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class KnownState(NamedTuple):
-    """The version and health (by rank) that a member holds of another; the greater one is later."""
+    """A member's version and health rank as another member knows them; the greater state is newer."""
 
     version: int = UNKNOWN_VERSION
     health_rank: int = 0
@@ -22,7 +22,7 @@
 def latest_known_state(
     table: MembershipTable, incarnation: Incarnation, reported: KnownState = UNKNOWN_STATE
 ) -> KnownState:
-    """What the table holds of an incarnation, or what was told of it if that is later."""
+    """The state of an incarnation in the table, or ``reported`` if that is newer."""
     entry = table.of_incarnation(incarnation)
     if entry is None:
         return reported
