--- a/ironbarrow/fleet/members/local_member.py
+++ b/ironbarrow/fleet/members/local_member.py
@@ -1,4 +1,4 @@
-"""This member's own card: its changes, and what others say of this member."""
+"""This member's own card: its changes, and rumours of others about this member."""
 
 import msgspec
 
@@ -13,27 +13,27 @@
 
 
 class LocalMember:
-    """Refutes suspicions of this member by a higher version of its card."""
+    """Owns this member's card; refutes a suspicion by raising the card's version."""
 
     def __init__(self, context: MemberContext, dissemination: Dissemination) -> None:
         self._context = context
         self._table = context.table
         self._dissemination = dissemination
         self._replaced_by: Incarnation | None = None
-        self.refutations = 0  # suspicions of this member
+        self.refutations = 0  # number of refuted suspicions of this member
 
     def set_ledgers(self, ledgers: tuple[LedgerAt, ...]) -> None:
-        """Changes the ledgers on the card."""
+        """Publishes the ledgers that this member writes on its card."""
         self._renew_card(msgspec.structs.replace(self._table.own_card, ledgers=ledgers))
 
     def set_front(self, front: str) -> None:
-        """Changes the address for clients and workers on the card."""
+        """Publishes the address for clients and workers on the card."""
         self._renew_card(msgspec.structs.replace(self._table.own_card, front=front))
 
     def on_rumour(self, incarnation: Incarnation, version: int, health: Health | None) -> None:
-        """Takes in what is said of an incarnation of this name.
+        """Handles a rumour about an incarnation of this member's name.
 
-        Refutes a suspicion, and notices a replacement.
+        Refutes a suspicion of this incarnation; reports a later incarnation as its replacement.
         """
         own = self._table.own_card
         if incarnation.start > own.incarnation.start:
@@ -54,7 +54,7 @@
         self._renew_card(self._table.own_card, above=version)
 
     def _renew_card(self, card: Card, above: int = 0) -> None:
-        """Takes a changed card under a version above the present one and ``over``."""
+        """Stores a changed card with a version above both the current one and ``above``."""
         present = self._table.own_card.version
         version = max(present, above) + 1
         check("versions rise", version > present, was=present, now=version)
