--- a/ironbarrow/fleet/members/machine.py
+++ b/ironbarrow/fleet/members/machine.py
@@ -1,10 +1,10 @@
-"""The member machine: it wires the parts of one member together and runs them. No input or output.
+"""The member machine: connects the components of one member and drives them. It does no I/O itself.
 
-Each member probes one other in every period (``failure_detector``). Who can't be reached is suspected, which
-everybody hears, itself too (``suspicion``): it refutes that by a higher version of its card
-(``local_member``). What nobody refutes in time is a death. All that is heard is merged (``merge``) and
-travels on with other messages (``dissemination``); now and then two members compare a part of their tables
-(``sync``).
+Each member probes one other member per period (``failure_detector``). A member that cannot be reached becomes
+SUSPECT, and the suspicion is disseminated to all members, the suspect included (``suspicion``). The suspect
+refutes it by raising the version of its card (``local_member``); a suspicion that is not refuted in time
+becomes DEAD. Received rumours are merged into the table (``merge``) and piggybacked on later messages
+(``dissemination``); from time to time two members compare a partition of their tables (``sync``).
 """
 
 import random
@@ -40,8 +40,11 @@
 
 
 class MemberMachine:
-    """The membership of one member. ``seeds``: names that it knows from its file, none of them its own;
-    ``known``: cards of others that an earlier incarnation of it held alive."""
+    """The membership protocol of one member.
+
+    ``seeds``: names of the configured seeds, without its own; ``known_cards``: cards of the members that an
+    earlier incarnation of this member knew as alive.
+    """
 
     handles: tuple[type[Message], ...] = (Ping, Ack, PingRequest, Sync, RumourBatch, CardRequest)
 
@@ -76,67 +79,67 @@
 
     @property
     def me(self) -> Card:
-        """The present card of this member."""
+        """The current card of this member."""
         return self._table.own_card
 
     @property
     def dropped(self) -> Counter[str]:
-        """What was received and not used, by cause."""
+        """Counts of ignored messages and rumours, by cause."""
         return self._context.dropped
 
     @property
     def local_health(self) -> LocalHealth:
-        """How slow this member itself seems to be."""
+        """The score of how slow this member itself seems to be."""
         return self._context.local_health
 
     @property
     def refutations(self) -> int:
-        """Suspicions of this member that it has refuted."""
+        """How many suspicions of itself this member has refuted."""
         return self._local_member.refutations
 
     def alive(self) -> Sequence[Member]:
-        """The members that are ALIVE or SUSPECT and this one, in order of name."""
+        """All ALIVE and SUSPECT members and this one, sorted by name."""
         return self._table.alive()
 
     def health(self, incarnation: Incarnation) -> Health | None:
-        """What an incarnation is held for; None if nothing is known of it."""
+        """The known health of an incarnation; None if it is unknown."""
         return self._table.health(incarnation)
 
     def card(self, name: str) -> Card | None:
-        """The newest card of a name, dead or alive."""
+        """The newest card of a member, dead or alive; None if it is unknown."""
         return self._table.card(name)
 
     def known(self) -> Sequence[Member]:
-        """All others, also the dead and those that left, in order of name."""
+        """All other members, including DEAD and LEFT ones, sorted by name."""
         return self._table.known()
 
     def unreachable_sites(self) -> list[str]:
-        """Other sites of which no known member is ALIVE and at least one neither that nor LEFT."""
+        """Other sites without any ALIVE member, except sites whose members have all LEFT; sorted."""
         return self._table.unreachable_sites()
 
-    # Orders
+    # Commands
 
     def writes(self, ledgers: tuple[LedgerAt, ...]) -> list[Action]:
-        """Tells all others where the ledgers are that this member writes."""
+        """Publishes where the ledgers are that this member writes."""
         self._local_member.set_ledgers(ledgers)
         self._dissemination.gossip()
         return self._context.outbox.drain()
 
     def announce_front(self, front: str) -> list[Action]:
-        """Tells all others that clients and workers reach this member at another address now."""
+        """Publishes a new address (``host:port``) for clients and workers."""
         self._local_member.set_front(front)
         self._dissemination.gossip()
         return self._context.outbox.drain()
 
     def leave(self, now: int) -> list[Action]:
-        """Leaves in good order: this member is LEFT to all others, and probes nobody any more."""
+        """Leaves gracefully: announces this member as LEFT and stops probing."""
         self._context.leaving = True
         self._detector.cancel_probes()
         self._dissemination.announce_leaving()
         return self._context.outbox.drain()
 
     def connection_lost(self, now: int, name: str) -> list[Action]:
-        """Probes a member at once: a connection to it broke or was refused."""
+        """Probes a member at once, because a connection to it broke or was refused."""
         self._compensate_for_pause(now)
         self._detector.on_connection_lost(now, name)
         return self._context.outbox.drain()
@@ -144,7 +147,7 @@
     # Messages
 
     def received(self, now: int, sender: Incarnation, message: Any) -> list[Action]:
-        """Takes in a message of another member."""
+        """Handles a message from another member."""
         self._compensate_for_pause(now)
         if sender.name == self._table.own_name:
             self._local_member.on_rumour(sender, self.me.version, Health.ALIVE)
@@ -155,7 +158,7 @@
         return self._context.outbox.drain()
 
     def _note_sender(self, now: int, sender: Incarnation) -> bool:
-        """Notes that a member is heard; False if it had left."""
+        """Records that a message has arrived; False if its sender has LEFT."""
         self._detector.note_message(now)
         entry = self._table.of_incarnation(sender)
         if entry is None:
@@ -187,7 +190,7 @@
         first = [self.me.incarnation.name] if ping.known_version < self.me.version else []
         entry = self._table.get(sender.name)
         if entry is not None and entry.incarnation.start > sender.start:
-            first.append(sender.name)  # it is told that it has been replaced
+            first.append(sender.name)  # tells the sender that a later incarnation has replaced it
         rumours = self._dissemination.select(to=sender.name, first=first)
         self._context.outbox.send(sender, Ack(ping.number, self.me.version, *known_state, rumours))
 
@@ -204,7 +207,7 @@
     # Time
 
     def ticked(self, now: int) -> list[Action]:
-        """Does what is due."""
+        """Runs all due timers."""
         self._compensate_for_pause(now)
         self._detector.tick_probes(now)
         self._suspicions.tick(now)
@@ -214,16 +217,22 @@
         return self._context.outbox.drain()
 
     def next_at(self) -> int:
-        """When ``ticked`` is due next, ns; NEVER if nothing is planned."""
+        """When ``ticked`` is due next, ns; NEVER if no timer is set."""
         return min(self._timers_due_at(), self._dissemination.next_at())
 
     def _timers_due_at(self) -> int:
-        """When something but gossip is due: that is put off and taken up without the time being known."""
+        """When the next timer other than gossip is due, ns.
+
+        Gossip is left out because calls without the time can start it: it would look overdue after those.
+        """
         return min(self._detector.next_at(), self._suspicions.next_at(), self._synchronizer.next_at())
 
     def _compensate_for_pause(self, now: int) -> None:
-        """Postpones all time-outs if this process was stopped: it finds them past before it has read what
-        came meanwhile. It was away, not the others, so that their times begin where it came back."""
+        """Postpones all timeouts by the time for which this process was paused.
+
+        After a pause the timeouts have passed before the process has read the messages that arrived
+        meanwhile. Without this it would declare members dead although only it was stopped.
+        """
         overdue = now - self._timers_due_at()
         self._context.now = now
         if overdue < self.rules.timeout:
