--- a/ironbarrow/fleet/members/merge.py
+++ b/ironbarrow/fleet/members/merge.py
@@ -1,8 +1,9 @@
 """Merging rumours into the membership table.
 
-What is held of an incarnation is ordered by (version, ALIVE < SUSPECT < DEAD), LEFT above all; of two
-incarnations of a name the later one counts. Merging takes the greater, whatever is late, doubled or
-overtaken."""
+The states of an incarnation are ordered by (version, ALIVE < SUSPECT < DEAD), with LEFT above all; of two
+incarnations of a name the later one wins. Merging keeps the greater state, so that rumours may arrive late,
+twice or out of order.
+"""
 
 from ironbarrow.fleet.api import Card, Health, Member
 from ironbarrow.fleet.members.context import MemberContext
@@ -17,13 +18,13 @@
 
 
 def merge_key(rumour: Rumour) -> tuple[int, bool, int, int]:
-    """The order of rumours about one name: the greater one is later."""
+    """Orders the rumours about one name: the greater one is newer."""
     left = rumour.health_rank == RANK_BY_HEALTH[Health.LEFT]
     return rumour.incarnation.start, left, rumour.version, rumour.health_rank
 
 
 class RumourMerger:
-    """Decides what each rumour changes."""
+    """Decides what a received rumour changes in the table."""
 
     def __init__(
         self,
@@ -41,12 +42,12 @@
         self._schedule = schedule
 
     def merge_all(self, now: int, rumours: tuple[Rumour, ...], from_sync: bool = False) -> None:
-        """Takes in the rumours of a message, in order."""
+        """Merges the rumours of a message, in order."""
         for rumour in rumours:
             self.merge(now, rumour, from_sync)
 
     def merge(self, now: int, rumour: Rumour, from_sync: bool = False) -> None:
-        """Takes in one rumour. ``synced``: it is one member's view from a sync, not news."""
+        """Merges one rumour. ``from_sync``: it states the view of one member and may be old."""
         if not is_valid_rumour(rumour):
             self._context.dropped["malformed"] += 1
             return
@@ -76,7 +77,7 @@
             self._add(now, earlier, card, rumour, from_sync)
 
     def _has_expired(self, rumour: Rumour) -> bool:
-        """Whether an incarnation ended so long ago that it is not learnt anew."""
+        """Whether an incarnation ended so long ago that it must not be added again."""
         dead = HEALTH_BY_RANK[rumour.health_rank] is Health.DEAD
         return (
             self._table.has_ended(rumour.incarnation)
@@ -85,12 +86,12 @@
         )
 
     def _add(self, now: int, earlier: Entry | None, card: Card, rumour: Rumour, from_sync: bool) -> None:
-        # the end of the earlier incarnation is published first
+        # the end of the earlier incarnation is published before the new one
         if earlier is not None:
             self._transitions.end(now, earlier)
         entry = self._new_entry(now, card, rumour)
         if earlier is None and now - self._table.own_since >= self._context.credibility_delay:
-            entry.reachable_since = now  # it may have been cut off for so long that it was forgotten
+            entry.reachable_since = now  # it may have been cut off for so long that its entry was dropped
         self._transitions.add(entry)
         if entry.health is Health.SUSPECT:
             entry.health = Health.ALIVE
@@ -124,12 +125,12 @@
             self._transitions.set_health(now, entry, rumour.version, Health.ALIVE)
 
     def _merge_accusation(self, now: int, entry: Entry, rumour: Rumour, from_sync: bool) -> None:
-        """Takes in a rumour that a member is SUSPECT or DEAD."""
+        """Merges a rumour that a member is SUSPECT or DEAD."""
         if (rumour.version, rumour.health_rank) < (entry.version, RANK_BY_HEALTH[entry.health]):
             return
         if entry.reachable and (from_sync or not self._is_credible(now, rumour.accuser)):
-            # who was cut off holds the others dead; taken at its word when it comes back, all that are
-            # alive would die together: this member looks for itself
+            # A member that was cut off considers all others dead. If its rumours were accepted when it
+            # returns, all members would be declared dead together: this member probes the accused itself.
             self._schedule.expedite(entry.incarnation.name)
         elif entry.health is Health.SUSPECT and HEALTH_BY_RANK[rumour.health_rank] is Health.DEAD:
             self._merge_death_of_suspect(now, entry, rumour)
@@ -145,7 +146,7 @@
             self._suspicions.suspect(now, entry, rumour.version, rumour.accuser)
 
     def _is_credible(self, now: int, accuser: str) -> bool:
-        """Whether who says that it could not reach a third has itself been in sight for a while."""
+        """Whether an accuser is ALIVE and has been reachable for ``credibility_delay``."""
         entry = self._table.get(accuser)
         if entry is None or entry.health is not Health.ALIVE:
             return False
