--- a/ironbarrow/fleet/members/messages.py
+++ b/ironbarrow/fleet/members/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other. Times that cross the network are lengths, ms."""
+"""The messages of the membership protocol. Times in messages are durations in ms, never clock readings."""
 
 from typing import ClassVar
 
@@ -6,25 +6,33 @@
 
 from ironbarrow.fleet.api import Card, Health, Incarnation, Message
 
-HEALTH_BY_RANK = (Health.ALIVE, Health.SUSPECT, Health.DEAD, Health.LEFT)  # by their number on the wire
+HEALTH_BY_RANK = (
+    Health.ALIVE,
+    Health.SUSPECT,
+    Health.DEAD,
+    Health.LEFT,
+)  # the index is the number on the wire
 RANK_BY_HEALTH = {health: number for number, health in enumerate(HEALTH_BY_RANK)}
-VERSION_LIMIT = 1 << 53  # danger: a version without bound in a broken message could never be outdone
+VERSION_LIMIT = 1 << 53  # no refutation could exceed a corrupt version without bound
 
 
 class Rumour(Struct, frozen=True, array_like=True):
-    """What is said of an incarnation: of two, the higher (version, health) counts, and LEFT over all."""
+    """The state of an incarnation: of two rumours the higher (version, health rank) wins, LEFT above all."""
 
     incarnation: Incarnation
     version: int
     health_rank: int
-    accuser: str = ""  # who could not reach it itself
-    age_ms: int = 0  # since its death
+    accuser: str = ""  # name of a member whose own probes failed; "": none given
+    age_ms: int = 0  # since its death; 0 if it is not DEAD
     card: Card | None = None
 
 
 class Ping(Message, frozen=True, array_like=True):
-    """Are you there? ``version``: of the sender's card; ``seen``, ``seen_health``: what it holds of the one
-    that is asked (-1: nothing), so that that one can object at once."""
+    """A direct probe. ``number`` identifies the probe; ``version`` is that of the sender's card.
+
+    ``known_version`` (-1: none) and ``known_health``: the target's state as the sender knows it, so that the
+    target can refute a suspicion at once. ``piggybacked``: rumours sent along.
+    """
 
     KIND: ClassVar[int] = 1
     number: int
@@ -35,7 +43,10 @@
 
 
 class Ack(Message, frozen=True, array_like=True):
-    """Here, or (with ``about``) what came of an ``Ask``."""
+    """The answer to a ``Ping``, or to a ``PingRequest`` if it has a ``relayed_target``.
+
+    In the latter case ``reached`` tells whether that target answered the relay.
+    """
 
     KIND: ClassVar[int] = 2
     number: int
@@ -48,7 +59,7 @@
 
 
 class PingRequest(Message, frozen=True, array_like=True):
-    """Ask that one for me."""
+    """Asks a relay to probe ``target``; the other fields are those of ``Ping``."""
 
     KIND: ClassVar[int] = 3
     number: int
@@ -59,8 +70,11 @@
 
 
 class Sync(Message, frozen=True, array_like=True):
-    """All that the sender knows of one of ``parts`` parts of the names, without cards, and its own card. The
-    answer is ``Cards`` and ``Want``."""
+    """Anti-entropy: the sender's own card and its states of one partition of the members, without cards.
+
+    ``partition`` is one of ``partitions`` parts of the name hashes. The answers are ``RumourBatch`` and
+    ``CardRequest``.
+    """
 
     KIND: ClassVar[int] = 4
     card: Card
@@ -70,7 +84,7 @@
 
 
 class RumourBatch(Message, frozen=True, array_like=True):
-    """Rumours, most of them with cards. ``synced``: they are one member's view, not news."""
+    """Rumours, most of them with cards. ``from_sync``: the view of one member, sent by anti-entropy."""
 
     KIND: ClassVar[int] = 5
     rumours: tuple[Rumour, ...]
@@ -78,7 +92,7 @@
 
 
 class CardRequest(Message, frozen=True, array_like=True):
-    """The cards of these, please."""
+    """Asks for the cards of these members."""
 
     KIND: ClassVar[int] = 6
     names: tuple[str, ...]
