--- a/ironbarrow/fleet/members/outbox.py
+++ b/ironbarrow/fleet/members/outbox.py
@@ -1,10 +1,10 @@
-"""The actions with which a call to the member machine answers."""
+"""The actions that a call to the member machine returns."""
 
 from ironbarrow.fleet.api import Action, Incarnation, Message, News, Send
 
 
 class Outbox:
-    """Collects actions in the order in which the parts of a machine ask for them."""
+    """Collects the actions of all components of a machine, in order."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
@@ -13,14 +13,14 @@
         return len(self._actions)
 
     def send(self, to: Incarnation, message: Message) -> None:
-        """Sends a message to another member."""
+        """Adds a message to another member."""
         self._actions.append(Send(to, message))
 
     def publish(self, news: News) -> None:
-        """Tells the process that hosts the machine."""
+        """Adds an event for the process that hosts the machine."""
         self._actions.append(news)
 
     def drain(self) -> list[Action]:
-        """Returns all collected actions and starts anew."""
+        """Returns all collected actions and empties the outbox."""
         actions, self._actions = self._actions, []
         return actions
