--- a/ironbarrow/fleet/members/probe_schedule.py
+++ b/ironbarrow/fleet/members/probe_schedule.py
@@ -1,6 +1,6 @@
-"""Whom the failure detector probes next: every member once in a round, in an order shuffled anew.
+"""The order of probes: every member once per round, reshuffled for each round.
 
-Members of whom a suspicion was heard go before the others, every second probe.
+Every second probe goes to a member that others suspect, while there are any.
 """
 
 import random
@@ -9,29 +9,29 @@
 
 
 class ProbeSchedule:
-    """The order of probes; nobody is left out for longer than a round."""
+    """Chooses the next member to probe. Urgent probes never stop the regular round."""
 
     def __init__(self, table: MembershipTable, random_source: random.Random) -> None:
         self._table = table
         self._random = random_source
-        self._round: list[str] = []  # names still to be probed, from the end
+        self._round: list[str] = []  # names still to be probed; the last one is next
         self._urgent: dict[str, None] = {}  # names in the order in which they became urgent
         self._last_was_urgent = False
 
     def insert(self, name: str) -> None:
-        """Adds a new member at a random place of the present round."""
+        """Adds a new member at a random position of the current round."""
         self._round.insert(self._random.randrange(len(self._round) + 1), name)
 
     def expedite(self, name: str) -> None:
-        """Has a member probed soon: others could not reach it."""
+        """Schedules an early probe of a member that others could not reach."""
         self._urgent[name] = None
 
     def discard(self, name: str) -> None:
-        """Has a forgotten member not probed out of turn."""
+        """Cancels the early probe of a member that was removed from the table."""
         self._urgent.pop(name, None)
 
     def next(self) -> Entry | None:
-        """Whom to probe now; None if nobody is reachable."""
+        """The member to probe now; None if none is ALIVE or SUSPECT."""
         self._last_was_urgent = bool(self._urgent) and not self._last_was_urgent
         if self._last_was_urgent:
             entry = self._next_urgent()
