--- a/ironbarrow/fleet/members/relay_selection.py
+++ b/ironbarrow/fleet/members/relay_selection.py
@@ -1,4 +1,4 @@
-"""The choice of helpers, who probe a member in another one's stead."""
+"""Selection of the relays for an indirect probe."""
 
 import random
 from collections.abc import Iterable
@@ -14,9 +14,10 @@
     count: int,
     random_source: random.Random,
 ) -> list[Incarnation]:
-    """Picks helpers for a target: one of each site in turn, so that a cut between two sites is seen round.
+    """Picks up to ``count`` ALIVE members to probe ``target``, one of each site in turn.
 
-    ``sites_last``: those of the target and of the member that asks; helpers of other sites go first.
+    A network partition between two sites can thus be bypassed through a third one.
+    ``last_resort_sites``: the sites of the target and of this member; other sites are taken first.
     """
     by_site = _candidates_by_site(entries, target)
     sites = list(by_site)
