--- a/ironbarrow/fleet/members/relayed_probes.py
+++ b/ironbarrow/fleet/members/relayed_probes.py
@@ -1,4 +1,4 @@
-"""Indirect probes that this member makes for others."""
+"""Indirect probes that this member relays for others."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -9,12 +9,12 @@
 from ironbarrow.fleet.members.known_state import KnownState, latest_known_state
 from ironbarrow.fleet.members.messages import Ack, Ping, PingRequest, Rumour
 
-MAX_RELAYED_PROBES = 256  # at a time
+MAX_RELAYED_PROBES = 256  # pending at the same time
 
 
 @dataclass(slots=True, eq=False)
 class RelayedProbe:
-    """A probe for another member (``asker``), under the number that it gave."""
+    """A pending probe for ``requester``, whose own probe has ``number``."""
 
     requester: Incarnation
     number: int
@@ -23,20 +23,22 @@
 
 
 class RelayedProbes:
-    """Probes targets on request and reports what came of it."""
+    """Probes targets on request and reports the result to the requester."""
 
     def __init__(self, context: MemberContext, dissemination: Dissemination, numbers: Iterator[int]) -> None:
         self._context = context
         self._table = context.table
         self._dissemination = dissemination
-        self._probe_numbers = numbers  # shared with this member's own probes
+        self._probe_numbers = (
+            numbers  # shared with this member's own probes, so that an Ack matches one probe only
+        )
         self._probes: dict[int, RelayedProbe] = {}
 
     def on_request(self, now: int, requester: Incarnation, request: PingRequest) -> None:
-        """Probes the target of a request; its rumours have been taken in."""
+        """Probes the target of a request; the caller has merged its rumours."""
         target = request.target
         if target.name == self._table.own_name or len(self._probes) >= MAX_RELAYED_PROBES:
-            self._context.dropped["asked"] += 1
+            self._context.dropped["ping request"] += 1
             return
         number = next(self._probe_numbers)
         expires_at = now + self._context.rules.timeout
@@ -48,7 +50,7 @@
         self._context.outbox.send(target, Ping(number, self._table.own_card.version, *known_state, rumours))
 
     def on_ack(self, sender: Incarnation, ack: Ack) -> None:
-        """Reports that a target has answered, if this is the answer to such a probe."""
+        """Reports success to the requester if this Ack answers a relayed probe."""
         probe = self._probes.get(ack.number)
         if probe is None or probe.target != sender:
             return
@@ -57,20 +59,20 @@
         self._report(probe, reached=True, rumours_for_requester=rumours)
 
     def tick(self, now: int) -> None:
-        """Reports the targets that did not answer in time."""
+        """Reports failure for each target that did not answer in time."""
         for number, probe in list(self._probes.items()):
             if probe.expires_at <= now:
                 del self._probes[number]
                 self._report(probe, reached=False)
 
     def next_at(self) -> int:
-        """When the next target is given up, ns; NEVER if there is none."""
-        if not self._probes:  # the usual case, asked for with every message
+        """When the next relayed probe times out, ns; NEVER if there is none."""
+        if not self._probes:  # the common case, on the path of every message
             return NEVER
         return min(probe.expires_at for probe in self._probes.values())
 
     def postpone(self, duration: int) -> None:
-        """Makes up for a stop of the process."""
+        """Extends all timeouts by ``duration``, the time for which the process was paused."""
         for probe in self._probes.values():
             probe.expires_at += duration
 
