--- a/ironbarrow/fleet/members/suspicion.py
+++ b/ironbarrow/fleet/members/suspicion.py
@@ -1,6 +1,6 @@
-"""Suspicions: a member that could not be reached is SUSPECT, and DEAD unless it objects in time.
+"""Suspicion: an unreachable member becomes SUSPECT, and DEAD unless it refutes that in time.
 
-As in Lifeguard, the time shrinks as other members confirm that they could not reach it either.
+As in Lifeguard, the timeout shrinks as other members confirm that they cannot reach the suspect either.
 """
 
 import math
@@ -12,12 +12,12 @@
 from ironbarrow.fleet.members.table import Entry
 from ironbarrow.fleet.members.transitions import Transitions
 
-MAX_CONFIRMATIONS = 3  # others that can't reach it either; more make the time no shorter
-MIN_TIMEOUT_DIVISOR = 3  # the time of a suspicion shrinks to this part of the longest
+MAX_CONFIRMATIONS = 3  # independent accusers besides the first; more do not shorten the timeout
+MIN_TIMEOUT_DIVISOR = 3  # the shortest timeout is the longest divided by this
 
 
 class Suspicions:
-    """Begins, confirms and ends suspicions, and their timers."""
+    """Starts, confirms and expires suspicions."""
 
     def __init__(
         self,
@@ -33,8 +33,10 @@
         self._schedule = schedule
 
     def suspect(self, now: int, entry: Entry, version: int, accuser: str, *, publish: bool = True) -> None:
-        """Suspects a member, or notes that another one (``accuser``) could not reach it either.
-        ``publish`` False: the caller publishes the entry itself."""
+        """Suspects a member, or records that another one (``accuser``) could not reach it either.
+
+        ``publish`` False: the caller publishes the entry itself.
+        """
         if entry.gone and version <= entry.version:
             return
         starts_suspicion = entry.health is not Health.SUSPECT or version > entry.version
@@ -51,27 +53,27 @@
         entry.suspected_until = max(now, entry.since + self._duration(entry))
 
     def is_confirmed_death_credible(self, now: int, entry: Entry) -> bool:
-        """Whether a suspicion has lasted long enough for the word of another that it ended in a death."""
+        """Whether a suspicion is old enough to accept from another member that the suspect is DEAD."""
         return now - entry.since >= self._context.rules.suspect_for // MIN_TIMEOUT_DIVISOR
 
     def declare_dead(self, now: int, entry: Entry, version: int) -> None:
-        """Takes a suspect for DEAD, as another member does."""
+        """Marks a suspect as DEAD because another member reported it DEAD."""
         self._transitions.set_health(now, entry, max(version, entry.version), Health.DEAD)
 
     def tick(self, now: int) -> None:
-        """Ends the suspicions whose time is over."""
+        """Expires the suspicions whose timeout has passed."""
         for entry in list(self._table.suspects.values()):
             if entry.suspected_until <= now:
                 self._expire(now, entry)
 
     def next_at(self) -> int:
-        """When the next suspicion ends, ns; NEVER if there is none."""
-        if not self._table.suspects:  # the usual case, asked for with every message
+        """When the next suspicion times out, ns; NEVER if there is none."""
+        if not self._table.suspects:  # the common case, on the path of every message
             return NEVER
         return min(entry.suspected_until for entry in self._table.suspects.values())
 
     def postpone(self, duration: int) -> None:
-        """Makes up for a stop of the process: all suspicions last so much longer."""
+        """Extends all timeouts by ``duration``, the time for which the process was paused."""
         for entry in self._table.suspects.values():
             entry.suspected_until += duration
 
@@ -99,7 +101,7 @@
     def _expire(self, now: int, entry: Entry) -> None:
         suspect_for = self._context.rules.suspect_for
         if now - entry.last_message_at < suspect_for // 2:
-            # one that is heard is alive, even if it can't be reached from here
+            # a member that sends messages is alive, even if probes from here fail
             entry.suspected_until = entry.last_message_at + suspect_for
             return
         self._transitions.set_health(now, entry, entry.version, Health.DEAD)
