--- a/ironbarrow/fleet/members/sync.py
+++ b/ironbarrow/fleet/members/sync.py
@@ -1,6 +1,7 @@
-"""Anti-entropy: two members compare a part of their tables, and each sends what the other lacks.
+"""Anti-entropy: two members compare a partition of their tables, and each sends what the other lacks.
 
-It also brings in new members, and heals cuts: dead members and unknown seeds are tried again.
+This is also how a new member joins and how a network partition heals: a member keeps contacting DEAD members
+and unknown seeds.
 """
 
 import math
@@ -15,17 +16,17 @@
 from ironbarrow.fleet.members.transitions import Transitions
 from ironbarrow.runtime.clock import MS, SECOND
 
-PARTITION_SIZE = 64  # members whose state is compared in a sync, about
-MAX_REQUESTED_CARDS = 4 * PARTITION_SIZE  # cards asked for, or sent on request, at once
-MAX_CARDS = 24  # in a message
+PARTITION_SIZE = 64  # approximate number of members compared in one sync
+MAX_REQUESTED_CARDS = 4 * PARTITION_SIZE  # per CardRequest, sent or answered
+MAX_CARDS = 24  # per message
 MAX_SYNC_INTERVAL = 5 * SECOND
-MIN_SYNC_INTERVAL = SECOND // 2  # as long as a sync brings news
-RECONNECT_INTERVAL = SECOND  # between two tries of members held DEAD, or of unknown seeds
-JOIN_SEEDS = 3  # seeds that are tried at once while nobody is known
+MIN_SYNC_INTERVAL = SECOND // 2  # while syncs bring changes
+RECONNECT_INTERVAL = SECOND  # between two attempts to contact a DEAD member or an unknown seed
+JOIN_SEEDS = 3  # seeds contacted at once while the table is empty
 
 
 class Synchronizer:
-    """Compares tables in intervals that grow while there is nothing new."""
+    """Compares tables at intervals that double while nothing changes."""
 
     def __init__(
         self,
@@ -49,7 +50,7 @@
     # Messages
 
     def on_sync(self, now: int, sender: Incarnation, sync: Sync) -> None:
-        """Answers a sync with what the sender lacks, and asks for what this member lacks."""
+        """Sends the rumours that the sender lacks and requests the cards that this member lacks."""
         if sync.card.incarnation != sender or not 0 <= sync.partition < sync.partitions:
             self._context.dropped["malformed"] += 1
             return
@@ -61,11 +62,11 @@
             self._context.outbox.send(sender, CardRequest(tuple(missing[:MAX_REQUESTED_CARDS])))
 
     def on_card_request(self, now: int, sender: Incarnation, request: CardRequest) -> None:
-        """Sends the cards that another member asks for."""
+        """Answers a request for cards."""
         self.send_rumours(sender, self._full_rumours(now, request.names[:MAX_REQUESTED_CARDS]))
 
     def on_rumour_batch(self, now: int, batch: RumourBatch) -> None:
-        """Takes in cards; the next sync is soon if these came of one and brought something new."""
+        """Merges rumours; after changes from a sync the next sync follows at the shortest interval."""
         outbox = self._context.outbox
         before = len(outbox)
         self._merger.merge_all(now, batch.rumours, batch.from_sync)
@@ -74,12 +75,12 @@
             self._sync_at = min(self._sync_at, now + MIN_SYNC_INTERVAL)
 
     def send_rumours(self, to: Incarnation, rumours: Sequence[Rumour], from_sync: bool = True) -> None:
-        """Sends rumours with their cards, a bounded number in a message."""
+        """Sends rumours with their cards, at most ``MAX_CARDS`` per message."""
         for start in range(0, len(rumours), MAX_CARDS):
             self._context.outbox.send(to, RumourBatch(tuple(rumours[start : start + MAX_CARDS]), from_sync))
 
     def _merge_states(self, now: int, states: Iterable[Rumour]) -> list[str]:
-        """Takes in states without cards; returns the names whose cards are missing."""
+        """Merges states without cards; returns the names whose cards are missing."""
         missing: list[str] = []
         for rumour in states:
             name = rumour.incarnation.name
@@ -108,7 +109,7 @@
         self.send_rumours(sender, newer)
 
     def _names_of_partition(self, sync: Sync, sender: Incarnation) -> list[str]:
-        """This member and those others that the sync is about, but for the sender."""
+        """This member and all members of the partition except the sender."""
         names = [self._table.own_name]
         for name in self._table.entries:
             if name != sender.name and self._table.sync_hash_of(name) % sync.partitions == sync.partition:
@@ -122,7 +123,7 @@
     # Time
 
     def tick(self, now: int) -> None:
-        """Syncs with a random member, or tries those that are gone, if that is due."""
+        """Syncs with a random member and contacts DEAD members or seeds when due."""
         if self._context.leaving:
             self._sync_at = self._reconnect_at = NEVER
         if self._sync_at <= now:
@@ -135,11 +136,11 @@
             self._reconnect(now)
 
     def next_at(self) -> int:
-        """When something is due, ns; NEVER if nothing is."""
+        """When the next step is due, ns; NEVER after leaving."""
         return min(self._sync_at, self._reconnect_at)
 
     def resume(self, now: int) -> None:
-        """Makes up for a stop of the process: nothing was due before now."""
+        """Skips the steps missed while the process was paused."""
         self._sync_at = max(self._sync_at, now)
         self._reconnect_at = max(self._reconnect_at, now)
 
@@ -182,6 +183,6 @@
             self._sync_with(now, Incarnation(name))
 
     def _is_seed_unknown_or_left(self, seed: str) -> bool:
-        """Whether a seed is unknown, or LEFT: it may have begun again where it could not be heard."""
+        """Whether a seed is unknown or LEFT: it may have restarted without this member noticing."""
         entry = self._table.get(seed)
         return entry is None or entry.health is Health.LEFT
