--- a/ironbarrow/fleet/members/table.py
+++ b/ironbarrow/fleet/members/table.py
@@ -1,6 +1,6 @@
-"""The membership table: what this member holds of each other one, and its own card.
+"""The membership table: what this member knows of each other member, and its own card.
 
-The table answers questions and holds records; what changes an entry is in ``transitions``.
+The table answers queries and stores records; the changes of entries are in ``transitions``.
 """
 
 from collections.abc import Iterator, Sequence
@@ -14,46 +14,49 @@
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """The record of one other member: of its latest known incarnation."""
+    """The record of the latest known incarnation of another member. Times in ns."""
 
-    card: Card  # the newest; its version may be behind ``version``
+    card: Card  # the newest received; its version may be lower than ``version``
     version: int
     health: Health
-    since: int  # ns, when that health was first seen
-    sync_hash: int  # the name's place among the partitions of a sync
-    member: Member  # the same, as the other parts of the fleet are told
-    last_message_at: int = 0  # when a message of its own last came
-    accusers: set[str] = field(default_factory=set)  # members that could not reach it
+    since: int  # when it took this health, as far as known
+    sync_hash: int  # assigns the name to a partition of a sync
+    member: Member  # the same state in the form that other packages read
+    last_message_at: int = 0  # when its own last message arrived
+    accusers: set[str] = field(default_factory=set)  # names of members that could not reach it
     suspected_until: int = NEVER
-    last_extra_probe_at: int = 0  # when a broken connection last had it probed
-    reachable_since: int = -NEVER  # when it came in sight, or came back, after others had begun
+    last_extra_probe_at: int = 0  # last probe out of turn after a broken connection
+    reachable_since: int = -NEVER  # when it appeared late or became ALIVE again
 
     @property
     def incarnation(self) -> Incarnation:
-        """The incarnation that the entry is about."""
+        """The incarnation that the entry describes."""
         return self.card.incarnation
 
     @property
     def reachable(self) -> bool:
-        """Whether it is held for there: ALIVE or SUSPECT."""
+        """Whether it is ALIVE or SUSPECT."""
         return self.health in REACHABLE
 
     @property
     def gone(self) -> bool:
-        """Whether it is held for DEAD or LEFT."""
+        """Whether it is DEAD or LEFT."""
         return not self.reachable
 
     @property
     def advertised_version(self) -> int:
-        """The version to state to others. A member whose card is behind must say so by the card's version,
-        or it would never be sent the newer card."""
+        """The version to state to other members.
+
+        While the card is older than ``version``, the card's version is stated; otherwise no member would
+        send the newer card.
+        """
         return self.card.version if self.health is Health.ALIVE else self.version
 
 
 class MembershipTable:
     """Entries by name, the suspects among them, and the incarnations that have ended.
 
-    ``capacity``: members in the table, this one included, and records of ended incarnations.
+    ``capacity``: the maximum number of members, this one included, and of records of ended incarnations.
     """
 
     def __init__(self, own_card: Card, now: int, capacity: int) -> None:
@@ -62,9 +65,9 @@
         self.suspects: dict[str, Entry] = {}
         self._own_since = now
         self._capacity = capacity
-        # replaced by a later one, or forgotten after LEFT
+        # replaced by a later incarnation, or removed after LEFT
         self._ended: dict[Incarnation, Health] = {}
-        self._forgotten: dict[Incarnation, Health] = {}  # dead ones without an entry
+        self._forgotten: dict[Incarnation, Health] = {}  # DEAD ones whose entry was removed
         self._alive: tuple[Member, ...] | None = None
 
     def __len__(self) -> int:
@@ -85,22 +88,22 @@
 
     @property
     def own_since(self) -> int:
-        """When this member began, ns."""
+        """When this member started, ns."""
         return self._own_since
 
-    # Questions
+    # Queries
 
     def get(self, name: str) -> Entry | None:
-        """The entry of another member."""
+        """The entry of another member; None if there is none."""
         return self.entries.get(name)
 
     def of_incarnation(self, incarnation: Incarnation) -> Entry | None:
-        """The entry of another member if it is about that very incarnation."""
+        """The entry of another member if it describes exactly this incarnation."""
         entry = self.entries.get(incarnation.name)
         return entry if entry is not None and entry.incarnation == incarnation else None
 
     def alive(self) -> Sequence[Member]:
-        """The members that are ALIVE or SUSPECT and this one, in order of name."""
+        """All ALIVE and SUSPECT members and this one, sorted by name."""
         if self._alive is None:
             found = [entry.member for entry in self if entry.reachable]
             found.append(Member(self.own_card, Health.ALIVE, self._own_since))
@@ -112,7 +115,7 @@
         return self._alive
 
     def health(self, incarnation: Incarnation) -> Health | None:
-        """What an incarnation is held for; None if nothing is known of it."""
+        """The known health of an incarnation; None if it is unknown."""
         if incarnation.name == self.own_name:
             if incarnation.start in (0, self.own_incarnation.start):
                 return Health.ALIVE
@@ -127,18 +130,18 @@
         )
 
     def card(self, name: str) -> Card | None:
-        """The newest card of a name."""
+        """The newest card of a member; None if it is unknown."""
         if name == self.own_name:
             return self.own_card
         entry = self.entries.get(name)
         return None if entry is None else entry.card
 
     def known(self) -> Sequence[Member]:
-        """All others, also the dead and those that left, in order of name."""
+        """All other members, including DEAD and LEFT ones, sorted by name."""
         return [self.entries[name].member for name in sorted(self.entries)]
 
     def unreachable_sites(self) -> list[str]:
-        """Other sites of which no known member is ALIVE and at least one neither that nor LEFT."""
+        """Other sites without any ALIVE member, except sites whose members have all LEFT; sorted."""
         seen: dict[str, set[Health]] = {}
         for entry in self:
             seen.setdefault(entry.card.site, set()).add(entry.health)
@@ -149,42 +152,42 @@
         )
 
     def sync_hash_of(self, name: str) -> int:
-        """The place of a name among the partitions of a sync: the same at every member."""
+        """The hash that assigns a name to a partition of a sync; the same at every member."""
         entry = self.entries.get(name)
         return entry.sync_hash if entry is not None else rank("sync", name)
 
     def has_ended(self, incarnation: Incarnation) -> bool:
-        """Whether an incarnation is known to be over for good."""
+        """Whether an incarnation is known to have ended for good."""
         return incarnation in self._ended
 
     def was_forgotten(self, incarnation: Incarnation) -> bool:
-        """Whether an incarnation died and its entry was dropped."""
+        """Whether an incarnation died and its entry was removed."""
         return incarnation in self._forgotten
 
     @property
     def full(self) -> bool:
-        """Whether another member has no place."""
+        """Whether the table has no room for another member."""
         return len(self.entries) + 1 >= self._capacity
 
     # Records
 
     def replace_own_card(self, card: Card) -> None:
-        """Takes a newer card of this member."""
+        """Stores a newer card of this member."""
         self.own_card = card
         self._alive = None
 
     def refresh_member(self, entry: Entry) -> None:
-        """Makes a changed entry visible to whoever asks."""
+        """Makes a changed entry visible to queries."""
         entry.member = Member(entry.card, entry.health, entry.since)
         self._alive = None
 
     def record_end(self, incarnation: Incarnation, health: Health) -> None:
-        """Notes that an incarnation is over for good: DEAD or LEFT."""
+        """Records that an incarnation has ended for good, as DEAD or LEFT."""
         self._ended[incarnation] = health
         self._trim(self._ended)
 
     def remove(self, name: str) -> None:
-        """Drops the entry of one that is DEAD or LEFT; that it was is remembered for a while."""
+        """Removes the entry of a DEAD or LEFT member; its end stays on record while there is room."""
         entry = self.entries.pop(name)
         if entry.health is Health.LEFT:
             self.record_end(entry.incarnation, entry.health)
