--- a/ironbarrow/fleet/members/transitions.py
+++ b/ironbarrow/fleet/members/transitions.py
@@ -1,4 +1,4 @@
-"""Changes of entries in the membership table, each checked against the invariants and published."""
+"""State transitions of table entries, checked against the invariants and published."""
 
 from ironbarrow.fleet.api import NEVER, Card, Health, MemberChanged
 from ironbarrow.fleet.invariants import check
@@ -9,7 +9,7 @@
 
 
 class Transitions:
-    """Carries out changes of state; the rules that decide them are in ``merge`` and ``suspicion``."""
+    """Applies state transitions; the rules that decide them are in ``merge`` and ``suspicion``."""
 
     def __init__(self, context: MemberContext, dissemination: Dissemination, schedule: ProbeSchedule) -> None:
         self._context = context
@@ -18,19 +18,19 @@
         self._schedule = schedule
 
     def add(self, entry: Entry) -> None:
-        """Puts a new incarnation into the table, in place of an earlier one; not yet published."""
+        """Adds the entry of a new incarnation, replacing an earlier one. The caller publishes it."""
         self._table.entries[entry.incarnation.name] = entry
         self._schedule.insert(entry.incarnation.name)
 
     def update_card(self, entry: Entry, card: Card) -> None:
-        """Takes a newer card of the same incarnation."""
+        """Stores a newer card of the same incarnation."""
         check("versions rise", card.version > entry.card.version, was=entry.card.version, now=card.version)
         entry.card = card
         self._table.refresh_member(entry)
         self._dissemination.enqueue(card.incarnation.name)
 
     def set_health(self, now: int, entry: Entry, version: int, health: Health) -> None:
-        """Takes a later state of the same incarnation: ALIVE, DEAD or LEFT.
+        """Applies a newer state of the same incarnation: ALIVE, DEAD or LEFT.
 
         SUSPECT is set by ``suspicion``.
         """
@@ -46,13 +46,16 @@
         self.publish(entry)
 
     def publish(self, entry: Entry, from_sync: bool = False) -> None:
-        """Tells the process and the other members of a changed entry. ``synced``: a sync brought it."""
+        """Publishes a changed entry to the process and to the other members.
+
+        ``from_sync``: the change was learned by anti-entropy.
+        """
         self._table.refresh_member(entry)
         self._dissemination.enqueue(entry.incarnation.name, from_sync)
         self._context.outbox.publish(MemberChanged(entry.member))
 
     def end(self, now: int, entry: Entry) -> None:
-        """Another incarnation has come after that of the entry: it never comes back."""
+        """Ends the entry's incarnation for good because a later one has appeared."""
         if entry.health is Health.LEFT:
             self._table.record_end(entry.incarnation, Health.LEFT)
             return
@@ -63,7 +66,10 @@
         self._table.record_end(entry.incarnation, Health.DEAD)
 
     def make_room(self) -> bool:
-        """Whether the table takes another member, in place of the one that is gone longest if need be."""
+        """Makes room for another member, by removing the one DEAD or LEFT for longest if necessary.
+
+        False if the table is full of ALIVE and SUSPECT members.
+        """
         if not self._table.full:
             return True
         gone = [entry for entry in self._table if entry.gone]
@@ -73,7 +79,7 @@
         return True
 
     def forget(self, name: str) -> None:
-        """Drops the entry of one that is DEAD or LEFT."""
+        """Removes a DEAD or LEFT member from the table and all queues."""
         self._table.remove(name)
         self._dissemination.discard(name)
         self._schedule.discard(name)
