--- a/ironbarrow/fleet/members/validation.py
+++ b/ironbarrow/fleet/members/validation.py
@@ -1,7 +1,7 @@
-"""Range checks on what other members send.
+"""Range checks on received rumours.
 
-A value out of range would be passed on from member to member and never be outdone, so that a rumour that
-fails these checks is counted and dropped as a whole.
+A rumour that fails them is counted and dropped as a whole: a value out of range would spread to all members,
+and no later rumour could supersede it.
 """
 
 from ironbarrow.fleet.api import NEVER, Card, Health, Incarnation, LedgerAt
@@ -14,12 +14,12 @@
 
 
 def health_from_rank(number: int) -> Health | None:
-    """The health with that number on the wire; None if there is none."""
+    """The health with this number on the wire; None for an unknown number."""
     return HEALTH_BY_RANK[number] if 0 <= number < len(HEALTH_BY_RANK) else None
 
 
 def is_valid_rumour(rumour: Rumour) -> bool:
-    """Whether all values of a rumour are in range and its card, if any, is of the same incarnation."""
+    """Whether all values of a rumour are in range and its card, if any, has the same incarnation."""
     return (
         health_from_rank(rumour.health_rank) is not None
         and 0 <= rumour.version < VERSION_LIMIT
