--- a/ironbarrow/fleet/starvation/machine.py
+++ b/ironbarrow/fleet/starvation/machine.py
@@ -1,9 +1,10 @@
-"""Starvation as one machine of a member: it closes windows, has them collected, looks, and gives verdicts.
+"""Starvation detection of one member: exchanges wait reports, assesses tenants and gives verdicts.
 
-So that traffic of a member stays flat as the fleet grows, tables are not sent to all. Tenants fall into
-shards; two members for each shard, by rendezvous hashing, collect it: every partition sends them its rows of
-these tenants, also none, and each is answered with the sums of all others for its own tenants. What was not
-acknowledged goes again with the next window. No input or output.
+Tables of waits are not sent to all members, so that the traffic of each stays flat as the fleet grows.
+Tenants are divided into shards, and two members per shard, chosen by rendezvous hashing, collect it. Every
+partition reports its rows of these tenants to them, even if it has none, and receives the sums of all other
+partitions for its own tenants. Windows that were not acknowledged are sent again in the next round. The
+machine does no I/O itself.
 """
 
 from collections import Counter
@@ -64,26 +65,29 @@
 
 log = structlog.get_logger()
 
-COLLECTORS_PER_SHARD = 2  # members that collect a shard
-SHARE_TOLERANCE = 1.25  # times its share: so much more is within what chance brings
-MAX_PARTITION_WAITS = 4  # partitions named to a tenant that starves
+COLLECTORS_PER_SHARD = 2
+SHARE_TOLERANCE = 1.25  # a tenant may exceed its share by this factor: random arrivals do
+MAX_PARTITION_WAITS = 4  # partitions with the shortest waits that a reply lists per tenant
 
 
 @dataclass(frozen=True, slots=True)
 class TenantShares:
-    """What tenants may send to one partition, jobs a second. A tenant that is not named is beyond its share
-    where its part of a partition's jobs is more than twice its part elsewhere, and more than an even part."""
+    """The job rates that tenants are entitled to in one partition, jobs/s.
+
+    A tenant without a configured rate is over its share if its fraction of the partition's jobs is more than
+    twice its fraction elsewhere and more than an equal division among the tenants.
+    """
 
     jobs_per_s: Mapping[str, float] = field(default_factory=dict)
 
     def tenants_over_share(
         self, rows: Mapping[RowKey, Tally], seconds: float, elsewhere: Mapping[str, RemoteWaits]
     ) -> set[str]:
-        """The tenants that brought more than their share to a partition in that time."""
+        """The tenants that sent more than their share to a partition within ``seconds``."""
         taken: Counter[str] = Counter()
         for (tenant, _, _), tally in rows.items():
             taken[tenant] += tally.taken
-        everything, tenants = taken.total(), sum(tenant != UNTRACKED_TENANT for tenant in taken)
+        total, tenants = taken.total(), sum(tenant != UNTRACKED_TENANT for tenant in taken)
         found = set[str]()
         for tenant, jobs in taken.items():
             if tenant == UNTRACKED_TENANT or not jobs:
@@ -92,15 +96,16 @@
             if not share:
                 remote = elsewhere.get(tenant)
                 outside = sum(t.taken for k, t in remote.rows.items() if k[0] == tenant) if remote else 0
-                part = outside / remote.taken if remote and remote.taken else 0.0
-                share = max(2 * part, 1 / tenants) * everything
+                fraction = outside / remote.taken if remote and remote.taken else 0.0
+                share = max(2 * fraction, 1 / tenants) * total
+            # 2 * sqrt(share): two standard deviations of a Poisson count
             if jobs > SHARE_TOLERANCE * share + 2 * share**0.5:
                 found.add(tenant)
         return found
 
 
 class VerdictRecord(Struct, frozen=True, array_like=True):
-    """A verdict as the partition's ledger has it, under ``records.VERDICT`` and the tenant."""
+    """A verdict in the partition's ledger, under ``records.VERDICT`` plus the tenant. ``began_at`` in ns."""
 
     tenant: str
     began_at: int
@@ -109,7 +114,7 @@
 
 @dataclass(slots=True)
 class _CollectorReply:
-    """A collector's newest answer on a shard."""
+    """The newest reply of a collector for one shard."""
 
     round_number: int
     partition_count: int
@@ -119,7 +124,7 @@
 
 
 class StarvationMachine:
-    """One member's part in it. ``book`` is told of jobs by the host."""
+    """The starvation detection of one member. The host reports the waits of jobs to ``recorder``."""
 
     handles: tuple[type[Message], ...] = (WaitReport, WaitReportReply)
 
@@ -134,27 +139,30 @@
         transfer: JobTransfer | None = None,
         recorder: WaitRecorder | None = None,
     ) -> None:
-        """``book``: that of an earlier incarnation of the same process, whose jobs still wait."""
+        """``recorder``: that of an earlier incarnation of the same process, whose jobs still wait."""
         self._me, self._members, self._ledgers = me, members, ledgers
         self._rules, self._shares, self._transfer = rules, shares, transfer
         self.recorder = recorder or WaitRecorder(rules, now)
         self.collector = WaitCollector(rules.windows, rules.window)
         self.verdicts = Verdicts(me.incarnation.name, rules)
         self.move_planner = MovePlanner(rules.window, rules.windows)
-        self.assessments: dict[str, Assessment] = {}  # the last one at each tenant
-        self.dropped: Counter[str] = Counter()
+        self.assessments: dict[str, Assessment] = {}  # the latest of each tenant
+        self.dropped: Counter[str] = Counter()  # ignored messages, by cause
         self._round_number = 0
-        self._replies: dict[tuple[int, Incarnation], _CollectorReply] = {}
+        self._replies: dict[tuple[int, Incarnation], _CollectorReply] = {}  # by shard and collector
+        # by collector: its shards, and the numbers of the windows that it has acknowledged for these
         self._acknowledged: dict[Incarnation, tuple[tuple[int, ...], frozenset[int]]] = {}
         self._alive_incarnations: tuple[Incarnation, ...] = ()
-        self._collectors: dict[Incarnation, tuple[int, ...]] = {}
-        self._unrecorded: dict[str, StarvationBegan] = {}
+        self._collectors: dict[Incarnation, tuple[int, ...]] = {}  # shards by collector
+        self._unrecorded: dict[str, StarvationBegan] = {}  # verdicts that are not in the ledger yet
         self._close_at, self._assess_at, self._move_at = now + rules.window, NEVER, NEVER
 
     def next_at(self) -> int:
+        """When ``ticked`` is due next, ns; NEVER if no timer is set."""
         return min(self._close_at, self._assess_at, self._move_at)
 
     def ticked(self, now: int) -> list[Action]:
+        """Runs all due timers."""
         actions: list[Action] = []
         if now >= self._close_at:
             actions += self._close(now)
@@ -166,12 +174,12 @@
         return actions
 
     def on_job_received(self, now: int, tenant: str) -> None:
-        """A job of that tenant was moved here from where it starves."""
+        """Records that a job of a tenant was moved here from a partition where the tenant starves."""
         self.move_planner.on_job_received(now, tenant)
 
     @staticmethod
     def log(event: News) -> None:
-        """Writes a verdict's event into the program's log, for people at night."""
+        """Logs the start or the end of a verdict, for operators."""
         if isinstance(event, StarvationBegan):
             figures = msgspec.to_builtins(msgspec.structs.asdict(event.evidence))
             log.warning("a tenant starves here", tenant=event.tenant, **figures)
@@ -183,7 +191,7 @@
 
     def _close(self, now: int) -> list[Action]:
         self.recorder.close(now)
-        # danger: after a pause of the process one window is long; many empty ones would say nothing
+        # after a pause of the process there is one long window; many empty ones would contain no information
         self._close_at = max(self._close_at + self._rules.window, now + self._rules.window // 2)
         self._assess_at = now + self._rules.window // 4
         self._round_number += 1
@@ -191,7 +199,7 @@
         return self._send_round(now)
 
     def _collector_map(self) -> dict[Incarnation, tuple[int, ...]]:
-        """Who collects which shards."""
+        """The shards of each collector."""
         names = tuple(member.card.incarnation for member in self._members.alive())
         if names != self._alive_incarnations:
             self._alive_incarnations = names
@@ -237,9 +245,10 @@
         return actions
 
     def received(self, now: int, sender: Incarnation, message: Any) -> list[Action]:
-        # danger: a late copy from a dead partition must not bring it back
+        """Handles a report of another partition, or a collector's reply."""
+        # a delayed message of a dead partition must not add its windows again
         if self._members.health(sender) not in (Health.ALIVE, Health.SUSPECT):
-            self.dropped["stranger"] += 1
+            self.dropped["unknown sender"] += 1
             return []
         if isinstance(message, WaitReport):
             self.collector.add_report(now, sender, message)
@@ -285,7 +294,7 @@
         )
 
     def _shortest_waits(self, requester: Incarnation, tenant: str) -> list[PartitionWait]:
-        """Where a tenant waits least, the askers' own partition left out."""
+        """The partitions where a tenant waits least, except the requester's own."""
         found = []
         for incarnation, site, rows in self.collector.by_partition(shard_of(tenant), tenant):
             jobs = sum(tally.entered for tally in rows.values())
@@ -310,15 +319,15 @@
             own_shards != message.shards
             or not self._round_number - self._rules.windows < message.round_number <= self._round_number
         ):
-            self.dropped["not asked for"] += 1
+            self.dropped["unexpected reply"] += 1
             return
         by_shard: dict[int, dict[RowKey, Tally]] = {shard: {} for shard in own_shards}
         for row in message.rows:
-            part, tally = by_shard.get(shard_of(row.tenant)), parse_row(row)
-            if part is None or tally is None:
-                self.dropped["unsound"] += 1
+            shard_rows, tally = by_shard.get(shard_of(row.tenant)), parse_row(row)
+            if shard_rows is None or tally is None:
+                self.dropped["malformed"] += 1
                 return
-            part[row.tenant, row.job_class, row.size] = tally
+            shard_rows[row.tenant, row.job_class, row.size] = tally
         for shard, rows in by_shard.items():
             previous = self._replies.get((shard, sender))
             if previous is None or previous.round_number <= message.round_number:
@@ -337,7 +346,7 @@
         )
 
     def _best_replies(self, now: int) -> dict[int, _CollectorReply]:
-        """The answer on each shard that has heard most, of this look or the one before."""
+        """The reply for each shard that covers most partitions, from this round or the previous one."""
         found: dict[int, _CollectorReply] = {}
         own = self._collectors.get(self._me.incarnation, ())
         candidates = [(shard, reply) for (shard, _), reply in self._replies.items()]
@@ -399,7 +408,7 @@
         for tenant, began in list(self._unrecorded.items()):
             record = msgspec.msgpack.encode(VerdictRecord(tenant, began.began_at, began.evidence))
             written, more = self._append_verdict(now, Change(records.VERDICT + tenant, record))
-            if written:  # else again at the next look
+            if written:  # otherwise retried at the next assessment
                 del self._unrecorded[tenant]
                 actions += [*more, began]
         if self._rules.move and self._transfer is not None and self.verdicts.open_tenants():
@@ -410,7 +419,7 @@
         return self._ledgers.append(now, job_ledger(self._me.incarnation), [change])
 
     def _move(self, now: int) -> list[Action]:
-        """The remedy, once a second while a tenant starves."""
+        """Moves waiting jobs, once per second while a tenant starves."""
         starving = self.verdicts.open_tenants()
         self._move_at = now + SECOND if starving else NEVER
         actions: list[Action] = []
--- a/ironbarrow/fleet/starvation/tables.py
+++ b/ironbarrow/fleet/starvation/tables.py
@@ -1,10 +1,10 @@
-"""Tables of waits: by tenant, class and size, in log buckets; windowed, merged without a doubled count. No
-input or output.
+"""Tables of waits by tenant, class and size, in logarithmic buckets, and their idempotent merge. No I/O.
 
-A job is counted where it comes under observation (``taken``, or ``late`` at the age it has: carried on from
-the window before, back from a worker that has not run it, taken over from another) and where it leaves it:
-``started``, ``censored`` (ended without a start: its wait is at least that), or ``waiting`` at the window's
-end. So the two sides of every table are equal, whatever is added up: *sums of tables conserved*.
+Each job is counted twice. On entry under observation it is ``taken``, or ``delayed`` at its current age if it
+was carried over from the previous window, returned from a worker that has not run it, or was taken over from
+another dispatcher. On exit it is ``started``, ``censored`` (ended without a start: its wait is at least that
+long), or ``waiting`` at the end of the window. In every table and every sum of tables the entries equal the
+exits; the invariant *sums of tables conserved* checks that.
 """
 
 from bisect import bisect_right
@@ -20,39 +20,39 @@
 from ironbarrow.fleet.invariants import check
 from ironbarrow.runtime.clock import MS
 
-BUCKET_COUNT = 42  # the last one takes all from 20 min on
-# where each bucket begins, ns: 0, then 1 ms and on by the square root of 2
+BUCKET_COUNT = 42  # the last one has no upper bound: 20 min and more
+# lower bounds in ns: 0, 1 ms, then each larger by a factor of the square root of 2
 BUCKET_BOUNDS = (0, *(int(MS * 2 ** (i / 2)) for i in range(BUCKET_COUNT - 1)))
-SIZE_STRATA = 4  # strata of size: up to 1 slot, 2, 4, more
-SHARD_COUNT = 32  # parts of all tenants that are collected together
-_COUNT_LIMIT = 1 << 40  # no count is as large
-UNTRACKED_TENANT = ""  # the tenant of what has no tenant, or one beyond the bounds
+SIZE_STRATA = 4  # strata of job size: up to 1 slot, 2, 4, more
+SHARD_COUNT = 32  # groups of tenants, each collected by its own members
+_COUNT_LIMIT = 1 << 40  # larger counts in a message are malformed
+UNTRACKED_TENANT = ""  # for jobs without a tenant, or of tenants beyond the bounds of a table
 
-RowKey = tuple[str, str, int]  # tenant, class, size
-Curve = tuple[list[float], list[int]]  # by bucket: jobs at risk, starts
+RowKey = tuple[str, str, int]  # tenant, class, stratum of size
+Curve = tuple[list[float], list[int]]  # per bucket: jobs at risk, starts
 
 
 def bucket_of(wait: int) -> int:
-    """The bucket of a wait, ns."""
+    """The index of the bucket for a wait in ns."""
     return bisect_right(BUCKET_BOUNDS, wait) - 1
 
 
 def size_of(slots: float) -> int:
-    """The stratum of a job's size."""
+    """The stratum of a job's size in slots."""
     return sum(slots > limit for limit in (1.0, 2.0, 4.0))
 
 
 @lru_cache(4096)
 def shard_of(tenant: str) -> int:
-    """The part of the tenants that one is collected with; the same at every member."""
+    """The shard of a tenant; the same at every member."""
     return rank("tenant", tenant) % SHARD_COUNT
 
 
-BucketCounts = tuple[int, ...]  # bucket, count, bucket, count ...; buckets rise, counts are positive
+BucketCounts = tuple[int, ...]  # bucket, count, bucket, count, ...; buckets ascend, counts are positive
 
 
 class Row(Struct, frozen=True, array_like=True):
-    """One line of a table, as it is sent."""
+    """One row of a table in a message; the fields are those of ``RowKey`` and ``Tally``."""
 
     tenant: str
     job_class: str
@@ -65,8 +65,10 @@
 
 
 class Window(Struct, frozen=True, array_like=True):
-    """What one partition saw in one window, or the part of it that a collector is sent. ``taken``: jobs of
-    all tenants, those of the rest too. Of two copies the higher ``version`` counts."""
+    """One partition's rows of one window, or those that a collector needs.
+
+    ``taken``: jobs of all tenants, including untracked ones. Of two copies the higher ``version`` wins.
+    """
 
     number: int
     version: int
@@ -75,18 +77,18 @@
 
 
 class WaitReport(Message, frozen=True, array_like=True):
-    """Windows of the sender's partition for a collector: rows of the tenants of these shards."""
+    """Windows of the sender's partition for a collector, with the rows of the tenants in ``shards``."""
 
     KIND = 80
     site: str
-    round_number: int  # rises with each look: answers that come late are told apart
+    round_number: int  # increases with each round, so that delayed replies are recognized
     shards: tuple[int, ...]
     windows: tuple[Window, ...]
-    waits_wanted_for: tuple[str, ...] = ()  # tenants of which is asked where they wait least
+    waits_wanted_for: tuple[str, ...] = ()  # tenants whose partitions with the shortest waits are requested
 
 
 class PartitionWait(Struct, frozen=True, array_like=True):
-    """How a tenant fares in a partition: its jobs, and the mean wait in us, restricted to its horizon."""
+    """A tenant's number of jobs and its restricted mean wait, us, in one partition."""
 
     tenant: str
     incarnation: Incarnation
@@ -96,14 +98,14 @@
 
 
 class WaitReportReply(Message, frozen=True, array_like=True):
-    """A collector's answer: the sums of all other partitions, and how many it has heard of."""
+    """A collector's reply: the sums over all other partitions, and how many have sent reports."""
 
     KIND = 81
     round_number: int
     shards: tuple[int, ...]
-    stored_windows: tuple[int, ...]  # windows of the asker that it has, of all these shards
-    partition_count: int  # partitions in the sums, the asker's included
-    taken: int  # jobs of all tenants in the others' windows
+    stored_windows: tuple[int, ...]  # numbers of the requester's windows that it has for all these shards
+    partition_count: int  # partitions with reports, including the requester
+    taken: int  # jobs of all tenants in the other partitions' windows
     rows: tuple[Row, ...]
     partition_waits: tuple[PartitionWait, ...] = ()
 
@@ -114,7 +116,7 @@
 
 @dataclass(slots=True, eq=False)
 class Tally:
-    """Counts by bucket, to be added up."""
+    """Counts of jobs by bucket of wait; tallies can be added up."""
 
     taken: int = 0
     delayed: dict[int, int] = field(default_factory=_histogram)
@@ -124,14 +126,16 @@
 
     @property
     def entered(self) -> int:
+        """Jobs that came under observation."""
         return self.taken + sum(self.delayed.values())
 
     @property
     def exited(self) -> int:
+        """Jobs that left observation."""
         return sum(sum(histogram.values()) for histogram in (self.started, self.censored, self.waiting))
 
     def add(self, other: "Tally", sign: int = 1) -> None:
-        """Adds (1) or takes out (-1) what was seen of other jobs."""
+        """Adds (``sign`` 1) or subtracts (-1) the counts of other jobs."""
         self.taken += sign * other.taken
         for mine, theirs in (
             (self.delayed, other.delayed),
@@ -145,8 +149,11 @@
                     del mine[bucket]
 
     def append_later(self, later: "Tally") -> None:
-        """Adds the same partition's later window: who waited at the end of the one and came late in the other
-        was under observation all the time, and is one job."""
+        """Adds the next window of the same partition.
+
+        A job that waited at the end of this window and entered the next one delayed was observed without a
+        gap, and is counted once.
+        """
         self.add(later)
         for bucket, delayed in later.delayed.items():
             carried_over = min(delayed, self.waiting.get(bucket, 0) - later.waiting.get(bucket, 0))
@@ -157,11 +164,11 @@
                         del histogram[bucket]
 
     def at_risk(self) -> Curve:
-        """By bucket: jobs at risk, those that came or went unseen in it by half; and starts."""
+        """Jobs at risk and starts per bucket. Jobs that entered or were censored within it count half."""
         started, censored, waiting, delayed = self.started, self.censored, self.waiting, self.delayed
         last = max(chain(started, censored, waiting, delayed), default=-1) + 1
         risk, starts = [0.0] * last, [0] * last
-        at_risk_after = 0  # jobs that left after this bucket, less those that came after it
+        at_risk_after = 0  # exits after this bucket minus delayed entries after it
         for b in range(last - 1, -1, -1):
             censored_here = censored.get(b, 0) + waiting.get(b, 0)
             at_risk_here = at_risk_after + started.get(b, 0) + censored_here
@@ -172,7 +179,7 @@
 
 
 def sums_by_stratum(curves: Mapping[RowKey, Curve]) -> dict[tuple[str, int], Curve]:
-    """Curves of all tenants added up, by class and size."""
+    """Sums of the curves of all tenants, by class and size."""
     sums: dict[tuple[str, int], Curve] = {}
     for key, curve in curves.items():
         sums[key[1:]] = add_curves(sums.get(key[1:], ([], [])), curve)
@@ -180,7 +187,7 @@
 
 
 def add_curves(one: Curve, other: Curve, sign: int = 1) -> Curve:
-    """Two curves added up, or (-1) the second taken out of the first."""
+    """The sum of two curves, or (``sign`` -1) their difference."""
     (risk, starts), (more_risk, more_starts) = one, other
     missing = len(more_risk) - len(risk)
     if missing > 0:
@@ -194,18 +201,19 @@
 
 
 def row_from_tally(key: RowKey, tally: Tally) -> Row:
+    """Encodes a tally as a row of a message."""
     histograms = (tally.delayed, tally.started, tally.censored, tally.waiting)
     return Row(*key, tally.taken, *(tuple(n for item in sorted(h.items()) for n in item) for h in histograms))
 
 
 def tally_from_row(row: Row) -> Tally:
+    """Decodes a valid row; see ``parse_row`` for received ones."""
     histograms = (row.delayed, row.started, row.censored, row.waiting)
     return Tally(row.taken, *(defaultdict(int, zip(h[::2], h[1::2], strict=True)) for h in histograms))
 
 
 def parse_row(row: Row) -> Tally | None:
-    """The counts of a row that came in; None if they can't be true. Danger: they would spoil the sums of
-    all."""
+    """The tally of a received row; None if it is inconsistent, because that would corrupt all sums."""
     for histogram in (row.delayed, row.started, row.censored, row.waiting):
         buckets, counts = histogram[::2], histogram[1::2]
         if len(buckets) != len(counts):
@@ -225,13 +233,13 @@
         present -= sum(
             histogram.get(bucket, 0) for histogram in (tally.started, tally.censored, tally.waiting)
         )
-        if present < 0:  # more left than had come by then
+        if present < 0:  # more exits than entries up to this wait
             return None
     return tally if present == 0 else None
 
 
 def add_rows(rows: Iterable[tuple[RowKey, Tally]], into: dict[RowKey, Tally], sign: int = 1) -> None:
-    """Adds rows to sums; sums that come to nothing are dropped."""
+    """Adds (``sign`` 1) or subtracts (-1) rows; sums that become empty are removed."""
     for key, tally in rows:
         into.setdefault(key, Tally()).add(tally, sign)
         if not into[key].entered:
@@ -240,58 +248,62 @@
 
 @dataclass(frozen=True, slots=True)
 class _StoredWindow:
-    """One window of that."""
+    """One window of a partition, for one shard."""
 
     version: int
-    expires_at: int
+    expires_at: int  # ns
     taken: int
     rows: dict[RowKey, Tally]
 
     @property
     def starts(self) -> int:
+        """Jobs that started in the window."""
         return sum(sum(tally.started.values()) for tally in self.rows.values())
 
 
 @dataclass(slots=True, eq=False)
 class _PartitionWindows:
-    """One partition's windows of one shard."""
+    """The windows of one partition, for one shard."""
 
     site: str
     windows: dict[int, "_StoredWindow"] = field(default_factory=dict)
-    rows: dict[RowKey, Tally] = field(default_factory=dict)  # all of them together
+    rows: dict[RowKey, Tally] = field(default_factory=dict)  # of all windows, merged
     taken: int = 0
 
 
 class WaitCollector:
-    """What a collector has of others' windows. What is kept depends on the set of windows that came, not on
-    their order or number: of each (partition's incarnation, shard, window) the highest version, of each
-    partition the newest windows, each until it runs out."""
+    """The windows that a collector has received, and their sums.
+
+    The state depends only on the set of received windows, not on their order or repetition: it keeps the
+    highest version of each (incarnation, shard, window number), and the newest windows of each incarnation,
+    each until it expires. ``window_length`` in ns.
+    """
 
     def __init__(self, windows: int, window_length: int) -> None:
         self._max_windows, self._window_length = windows, window_length
         self._by_shard: dict[int, dict[Incarnation, _PartitionWindows]] = {}
         self._sums: dict[int, dict[RowKey, Tally]] = {}
-        self._start_counts: Counter[int] = (
-            Counter()
-        )  # in all windows kept of a shard, counted from the rows sent
-        self.dropped: Counter[str] = Counter()
+        self._start_counts: Counter[int] = Counter()  # per shard, counted from the received rows
+        self.dropped: Counter[str] = Counter()  # ignored windows and rows, by cause
 
     def add_report(self, now: int, sender: Incarnation, message: WaitReport) -> None:
-        """Takes windows in; a repeat, or a copy older than the one that is here, changes nothing."""
+        """Stores the windows of a report; duplicates and outdated copies change nothing."""
         changed: set[int] = set()
         for window in message.windows:
             if not 0 <= window.taken < _COUNT_LIMIT:
-                self.dropped["unsound"] += 1
+                self.dropped["malformed"] += 1
                 continue
-            parts: dict[int, dict[RowKey, Tally]] = {s: {} for s in message.shards if 0 <= s < SHARD_COUNT}
+            rows_by_shard: dict[int, dict[RowKey, Tally]] = {
+                s: {} for s in message.shards if 0 <= s < SHARD_COUNT
+            }
             for row in window.rows:
-                part, tally = parts.get(shard_of(row.tenant)), parse_row(row)
+                shard_rows, tally = rows_by_shard.get(shard_of(row.tenant)), parse_row(row)
                 key = (row.tenant, row.job_class, row.size)
-                if part is None or tally is None or key in part:
-                    self.dropped["unsound"] += 1
+                if shard_rows is None or tally is None or key in shard_rows:
+                    self.dropped["malformed"] += 1
                 else:
-                    part[key] = tally
-            for shard, rows in parts.items():
+                    shard_rows[key] = tally
+            for shard, rows in rows_by_shard.items():
                 if self._store_window(now, shard, sender, message.site, window, rows):
                     changed.add(shard)
         for shard in changed:
@@ -306,17 +318,17 @@
         window: Window,
         rows: dict[RowKey, Tally],
     ) -> bool:
-        """Whether it has changed what is partition."""
+        """Stores one window. True if that changed anything."""
         partition = self._by_shard.setdefault(shard, {}).setdefault(incarnation, _PartitionWindows(site))
         previous = partition.windows.get(window.number)
         newest = max(partition.windows, default=window.number)
         if previous is not None and previous.version >= window.version:
-            self.dropped["repeat"] += 1
+            self.dropped["duplicate"] += 1
             return False
         if window.number <= newest - self._max_windows:
-            self.dropped["old"] += 1
+            self.dropped["outdated"] += 1
             return False
-        # danger: a higher version of the same window does not make it live longer
+        # a higher version of a window keeps its expiry time, so that repeated versions cannot extend it
         expires_at = (
             previous.expires_at
             if previous is not None
@@ -337,7 +349,7 @@
             self._start_counts[shard] -= partition.windows.pop(number).starts
 
     def _recompute_sums(self, shard: int, partition: _PartitionWindows) -> None:
-        """The sums with that partition's windows as they are now."""
+        """Updates a partition's rows and the sums of the shard from its stored windows."""
         sums = self._sums.setdefault(shard, {})
         add_rows(partition.rows.items(), sums, -1)
         partition.rows = merge_windows(partition.windows[number].rows for number in sorted(partition.windows))
@@ -352,7 +364,7 @@
         )
 
     def expire(self, now: int, superseded: Iterable[Incarnation] = ()) -> None:
-        """Drops what has run out, and at once that of ``gone``: incarnations that have a successor."""
+        """Removes expired windows, and at once all those of ``superseded`` incarnations."""
         replaced = set(superseded)
         for shard, incarnations in self._by_shard.items():
             for incarnation, partition in list(incarnations.items()):
@@ -366,16 +378,16 @@
                     del incarnations[incarnation]
 
     def reporting_partitions(self, shard: int) -> list[Incarnation]:
-        """The partitions whose windows are here."""
+        """The incarnations whose windows are stored."""
         return list(self._by_shard.get(shard, {}))
 
     def window_numbers(self, shard: int, incarnation: Incarnation) -> list[int]:
-        """The windows of a partition that are here."""
+        """The numbers of the stored windows of a partition."""
         partition = self._by_shard.get(shard, {}).get(incarnation)
         return sorted(partition.windows) if partition is not None else []
 
     def taken_by_others(self, shard: int, incarnation: Incarnation) -> int:
-        """Jobs taken in all partitions but one."""
+        """Jobs taken in all partitions except one."""
         return sum(
             partition.taken
             for other, partition in self._by_shard.get(shard, {}).items()
@@ -383,7 +395,7 @@
         )
 
     def sums_of_others(self, shard: int, incarnation: Incarnation) -> dict[RowKey, Tally]:
-        """The sums of all partitions but one, of the tenants that this one has too."""
+        """The sums of all partitions except one, for the tenants that this one has, too."""
         partition = self._by_shard.get(shard, {}).get(incarnation)
         if partition is None:
             return {}
@@ -400,7 +412,7 @@
         return found
 
     def by_partition(self, shard: int, tenant: str) -> list[tuple[Incarnation, str, Mapping[RowKey, Tally]]]:
-        """Each partition's rows of a tenant."""
+        """The rows of a tenant in each partition: incarnation, site, rows."""
         found: list[tuple[Incarnation, str, Mapping[RowKey, Tally]]] = []
         for incarnation, partition in self._by_shard.get(shard, {}).items():
             rows = {key: tally for key, tally in partition.rows.items() if key[0] == tenant}
@@ -410,7 +422,7 @@
 
 
 def merge_windows(windows: Iterable[Mapping[RowKey, Tally]]) -> dict[RowKey, Tally]:
-    """One partition's windows, in order of time, as one table."""
+    """Merges the windows of one partition, in order of time, into one table."""
     found: dict[RowKey, Tally] = {}
     for window in windows:
         for key, tally in window.items():
--- a/tests/test_fleet_starvation.py
+++ b/tests/test_fleet_starvation.py
@@ -236,7 +236,7 @@
     assert not sound or (taken == sum(hist[1::2]) and len(hist) % 2 == 0)
     collector.add_report(7, Incarnation("p", 1), message)
     if not sound:
-        assert collector.dropped["unsound"] == 1
+        assert collector.dropped["malformed"] == 1
         rest = {k: v for k, v in _collector_state(collector).items() if k[1] != Incarnation("p", 1)}
         assert {k: v[:2] for k, v in rest.items()} == {
             k: v[:2] for k, v in before.items() if k[1] != Incarnation("p", 1)
@@ -427,13 +427,13 @@
     assert not any(pages.appended for name, pages in fleet.pages.items() if name != world.partition)
 
 
-def test_members_that_are_strangers_or_answer_unasked_change_nothing():
+def test_messages_of_unknown_senders_and_unexpected_replies_change_nothing():
     sites = dict.fromkeys("abc", "s")
     fleet = starved.Fleet(sites, {}, RULES, 1)
     machine, now = fleet.machines["a"], fleet.clock.now()
     assert machine.received(now, Incarnation("z", 1), WaitReport("s", 1, (0,), ())) == []
     assert machine.received(now, Incarnation("b", 1), tables.WaitReportReply(9, (0,), (), 3, 0, ())) == []
-    assert machine.dropped == {"stranger": 1, "not asked for": 1}
+    assert machine.dropped == {"unknown sender": 1, "unexpected reply": 1}
 
 
 def test_the_host_tells_of_every_wait():
