--- a/ironbarrow/fleet/starvation/__init__.py
+++ b/ironbarrow/fleet/starvation/__init__.py
@@ -1,1 +1,4 @@
-"""Starvation of a tenant, seen across partitions: tables of waits, verdicts, and what is done about one."""
+"""Detection of starved tenants by comparing wait times across partitions, and moves of their waiting jobs.
+
+A partition is one dispatcher with the jobs that it holds.
+"""
