--- a/ironbarrow/fleet/starvation/job_moves.py
+++ b/ironbarrow/fleet/starvation/job_moves.py
@@ -1,9 +1,12 @@
-"""What is done about a tenant that starves: held jobs of it go to where it waits least. No input or output.
+"""Plans moves of a starved tenant's waiting jobs to partitions where the tenant waits less. Does no I/O.
 
-So that they don't slosh: a job is moved at most once; a budget that fills slowly; half of what is held
-stays, so that the partition's own waits are still seen; never to a partition where the wait is not clearly
-shorter, and no more a window than a part of what that one has of the tenant anyway; and a partition that was
-sent such jobs passes none of that tenant on for a while.
+These rules keep jobs from oscillating between partitions:
+
+* A job is moved at most once, and moves are limited by a token bucket.
+* Half of the waiting jobs stay, so that the waits of this partition can still be measured.
+* A target's wait must be clearly shorter, and per window it receives only a fraction of the jobs that it has
+  of the tenant anyway.
+* A partition that received jobs of a tenant moves none of that tenant's jobs for a while.
 """
 
 from collections.abc import Iterable, Sequence
@@ -14,56 +17,58 @@
 from ironbarrow.fleet.starvation.tables import PartitionWait
 from ironbarrow.runtime.clock import SECOND
 
-MOVES_PER_SECOND = 2.0  # moves, over all tenants
-MAX_MOVES_AT_ONCE = 10.0  # moves at once, after a pause
-MIN_WAIT_RATIO = 2.0  # times as short a wait
-MAX_ADDED_SHARE = (
-    0.25  # of a partition's own jobs of the tenant in the windows compared: so many may come on top a window
-)
-WAITING_JOBS_PER_MOVE = 2  # of so many held jobs one is moved at the most
+MOVES_PER_SECOND = 2.0  # token bucket for the moves of all tenants together: rate
+MAX_MOVES_AT_ONCE = 10.0  # token bucket: capacity
+MIN_WAIT_RATIO = 2.0  # the wait here must be this many times the wait at the target
+MAX_ADDED_SHARE = 0.25  # of the target's own jobs of the tenant: may be added per window
+WAITING_JOBS_PER_MOVE = 2  # at most one of this many waiting jobs is moved
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingJob:
-    """A job that waits here. Times in ns. ``sent``: an attempt of it was out, ever: it stays."""
+    """A job that waits here. Times in ns. ``attempted``: it was ever sent to a worker; it must stay."""
 
     id: str
     waited: int
     time_left: int
     attempted: bool = False
-    moved: bool = False  # it came from another partition by such a move
+    moved: bool = False  # it was moved here from another partition, and is not moved again
 
 
 @dataclass(frozen=True, slots=True)
 class JobMove:
-    """A job to be transferred."""
+    """The move of a job to another partition."""
 
     id: str
     to: Incarnation
 
 
 class JobTransfer(Protocol):
-    """How jobs are handed to another dispatcher: the take-over's part."""
+    """How waiting jobs are handed over to another dispatcher."""
 
     def waiting_jobs(self, tenant: str) -> Sequence[WaitingJob]:
         """The jobs of a tenant that wait here."""
 
     def transfer(self, now: int, job: str, to: Incarnation) -> list[Action]:
-        """Hands a job over with the age and the attempts it has; nothing if it no longer waits. To the
-        partition here it has ended without a start."""
+        """Hands over a job with its age and its count of attempts; does nothing if it no longer waits.
+
+        For the wait statistics of this partition the job ends without a start.
+        """
 
 
 class MovePlanner:
-    """Decides which jobs move where."""
+    """Decides which jobs move where. Durations in ns."""
 
     def __init__(self, window: int, windows: int) -> None:
         self._window, self._pause = window, windows * window
         self._available_moves, self._refilled_at = MAX_MOVES_AT_ONCE, 0
-        self._moved_to: dict[tuple[str, Incarnation], tuple[int, int]] = {}  # since when, how many since
-        self._last_received: dict[str, int] = {}  # tenant: when a job of it last came by a move
+        self._moved_to: dict[
+            tuple[str, Incarnation], tuple[int, int]
+        ] = {}  # since when, and how many since then
+        self._last_received: dict[str, int] = {}  # when a moved job last arrived, by tenant
 
     def on_job_received(self, now: int, tenant: str) -> None:
-        """A job of a tenant came here from a partition where it starves."""
+        """Records that a moved job of a tenant arrived here."""
         self._last_received[tenant] = now
 
     def plan(
@@ -74,7 +79,7 @@
         waiting_jobs: Iterable[WaitingJob],
         partition_waits: Iterable[PartitionWait],
     ) -> list[JobMove]:
-        """Moves for a tenant that starves here with that mean wait, ns."""
+        """Plans moves for a tenant that starves here with the mean wait ``wait``, ns."""
         self._available_moves = min(
             MAX_MOVES_AT_ONCE, self._available_moves + MOVES_PER_SECOND * (now - self._refilled_at) / SECOND
         )
@@ -96,7 +101,7 @@
         for target in targets:
             since, moved_count = self._moved_to.get((tenant, target.incarnation), (now, 0))
             capacity = int(MAX_ADDED_SHARE * target.jobs) - moved_count
-            # danger: what can't be in time there either only takes the place of what can
+            # a job that cannot start in time at the target either would only use up capacity there
             chosen = [j for j in movable if j.time_left > 2 * target.wait * 1000][
                 : max(0, min(capacity, limit - len(moves)))
             ]
