--- a/ironbarrow/fleet/starvation/verdict.py
+++ b/ironbarrow/fleet/starvation/verdict.py
@@ -1,9 +1,9 @@
-"""Whether a tenant starves in a partition: tests, least effects, verdicts that begin and end once. No input
-or output.
+"""Decides whether a tenant starves in a partition: statistical tests, effect sizes, verdicts. No I/O.
 
-A tenant is compared with its own waits elsewhere and with the other tenants in the same partition; both must
-show it. In strata of class and size, so that another mix of classes shows nothing; the comparison with others
-also in strata of time, since a short stall falls on whoever is there.
+A tenant's waits are compared with its own waits in other partitions and with those of other tenants in the
+same partition; both comparisons must show longer waits. Both are stratified by class and size, so that a
+different mix of jobs has no effect. The comparison with other tenants is also stratified by window, because a
+short stall only hits the tenants that have jobs at that time.
 """
 
 import enum
@@ -29,34 +29,36 @@
 from ironbarrow.fleet.starvation.waits import ClosedWindow
 
 TenantClass = tuple[str, str]  # tenant, class
-# danger: jobs that queue behind each other wait alike, so that chance alone has the test's value spread
-# wider than it should; measured in fleets where nobody starves
+# The waits of jobs in one queue are correlated. Without this factor on the variance the test statistic
+# spreads too widely where no tenant starves, and gives false alarms.
 VARIANCE_INFLATION = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class LogRankTest:
-    """A one-sided log-rank test. ``z`` above 0: fewer starts than expected, so longer waits."""
+    """A one-sided log-rank test. ``z`` > 0: fewer starts than expected, hence longer waits."""
 
     observed: float = 0.0
     expected: float = 0.0
     variance: float = 0.0
 
     def inflated(self, factor: float) -> "LogRankTest":
-        """The same test where so many waits go together, and count as one."""
+        """The same test with a larger variance, for correlated waits."""
         return LogRankTest(self.observed, self.expected, self.variance * factor)
 
     @property
     def z(self) -> float:
+        """The standardized test statistic; 0 if nothing was compared."""
         return (self.expected - self.observed) / sqrt(self.variance) if self.variance > 0 else 0.0
 
     @property
     def p(self) -> float:
+        """The one-sided p-value."""
         return erfc(self.z / sqrt(2)) / 2
 
 
 def logrank(strata: Iterable[tuple[Curve, Curve]]) -> LogRankTest:
-    """Compares the first of each pair with the second, over all strata."""
+    """Compares the first curve of each pair with the second, over all strata."""
     observed = expected = variance = 0.0
     for (risk, starts), (other_risk, other_starts) in strata:
         for n1, d1, n2, d2 in zip(risk, starts, other_risk, other_starts, strict=False):
@@ -71,7 +73,7 @@
 
 
 def survival_curve(curve: Curve) -> list[float]:
-    """The part that still waits at the end of each bucket (Kaplan-Meier)."""
+    """The fraction of jobs that still wait at the end of each bucket (Kaplan-Meier estimate)."""
     surviving, found = 1.0, []
     for risk, starts in zip(*curve, strict=True):
         if starts:
@@ -81,8 +83,10 @@
 
 
 def restricted_mean_wait(curve: Curve, horizon: int, bounds: Sequence[int] = BUCKET_BOUNDS) -> float:
-    """The restricted mean wait, ns: the area under the survival curve up to the beginning of the bucket
-    ``horizon``; starts lie in the middle of their bucket."""
+    """The restricted mean wait, ns: the area under the survival curve up to bucket ``horizon``, exclusive.
+
+    Starts count in the middle of their bucket.
+    """
     area, before = 0.0, 1.0
     surviving = survival_curve(curve)
     for b in range(min(horizon, len(bounds) - 1)):
@@ -93,14 +97,17 @@
 
 
 def horizon(curve: Curve) -> float:
-    """The bucket up to which a curve says something: all of them once it has come down to nothing."""
+    """The bucket up to which a curve has data; infinite if no job waits longer than its last bucket."""
     surviving = survival_curve(curve)
     return inf if surviving and surviving[-1] == 0 else len(surviving)
 
 
 def wait_ratio(strata: Iterable[tuple[Curve, Curve, float]]) -> tuple[float, float]:
-    """How many times as long the first of each pair waits, and its mean wait in ns: restricted means up to
-    where both say something, each stratum with its weight. (1, 0) where nothing can be compared."""
+    """The ratio of the mean waits of the first and second curve of each pair, and the mean of the first, ns.
+
+    The means are weighted over the strata and restricted to the buckets in which both curves have data.
+    (1, 0) if nothing can be compared.
+    """
     mine = other = weights = 0.0
     for curve, reference, weight in strata:
         to = min(horizon(curve), horizon(reference), max(len(curve[0]), len(reference[0])))
@@ -113,7 +120,7 @@
 
 
 def holm_rejected(p_values: Mapping[TenantClass, float], level: float, tests: int) -> set[TenantClass]:
-    """The names whose hypothesis falls at a family-wise level, of so many tests."""
+    """The names whose null hypothesis Holm's method rejects at the family-wise error rate ``level``."""
     found: set[TenantClass] = set()
     for rank, (name, p_value) in enumerate(sorted(p_values.items(), key=lambda item: (item[1], item[0]))):
         if p_value * max(1, tests - rank) > level:
@@ -123,7 +130,7 @@
 
 
 class Evidence(Struct, frozen=True, array_like=True):
-    """What a verdict stands on. Waits in us; ``job_class`` "": of all classes together."""
+    """The figures behind a verdict. Waits in us; ``job_class`` "": all classes together."""
 
     job_class: str
     jobs: int
@@ -133,15 +140,15 @@
     p_elsewhere: float
     z_others: float
     p_others: float
-    times_elsewhere: float  # times as long a wait as its own elsewhere
-    times_others: float  # as that of others here
+    times_elsewhere: float  # ratio of its wait here to its wait elsewhere
+    times_others: float  # ratio of its wait here to that of other tenants here
     wait: int
     strata: int
-    seen: float  # part of the fleet whose tables were in it
+    seen: float  # fraction of the fleet whose tables were included
 
 
 class TenantState(enum.Enum):
-    """What one look says of a tenant."""
+    """The result of assessing a tenant once. The values appear in logs."""
 
     STARVED = "starved"
     NOT_STARVED = "fine"
@@ -153,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assessment:
-    """One look at a tenant."""
+    """The assessment of a tenant at one time."""
 
     state: TenantState
     evidence: Evidence | None = None
@@ -161,8 +168,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoteWaits:
-    """What a partition knows of a tenant elsewhere: its rows in all other partitions, the jobs that these
-    took of all tenants, and which part of the fleet that was."""
+    """The waits of a tenant in all other partitions.
+
+    ``taken``: jobs of all tenants there; ``fleet_share``: fraction of the fleet with reports.
+    """
 
     rows: Mapping[RowKey, Tally]
     taken: int
@@ -173,12 +182,12 @@
 
 
 def end_threshold(rules: StarvationRules) -> float:
-    """The effect under which a verdict ends: halfway to none."""
+    """The ratio of waits below which a verdict ends: halfway between ``least_effect`` and 1."""
     return 1 + (rules.least_effect - 1) / 2
 
 
 class _LocalComparison:
-    """One partition's windows, prepared for comparing each tenant with the others."""
+    """The windows of this partition, prepared for comparing each tenant with the others."""
 
     def __init__(
         self, windows: Sequence[ClosedWindow], all_rows: Mapping[RowKey, Tally], over_share: Collection[str]
@@ -206,21 +215,21 @@
         return [k[1:] for k in self._all_rows if k[0] == tenant and job_class in ("", k[1])]
 
     def counts(self, tenant: str, job_class: str, remote: RemoteWaits) -> tuple[int, int, int]:
-        """A tenant's jobs here and elsewhere, and those of others here in the same strata."""
+        """The numbers of a tenant's jobs here and elsewhere, and of others' jobs here in the same strata."""
         strata = self._strata(tenant, job_class)
         mine = sum(self._jobs[tenant, *s] for s in strata)
         outside = sum(t.entered for k, t in remote.rows.items() if k[0] == tenant and k[1:] in strata)
         return mine, outside, sum(self._jobs_by_stratum[s] for s in strata) - mine
 
     def evidence(self, rules: StarvationRules, tenant: str, job_class: str, remote: RemoteWaits) -> Evidence:
-        """Both comparisons."""
+        """The results of both comparisons."""
         strata = self._strata(tenant, job_class)
         local = {s: self._curves[tenant, *s] for s in strata}
         rest = {s: add_curves(self._sums[s], local[s], -1) for s in strata}
         weight = {s: float(self._jobs[tenant, *s]) for s in strata}
         times_others, wait = wait_ratio((local[s], rest[s], weight[s]) for s in strata if any(rest[s][0]))
         times_elsewhere, elsewhere, others = 1.0, LogRankTest(), LogRankTest()
-        # what is fine by its effect is not tested, to spare the time; it still counts among the tests
+        # a small effect is not tested, to save CPU time; the caller still counts it as a test
         if times_others >= end_threshold(rules) and wait >= rules.least_wait:
             away = {s: remote.rows[tenant, *s].at_risk() for s in strata if (tenant, *s) in remote.rows}
             times_elsewhere, _ = wait_ratio((local[s], away[s], weight[s]) for s in away)
@@ -254,10 +263,11 @@
     over_share: Collection[str],
     partitions: int,
 ) -> dict[str, Assessment]:
-    """Looks at every tenant of a partition.
+    """Assesses every tenant of a partition.
 
-    ``whole``: the rows of all its ``windows`` as one table; ``over``: tenants beyond their share, which are
-    neither evidence_by_class nor compared with; ``partitions``: in the fleet, all of which look.
+    ``all_rows``: the rows of all ``windows`` merged into one table; ``over_share``: tenants over their share,
+    which are neither assessed nor compared with; ``partitions``: the number of partitions in the fleet, which
+    share the rate of false alarms because all of them make assessments.
     """
     comparison = _LocalComparison(windows, all_rows, over_share)
     found: dict[str, Assessment] = {}
@@ -301,7 +311,7 @@
 
 
 def _severity(assessment: Assessment) -> tuple[bool, float]:
-    """Of several looks at a tenant (all classes, each class) the worst counts."""
+    """Orders the assessments of a tenant (all classes, each class): the most severe one counts."""
     evidence = assessment.evidence
     z = min(evidence.z_elsewhere, evidence.z_others) if evidence is not None else -inf
     return assessment.state is TenantState.STARVED, z
@@ -312,7 +322,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StarvationBegan(News):
-    """A tenant starves in this partition, since ``began_at``, ns."""
+    """A tenant starves in this partition since ``began_at``, ns."""
 
     tenant: str
     partition: str
@@ -322,7 +332,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StarvationEnded(News):
-    """It does so no more. ``why``: what the last looks said."""
+    """A tenant no longer starves. Times in ns; ``reason``: the state in the last assessment."""
 
     tenant: str
     partition: str
@@ -333,31 +343,36 @@
 
 @dataclass(slots=True)
 class _TenantRecord:
-    starved_in_a_row: int = 0  # looks in a row
+    """The recent assessments of a tenant, counted, and its verdict."""
+
+    starved_in_a_row: int = 0  # consecutive assessments
     calm_in_a_row: int = 0
-    began_at: int = 0  # 0: no verdict
+    began_at: int = 0  # ns; 0: no open verdict
     begin_count: int = 0
     end_count: int = 0
-    cooldown: int = 0  # looks to come before another verdict may begin
-    absent: int = 0  # looks since it was last in a table
+    cooldown: int = 0  # assessments until another verdict may begin
+    absent: int = 0  # assessments since it was last in a table
 
 
 class Verdicts:
-    """Verdicts of one partition: each begins once, after starving for ``lasting`` looks in a row, and ends
-    once, after twice as many calm ones. A look that saw too little of the fleet counts neither way."""
+    """The verdicts of one partition.
+
+    A verdict begins after ``lasting`` consecutive assessments as starved, and ends after twice as many
+    without. An assessment with reports of too little of the fleet is ignored.
+    """
 
     def __init__(self, partition: str, rules: StarvationRules) -> None:
         self._partition, self._rules = partition, rules
         self._tenants: dict[str, _TenantRecord] = {}
 
     def open_tenants(self) -> list[str]:
-        """The tenants that starve here, as far as is known."""
+        """The tenants with an open verdict."""
         return [tenant for tenant, record in self._tenants.items() if record.began_at]
 
     def update(
         self, now: int, assessments: Mapping[str, Assessment]
     ) -> list[StarvationBegan | StarvationEnded]:
-        """Takes in one look at all tenants."""
+        """Applies one assessment of all tenants; returns the verdicts that began or ended."""
         events: list[StarvationBegan | StarvationEnded] = []
         for tenant in sorted(self._tenants.keys() | assessments.keys()):
             assessment = assessments.get(tenant, Assessment(TenantState.TOO_FEW_JOBS))
@@ -377,13 +392,13 @@
                 events.append(self._begin(now, tenant, record, assessment.evidence))
             elif record.began_at and record.calm_in_a_row >= 2 * self._rules.lasting:
                 events.append(self._end(now, tenant, record, assessment.state.value))
-            # danger: memory is bounded by the tenants of the tables
+            # removed so that memory is bounded by the number of tenants in the tables
             if not record.began_at and record.absent > self._rules.windows and not record.cooldown:
                 del self._tenants[tenant]
         return events
 
     def _still_starved(self, assessment: Assessment) -> bool:
-        """Hysteresis: a tenant that starved does so until its waits are clearly nearer to the others'."""
+        """Hysteresis: a verdict stays open until the ratio of waits is below ``end_threshold``."""
         if assessment.evidence is None:
             return False
         return min(assessment.evidence.times_elsewhere, assessment.evidence.times_others) >= end_threshold(
