--- a/ironbarrow/fleet/starvation/waits.py
+++ b/ironbarrow/fleet/starvation/waits.py
@@ -1,7 +1,8 @@
-"""What one partition sees: how long each job waits, from taken to started. No input or output.
+"""Records how long the jobs of one partition wait, from taken to started. Does no I/O.
 
-A job that ends without a start (given up, refused, moved, taken over, its client gone) is censored: it has
-waited at least that long. One that still waits at the end of a window is carried on into the next.
+A job that ends without a start (given up, refused, moved, taken over, client disconnected) is censored: all
+that is known is that it waited at least that long. A job that still waits at the end of a window is carried
+over into the next.
 """
 
 from collections import deque
@@ -24,12 +25,14 @@
     sums_by_stratum,
 )
 
-_CANDIDATE_FACTOR = 4  # times as many tenants as a table has are weighed for the next one
+_CANDIDATE_FACTOR = 4  # candidates for the next table, as a multiple of its tenants
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 @dataclass(slots=True, eq=False)
 class _TrackedJob:
+    """A waiting job and the tally that it was counted into."""
+
     since: int
     tenant: str
     job_class: str
@@ -39,8 +42,11 @@
 
 @dataclass(slots=True, eq=False)
 class ClosedWindow:
-    """A window that is over. Rows under the tenant ``REST`` are those of no tenant, or of one beyond the
-    bounds; they stay here and count in the comparison with others."""
+    """A window that is over. Times in ns.
+
+    Rows under ``UNTRACKED_TENANT`` are those of jobs without a tenant, or of tenants beyond the bounds of the
+    table. They are not sent to collectors, but count in the comparison with other tenants.
+    """
 
     number: int
     began_at: int
@@ -48,18 +54,20 @@
     rows: dict[RowKey, Tally]
     curves: dict[RowKey, Curve]
     sums: dict[tuple[str, int], Curve]  # of all tenants, by class and size
-    folded_tenants: int = 0  # tenants whose rows went to the rest, since the table would have been too large
+    folded_tenants: int = 0  # tenants merged into UNTRACKED_TENANT to keep the table small
 
     @property
     def taken(self) -> int:
+        """Jobs of all tenants that were taken in this window."""
         return sum(tally.taken for tally in self.rows.values())
 
 
 class WaitRecorder:
-    """The waits of one partition, told by the host. Bounded by the jobs that wait and by the rules' tenants.
+    """Records the waits of one partition, reported by the host.
 
-    Tenants of a table: as long as there is room, each that comes; beyond that those with the most jobs in the
-    windows before, each window counting half of the next one.
+    Memory is bounded by the number of waiting jobs and the ``tenants`` rule. A table includes each new tenant
+    while there is room; the next table starts with the tenants that had the most jobs in earlier windows,
+    where each window counts half as much as the one after it.
     """
 
     def __init__(self, rules: StarvationRules, now: int) -> None:
@@ -70,16 +78,19 @@
         self._tracked: set[str] = set()
         self._began_at = now
         self._number = 0
-        self._entered = self._exited = 0  # in this window, counted beside the rows
+        self._entered = self._exited = 0  # in this window, counted independently of the rows
         self.closed: deque[ClosedWindow] = deque(maxlen=rules.windows)
 
-    # What the host tells
+    # Reports of the host
 
     def waiting(
         self, now: int, number: int, since: int, tenant: str | None, job_class: str, slots: float
     ) -> None:
-        """A job waits, ``since`` when it was taken: now, or earlier if it comes back from a worker that has
-        not run it, or from another dispatcher."""
+        """A job waits. ``since``: when it was taken, ns.
+
+        That is earlier than now for a job that returns from a worker that has not run it, or that comes from
+        another dispatcher. A job that already waits is ignored.
+        """
         if number in self._jobs:
             return
         name = tenant or UNTRACKED_TENANT
@@ -91,14 +102,14 @@
         self._jobs[number] = _TrackedJob(since, name, job_class, size, tally)
 
     def started(self, now: int, number: int) -> None:
-        """It has started; nothing if it does not wait."""
+        """A job has started. Ignored if it does not wait."""
         job = self._jobs.pop(number, None)
         if job is not None:
             job.tally.started[bucket_of(now - job.since)] += 1
             self._exited += 1
 
     def ended(self, now: int, number: int) -> None:
-        """Nothing more is owed of it here; if it still waits, its wait is censored."""
+        """A job has ended here; if it still waits, its wait is censored."""
         job = self._jobs.pop(number, None)
         if job is not None:
             job.tally.censored[bucket_of(now - job.since)] += 1
@@ -127,7 +138,7 @@
     # Windows
 
     def close(self, now: int) -> ClosedWindow:
-        """Ends the window; those that still wait are carried on into the next."""
+        """Ends the window; waiting jobs are carried over into the next."""
         for job in self._jobs.values():
             job.tally.waiting[bucket_of(now - job.since)] += 1
         rows, folded_tenants = self._fit_to_size(self._rows)
@@ -157,8 +168,8 @@
         return window
 
     def _fit_to_size(self, rows: dict[RowKey, Tally]) -> tuple[dict[RowKey, Tally], int]:
-        """Rows within the bound in bytes: those of the lightest tenants go to the rest, where they are
-        counted."""
+        """Reduces the rows to ``table_bytes`` by merging those of the tenants with the fewest jobs into
+        ``UNTRACKED_TENANT``. Returns the rows and the number of merged tenants."""
         encoded_sizes: dict[str, int] = {}
         jobs: dict[str, int] = {}
         for key, tally in rows.items():
@@ -181,7 +192,7 @@
 
 
 def rows_to_send(window: ClosedWindow) -> list[Row]:
-    """The rows of tenants, as others are sent them."""
+    """The rows that are sent to collectors: all but those of ``UNTRACKED_TENANT``."""
     return [
         row_from_tally(key, tally) for key, tally in sorted(window.rows.items()) if key[0] != UNTRACKED_TENANT
     ]
