--- a/tests/test_fleet_starvation.py
+++ b/tests/test_fleet_starvation.py
@@ -1,4 +1,4 @@
-"""Starvation: tables of waits, the tests against scipy's, verdicts that begin and end once, the remedy."""
+"""Starvation detection: wait tables, statistics compared with scipy, verdicts, and moves of waiting jobs."""
 
 import random
 from collections import Counter
@@ -34,11 +34,11 @@
     monkeypatch.setattr(INVARIANTS, "fatal", True)
 
 
-# Oracles
+# Statistics, compared with scipy
 
 
 def _life_curve(times, started, bounds):
-    """A group's curve over buckets of those bounds."""
+    """The curve of a group of waits over buckets with these bounds."""
     tally = Tally(len(times))
     for time, event in zip(times, started, strict=True):
         (tally.started if event else tally.censored)[int(np.searchsorted(bounds, time, "right")) - 1] += 1
@@ -50,31 +50,33 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_log_rank_and_survival_are_scipys_in_fine_buckets(seed):
+def test_log_rank_and_survival_equal_scipy_with_one_time_per_bucket(seed):
     rng = np.random.default_rng(seed)
     groups = []
     for size in rng.integers(8, 120, 2):
         times = rng.exponential(rng.uniform(0.5, 2), size)
         limits = rng.exponential(2, size)
         groups.append((np.minimum(times, limits), times <= limits))
-    bounds = np.concatenate([[0.0], np.sort(np.concatenate([g[0] for g in groups]))])  # one time a bucket
+    bounds = np.concatenate([[0.0], np.sort(np.concatenate([g[0] for g in groups]))])  # one time per bucket
     curves = [_life_curve(*group, bounds) for group in groups]
     ours = verdict.logrank([(curves[0], curves[1])])
     theirs = stats.logrank(_censored(*groups[0]), _censored(*groups[1]), alternative="less")
-    assert ours.z == pytest.approx(-theirs.statistic, rel=1e-9)  # the sign: longer waits are above 0
+    assert ours.z == pytest.approx(
+        -theirs.statistic, rel=1e-9
+    )  # opposite sign: here longer waits are positive
     assert ours.p == pytest.approx(theirs.pvalue, rel=1e-9)
     for group, curve in zip(groups, curves, strict=True):
         found = verdict.survival_curve(curve)
         ecdf = stats.ecdf(_censored(*group)).sf
         assert found == pytest.approx(list(ecdf.evaluate(bounds[: len(found)])), abs=1e-9)
-        steps = [0.0, *group[0]]  # the area, with starts at their time: ours has them half a bucket later
+        steps = [0.0, *group[0]]  # exact area; ours places each start half a bucket later
         area = sum(ecdf.evaluate(a) * (b - a) for a, b in pairwise(sorted(steps)))
         most = np.diff(bounds).max()
         assert verdict.restricted_mean_wait(curve, len(found), list(bounds)) == pytest.approx(area, abs=most)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_buckets_in_use_lose_little_of_the_log_rank_test(seed):
+def test_log_rank_in_the_real_buckets_is_close_to_scipy(seed):
     rng = np.random.default_rng(100 + seed)
     groups = []
     for slower in (2.0, 1.0):
@@ -90,8 +92,8 @@
 EVENTS = st.lists(
     st.tuples(
         st.sampled_from(["wait", "wait", "back", "start", "end", "close"]),
-        st.integers(0, 30),  # which job
-        st.integers(0, 8_000),  # ms since the event before
+        st.integers(0, 30),  # job number
+        st.integers(0, 8_000),  # ms since the previous event
         st.sampled_from(["a", "b", "c", "d", None]),
         st.sampled_from(["map", "decode"]),
         st.sampled_from([1.0, 3.0]),
@@ -101,7 +103,7 @@
 
 
 def _recorded(events, rules=RULES):
-    """A book after those events, its windows, and what became of each job's stay: (entered at, ended as)."""
+    """A recorder after these events, its windows, and how many stays began and ended, by end and bucket."""
     recorder, now, closed = waits.WaitRecorder(rules, 0), 0, []
     waiting, ends = {}, Counter()
     for what, number, later, tenant, job_class, slots in [*events, ("close", 0, 1, None, "map", 1.0)]:
@@ -124,21 +126,21 @@
 
 
 @given(EVENTS)
-def test_windows_put_together_are_the_waits_as_they_were(events):
-    """Carried on over windows, each stay is one job at risk, in whichever rows it was."""
+def test_merged_windows_equal_the_recorded_waits(events):
+    """A job carried over windows counts once, whichever rows it was in."""
     _, closed, ends = _recorded(events, msgspec.structs.replace(RULES, windows=200, tenants=2))
-    whole = Tally()
+    total = Tally()
     for window in closed:
         merged = Tally()
         for tally in window.rows.values():
             merged.add(tally)
-        whole.append_later(merged)
+        total.append_later(merged)
     for name in ("started", "censored", "waiting"):
-        assert getattr(whole, name) == Counter(
+        assert getattr(total, name) == Counter(
             {b: n for (what, b), n in _counts_by_bucket(ends) if what == name}
         )
-    assert whole.entered == whole.exited == ends["entered"]
-    assert sum(window.taken for window in closed) == whole.taken
+    assert total.entered == total.exited == ends["entered"]
+    assert sum(window.taken for window in closed) == total.taken
 
 
 def _counts_by_bucket(ends):
@@ -146,7 +148,7 @@
 
 
 @pytest.mark.parametrize("bounds", [{"tenants": 3}, {"table_bytes": 200}])
-def test_a_table_is_bounded_and_what_is_beyond_is_counted(bounds):
+def test_a_table_is_bounded_and_counts_the_remaining_tenants_together(bounds):
     rules = msgspec.structs.replace(RULES, **bounds)
     recorder, rng, number = waits.WaitRecorder(rules, 0), random.Random(4), 0
     for window in range(6):
@@ -160,7 +162,7 @@
         closed = recorder.close((window + 1) * 5 * SECOND)
         assert sum(t.entered for t in closed.rows.values()) == 400
     tenants = {key[0] for key in closed.rows} - {""}
-    assert {"x", "y", "z"} <= tenants  # the heavy ones are kept
+    assert {"x", "y", "z"} <= tenants  # the tenants with the most jobs are kept
     rows = waits.rows_to_send(closed)
     assert sum(len(msgspec.msgpack.encode(row)) for row in rows) <= rules.table_bytes
     assert len(tenants) <= rules.tenants
@@ -214,28 +216,28 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_what_is_collected_is_the_same_in_any_order_and_however_often_it_comes(seed):
+def test_collected_state_is_independent_of_order_and_repetition(seed):
     messages, rng = _messages(seed), random.Random(seed)
-    wanted = _collector_state(_collect(messages))
+    expected = _collector_state(_collect(messages))
     for _ in range(4):
-        again = messages + rng.choices(messages, k=len(messages))
-        rng.shuffle(again)
-        assert _collector_state(_collect(again)) == wanted
-    for few in permutations(messages[:4]):
-        assert _collector_state(_collect(few)) == _collector_state(_collect(messages[:4]))
+        repeated = messages + rng.choices(messages, k=len(messages))
+        rng.shuffle(repeated)
+        assert _collector_state(_collect(repeated)) == expected
+    for permuted in permutations(messages[:4]):
+        assert _collector_state(_collect(permuted)) == _collector_state(_collect(messages[:4]))
 
 
 @settings(max_examples=60)
 @given(st.binary(max_size=60), st.lists(st.integers(-3, 50), max_size=8), st.integers(-2, 5))
-def test_unsound_rows_are_dropped_and_change_nothing(tenant, hist, taken):
+def test_malformed_rows_are_dropped_and_change_nothing(tenant, histogram, taken):
     collector = _collect(_messages(1))
     before = _collector_state(collector)
-    row = Row(repr(tenant), "map", 0, taken, (), tuple(hist), (), ())
+    row = Row(repr(tenant), "map", 0, taken, (), tuple(histogram), (), ())
     message = WaitReport("s", 1, tuple(range(tables.SHARD_COUNT)), (Window(0, 9, 1, (row,)),))
-    sound = tables.parse_row(row) is not None
-    assert not sound or (taken == sum(hist[1::2]) and len(hist) % 2 == 0)
+    is_valid = tables.parse_row(row) is not None
+    assert not is_valid or (taken == sum(histogram[1::2]) and len(histogram) % 2 == 0)
     collector.add_report(7, Incarnation("p", 1), message)
-    if not sound:
+    if not is_valid:
         assert collector.dropped["malformed"] == 1
         rest = {k: v for k, v in _collector_state(collector).items() if k[1] != Incarnation("p", 1)}
         assert {k: v[:2] for k, v in rest.items()} == {
@@ -243,7 +245,7 @@
         }
 
 
-def test_a_dead_partitions_windows_run_out():
+def test_windows_of_a_dead_partition_expire():
     collector = _collect(_messages(3))
     assert any(collector.reporting_partitions(shard) for shard in range(tables.SHARD_COUNT))
     collector.expire(7 + 4 * 5 * SECOND - 1)
@@ -254,7 +256,7 @@
 
 
 def test_sums_that_are_not_conserved_are_caught(monkeypatch):
-    """Mutants: a start that is not counted; a repeat that is."""
+    """Mutants: a start that is not counted; rows that are never subtracted."""
     with monkeypatch.context() as broken:
         broken.setattr(waits.WaitRecorder, "started", lambda self, now, number: self._jobs.pop(number, None))
         with pytest.raises(InvariantError, match="sums of tables conserved"):
@@ -282,14 +284,14 @@
 def test_a_verdict_begins_and_ends_once(assessments):
     verdicts, open_at, ended_at = Verdicts("p", RULES), None, -99
     for number, name in enumerate(assessments):
-        for news in verdicts.update(number + 1, {"a": _ASSESSMENTS[name]}):
+        for event in verdicts.update(number + 1, {"a": _ASSESSMENTS[name]}):
             counted = [n for n in assessments[: number + 1] if n != "unseen"]
-            if isinstance(news, verdict.StarvationBegan):
+            if isinstance(event, verdict.StarvationBegan):
                 assert open_at is None and number - ended_at > RULES.windows
                 assert counted[-RULES.lasting :] == ["starved"] * RULES.lasting
-                open_at = news.began_at
+                open_at = event.began_at
             else:
-                assert news.began_at == open_at
+                assert event.began_at == open_at
                 assert not {"starved", "near"} & set(counted[-2 * RULES.lasting :])
                 open_at, ended_at = None, number
         assert verdicts.open_tenants() == (["a"] if open_at else [])
@@ -298,30 +300,30 @@
 def test_a_verdict_that_begins_twice_is_caught(monkeypatch):
     end = Verdicts._end
 
-    def forgetful(self, now, tenant, record, reason):
+    def uncounted_end(self, now, tenant, record, reason):
         record.end_count -= 1
         return end(self, now, tenant, record, reason)
 
-    monkeypatch.setattr(Verdicts, "_end", forgetful)
+    monkeypatch.setattr(Verdicts, "_end", uncounted_end)
     verdicts = Verdicts("p", RULES)
     with pytest.raises(InvariantError, match="begins and ends once"):
         for number, name in enumerate(["starved"] * 3 + ["fine"] * 5):
             verdicts.update(number + 1, {"a": _ASSESSMENTS[name]})
 
 
-def test_holm_keeps_the_chance_of_a_false_alarm():
+def test_holm_keeps_the_family_wise_error_rate():
     rng = np.random.default_rng(1)
     alarms = sum(
         bool(verdict.holm_rejected({("t", str(i)): p for i, p in enumerate(rng.random(40))}, 0.05, 40))
         for _ in range(2000)
     )
     assert 60 < alarms < 140  # 0.05 of 2000 is 100
-    chances = {("t", "a"): 0.001, ("t", "b"): 0.02, ("t", "c"): 0.5}
-    assert verdict.holm_rejected(chances, 0.05, 3) == {("t", "a"), ("t", "b")}
+    p_values = {("t", "a"): 0.001, ("t", "b"): 0.02, ("t", "c"): 0.5}
+    assert verdict.holm_rejected(p_values, 0.05, 3) == {("t", "a"), ("t", "b")}
 
 
 def _rows(**waits_of):
-    """Rows of 60 jobs a tenant, by their wait in ms."""
+    """Rows with 60 jobs per tenant, given the mean wait in ms."""
     found = {}
     for tenant, wait in waits_of.items():
         found[tenant, "map", 0] = tally = Tally(60)
@@ -334,23 +336,19 @@
     ("here", "away", "over_share", "seen", "state"),
     [
         ({"x": 900, "y": 100, "z": 100}, 100, (), 1.0, TenantState.STARVED),
-        ({"x": 900, "y": 900, "z": 900}, 100, (), 1.0, TenantState.NOT_STARVED),  # slow for all
-        ({"x": 900, "y": 100, "z": 100}, 900, (), 1.0, TenantState.NOT_STARVED),  # it is like that everywhere
-        ({"x": 130, "y": 100, "z": 100}, 100, (), 1.0, TenantState.NOT_STARVED),  # under the least effect
-        ({"x": 9, "y": 1, "z": 1}, 1, (), 1.0, TenantState.NOT_STARVED),  # nobody's trouble
+        ({"x": 900, "y": 900, "z": 900}, 100, (), 1.0, TenantState.NOT_STARVED),  # slow for all tenants
+        # equally slow in other partitions
+        ({"x": 900, "y": 100, "z": 100}, 900, (), 1.0, TenantState.NOT_STARVED),
+        ({"x": 130, "y": 100, "z": 100}, 100, (), 1.0, TenantState.NOT_STARVED),  # below least_effect
+        ({"x": 9, "y": 1, "z": 1}, 1, (), 1.0, TenantState.NOT_STARVED),  # below least_wait
         ({"x": 900, "y": 100, "z": 100}, 100, ("x",), 1.0, TenantState.OVER_SHARE),
         ({"x": 900, "y": 9000}, 100, ("y",), 1.0, TenantState.NOT_COMPARABLE),
-        (
-            {"x": 900, "y": 9000, "z": 100},
-            100,
-            ("y",),
-            1.0,
-            TenantState.STARVED,
-        ),  # danger: one flood hides another
+        # a tenant over its share must not hide the starved one
+        ({"x": 900, "y": 9000, "z": 100}, 100, ("y",), 1.0, TenantState.STARVED),
         ({"x": 900, "y": 100, "z": 100}, 100, (), 0.4, TenantState.TOO_FEW_REPORTS),
     ],
 )
-def test_what_starvation_is_and_what_it_is_not(here, away, over_share, seen, state):
+def test_assessment_of_a_tenant(here, away, over_share, seen, state):
     rows = _rows(**here)
     elsewhere = {"x": verdict.RemoteWaits(_rows(x=away), 60, seen)}
     curves = {key: tally.at_risk() for key, tally in rows.items()}
@@ -359,7 +357,7 @@
     assert found["x"].state is state
 
 
-def test_shares_are_as_the_settings_say_or_as_elsewhere():
+def test_shares_come_from_the_settings_or_from_other_partitions():
     rows = _rows(x=100, y=100, z=100)
     elsewhere = {"x": verdict.RemoteWaits(_rows(x=1), 600, 1.0)}
     assert TenantShares({"x": 10.0}).tenants_over_share(rows, 10, {}) == set()
@@ -369,7 +367,7 @@
     assert TenantShares().tenants_over_share(rows, 10, elsewhere) == {"x"}
 
 
-# The remedy
+# Moves
 
 PARTITION_WAITS = [
     tables.PartitionWait("x", Incarnation(n, 1), "s", 400, wait)
@@ -377,7 +375,7 @@
 ]
 
 
-def test_moves_keep_to_their_budget_and_no_job_is_moved_twice():
+def test_moves_stay_within_the_rate_limit_and_no_job_moves_twice():
     planner, moved, now, jobs = MovePlanner(5 * SECOND, 6), [], 0, {}
     for second in range(60):
         now = second * SECOND
@@ -386,24 +384,26 @@
         moves = planner.plan(now, "x", 1000 * MS, jobs.values(), PARTITION_WAITS)
         for move in moves:
             job = jobs.pop(move.id)
-            assert not job.attempted and not job.moved and move.to.name in "qr"  # t is not clearly shorter
+            # the wait at t is not clearly shorter
+            assert not job.attempted and not job.moved and move.to.name in "qr"
         moved += [move.id for move in moves]
     assert len(set(moved)) == len(moved) <= MAX_MOVES_AT_ONCE + 2 * 60
     assert len(moved) > 60
     left = MovePlanner(5 * SECOND, 6).plan(
         0, "x", 1000 * MS, [WaitingJob("1", 0, SECOND), WaitingJob("2", 5, 0)], PARTITION_WAITS
     )
-    assert [move.id for move in left] == ["1"]  # half stays; what can't be in time there stays, too
+    assert [move.id for move in left] == ["1"]  # half stay; a job that cannot start in time there stays, too
     planner.on_job_received(now, "x")
-    assert not planner.plan(now + 29 * SECOND, "x", 1000 * MS, jobs.values(), PARTITION_WAITS)  # no ping-pong
+    # no moves soon after receiving one
+    assert not planner.plan(now + 29 * SECOND, "x", 1000 * MS, jobs.values(), PARTITION_WAITS)
     assert planner.plan(now + 31 * SECOND, "x", 1000 * MS, jobs.values(), PARTITION_WAITS)
 
 
-# The machines together
+# Several machines on the simulated network
 
 
 @pytest.mark.parametrize(("kind", "lost"), [("busy neighbour", 0.4), ("slow for all", 0.2)])
-def test_a_fleet_finds_who_starves_with_tables_lost_and_no_one_else(kind, lost):
+def test_only_starved_tenants_are_found_despite_lost_messages(kind, lost):
     world = starved.generate(kind, 0, length=60.0)
     seen = starved.watched(world, RULES, lost)
     found = seen.found_at(world)
@@ -411,7 +411,7 @@
     assert (found is not None and found - world.onset < 30) == world.starved
 
 
-def test_a_verdict_is_an_entry_of_its_partitions_ledger_and_ends_with_the_cause():
+def test_a_verdict_is_stored_in_the_ledger_of_its_partition_until_its_cause_ends():
     world = starved.generate("one partition", 0, length=60.0)
     fleet = starved.Fleet(world.sites, world.shares, RULES, 1)
     for name, events in world.events.items():
@@ -422,7 +422,7 @@
     record = msgspec.msgpack.decode(here.content[records.VERDICT + world.tenant], type=VerdictRecord)
     assert record.tenant == world.tenant and record.evidence.seen == 1.0
     assert min(record.evidence.times_elsewhere, record.evidence.times_others) >= RULES.least_effect
-    fleet.net.run(90 * SECOND)  # nothing comes any more
+    fleet.net.run(90 * SECOND)  # no more jobs arrive
     assert not here.content and here.appended == 2
     assert not any(pages.appended for name, pages in fleet.pages.items() if name != world.partition)
 
@@ -436,27 +436,27 @@
     assert machine.dropped == {"unknown sender": 1, "unexpected reply": 1}
 
 
-def test_the_host_tells_of_every_wait():
-    """A simulated day with deploys and jobs sent back: what was taken has started, or ended without."""
+def test_the_host_reports_every_wait():
+    """On a simulated day with deploys and returned jobs, every taken job starts or ends without a start."""
     spec = load_world(Path(__file__).parents[1] / "experiments" / "small.toml")
     simulation = Simulation(spec, 3)
-    books = []
+    recorders = []
     for dispatcher in simulation.dispatchers:
         start = dispatcher.start
 
-        def with_book(dispatcher=dispatcher, start=start):
+        def start_with_recorder(dispatcher=dispatcher, start=start):
             start()
-            books.append(waits.WaitRecorder(RULES, simulation.clock.now()))
-            dispatcher.process.host.waits = books[-1]
+            recorders.append(waits.WaitRecorder(RULES, simulation.clock.now()))
+            dispatcher.process.host.waits = recorders[-1]
 
-        dispatcher.start = with_book
+        dispatcher.start = start_with_recorder
     simulation.run()
-    whole = Tally()
-    for recorder in books:
+    total = Tally()
+    for recorder in recorders:
         assert not recorder._jobs
         for tally in recorder.close(simulation.clock.now()).rows.values():
-            whole.add(tally)
-    assert whole.entered == whole.exited and whole.taken >= 100
+            total.add(tally)
+    assert total.entered == total.exited and total.taken >= 100
     hosts = [dispatcher.process.host for dispatcher in simulation.dispatchers]
     served = sum(n for host in hosts for (_, how), n in host.figures.ended.items() if how == "served")
-    assert sum(whole.started.values()) >= served > 100
+    assert sum(total.started.values()) >= served > 100
