--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -1,4 +1,4 @@
-"""Members on the simulated network: who is held for what, and how soon."""
+"""The membership protocol on the simulated network: which health members see, and how soon."""
 
 import os
 import random
@@ -31,7 +31,7 @@
 
 
 class SimulatedFleet:
-    """So many members, named m0, m1, ..., over three sites in turn."""
+    """``count`` members named m0, m1, ..., distributed over three sites."""
 
     def __init__(self, count: int, seed: int = 1, rules: MemberRules | None = None) -> None:
         self.rules = rules or MemberRules()
@@ -53,7 +53,7 @@
         return [name for name in self.names if self.net.seats[name].node is not None]
 
     def healths(self, of: str) -> dict[str, Health | None]:
-        """What the others that run hold the present incarnation of a member for."""
+        """The health of a member's current incarnation as each other running member sees it."""
         incarnation = self.machines[of].me.incarnation
         return {name: self.machines[name].health(incarnation) for name in self.running() if name != of}
 
@@ -61,24 +61,24 @@
         return all(set(self.healths(name).values()) == {Health.ALIVE} for name in self.running())
 
     def run_until(self, holds: Callable[[], bool], limit: int) -> int:
-        """ns until something holds; an AssertionError after the limit."""
+        """Runs until a condition holds; returns the time that took, ns. An AssertionError after ``limit``."""
         start = self.net.clock.now()
         while not holds():
-            assert self.net.clock.now() - start < limit, "not in time"
+            assert self.net.clock.now() - start < limit, "the condition did not hold in time"
             self.net.run(20 * MS)
         return self.net.clock.now() - start
 
     def death_events(self) -> int:
-        """Deaths that members that run have been told of."""
+        """The number of death events at all running members."""
         return sum(
-            isinstance(news, MemberChanged) and news.member.health is Health.DEAD
+            isinstance(event, MemberChanged) and event.member.health is Health.DEAD
             for seat in self.net.seats.values()
-            for news in seat.told
+            for event in seat.told
         )
 
 
 def converged_fleet(count: int, seed: int = 1) -> SimulatedFleet:
-    """A crowd in which everybody knows everybody."""
+    """A fleet in which all members know each other."""
     fleet = SimulatedFleet(count, seed)
     fleet.run_until(fleet.all_alive, 20 * SECOND)
     fleet.net.run(2 * SECOND)
@@ -96,11 +96,11 @@
         )
         assert duration > fleet.rules.suspect_for // 3
         fleet.net.run(5 * SECOND)
-        assert fleet.death_events() == count - 1  # its own, once at each
+        assert fleet.death_events() == count - 1  # only m1's, once at each other member
 
 
 @pytest.mark.parametrize("both", [False, True])
-def test_a_cut_between_two_kills_nobody_where_a_third_sees_both(both: bool) -> None:
+def test_a_cut_between_two_members_causes_no_death_while_a_third_reaches_both(both: bool) -> None:
     fleet = converged_fleet(3)
     fleet.net.cut("m0", "m1", both=both)
     fleet.net.run(60 * SECOND)
@@ -110,7 +110,7 @@
     assert fleet.all_alive()
 
 
-def test_a_cut_between_two_sites_kills_nobody_and_a_lost_site_is_told_from_the_rest() -> None:
+def test_a_cut_between_two_sites_causes_no_death_and_an_isolated_site_is_recognized() -> None:
     fleet = converged_fleet(9)
     fleet.net.cut_sites("x", "y")
     fleet.net.run(20 * SECOND)
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(("pause_s", "dies"), [(0.5, False), (10, True)])
-def test_a_pause_is_not_a_death_unless_it_is_long(pause_s: float, dies: bool) -> None:
+def test_only_a_long_pause_is_a_death(pause_s: float, dies: bool) -> None:
     fleet = converged_fleet(10)
     fleet.net.pause("m4")
     fleet.net.run(int(pause_s * SECOND))
@@ -140,7 +140,8 @@
     assert fleet.all_alive()
 
 
-def test_an_order_between_two_turns_is_not_taken_for_a_stop() -> None:
+def test_a_command_between_two_ticks_is_not_mistaken_for_a_pause() -> None:
+    """Gossip started by a command has an older time; it must not look overdue and raise the health score."""
     fleet = SimulatedFleet(3, rules=MemberRules(period=ms(1500), suspect_for=ms(3000)))
     fleet.run_until(fleet.all_alive, 20 * SECOND)
     machine = fleet.machines["m0"]
@@ -156,7 +157,7 @@
     assert machine.local_health.score > 0
 
 
-def test_one_that_flaps_comes_back_each_time() -> None:
+def test_a_flapping_member_returns_each_time() -> None:
     fleet = converged_fleet(10)
     for _ in range(10):
         fleet.net.pause("m2")
@@ -165,15 +166,15 @@
         fleet.net.run(1500 * MS)
     fleet.run_until(fleet.all_alive, 3 * SECOND)
     assert all(
-        news.member.card.incarnation.name == "m2"
+        event.member.card.incarnation.name == "m2"
         for seat in fleet.net.seats.values()
-        for news in seat.told
-        if isinstance(news, MemberChanged) and news.member.health is Health.DEAD
+        for event in seat.told
+        if isinstance(event, MemberChanged) and event.member.health is Health.DEAD
     )
 
 
 @pytest.mark.parametrize("count", [6, 30])
-def test_sites_cut_off_from_each_other_come_together_again(count: int) -> None:
+def test_sites_cut_off_from_each_other_merge_again(count: int) -> None:
     fleet = converged_fleet(count)
     for other in "yz":
         fleet.net.cut_sites("x", other)
@@ -183,11 +184,11 @@
     fleet.net.mend()
     fleet.run_until(fleet.all_alive, 10 * SECOND)
     fleet.net.run(5 * SECOND)
-    assert fleet.death_events() == death_events  # none died of what the others had thought
+    assert fleet.death_events() == death_events  # no further deaths from the outdated views of the other side
     assert fleet.all_alive()
 
 
-def test_nobody_dies_of_five_in_a_hundred_messages_lost() -> None:
+def test_five_percent_message_loss_causes_no_death() -> None:
     for seed in (1, 2, 3):
         fleet = converged_fleet(10, seed)
         fleet.net.usual.lost = 0.05
@@ -195,7 +196,7 @@
         assert fleet.death_events() == 0
 
 
-def test_a_restart_is_another_incarnation_and_the_earlier_one_ends_first() -> None:
+def test_a_restart_is_a_new_incarnation_and_the_earlier_one_ends_first() -> None:
     fleet = converged_fleet(6)
     before = fleet.machines["m3"].me.incarnation
     fleet.net.crash("m3")
@@ -205,17 +206,17 @@
     for name in fleet.running():
         if name != "m3":
             assert fleet.machines[name].health(before) is Health.DEAD
-            told = [
+            events = [
                 (n.member.card.incarnation, n.member.health)
                 for n in fleet.net.seats[name].told
                 if isinstance(n, MemberChanged) and n.member.card.incarnation.name == "m3"
             ]
-            assert told.index((before, Health.DEAD)) == told.index((after, Health.ALIVE)) - 1
+            assert events.index((before, Health.DEAD)) == events.index((after, Health.ALIVE)) - 1
     assert before == Incarnation("m3", before.start)
     assert fleet.all_alive()
 
 
-def test_one_that_leaves_is_not_dead() -> None:
+def test_a_member_that_leaves_is_not_dead() -> None:
     fleet = converged_fleet(10)
     fleet.net.order("m5", lambda node, now: node.carry_out(fleet.machines["m5"].leave(now)))
     fleet.net.run(500 * MS)
@@ -226,7 +227,7 @@
 
 
 def run_random_faults(seed: int, count: int = 7, steps: int = 25) -> None:
-    """Members that end, begin, stop, go on, leave and are cut off at random; then all is mended."""
+    """Random crashes, starts, pauses, departures, network cuts and losses; after repair all must agree."""
     rng = random.Random(seed)
     fleet = SimulatedFleet(count, seed)
     net = fleet.net
@@ -280,9 +281,9 @@
     for seat in net.seats.values():
         last: dict[str, Incarnation] = {}
         ended: dict[Incarnation, Health] = {}
-        for news in seat.told:
-            assert isinstance(news, MemberChanged)
-            incarnation, health = news.member.card.incarnation, news.member.health
+        for event in seat.told:
+            assert isinstance(event, MemberChanged)
+            incarnation, health = event.member.card.incarnation, event.member.health
             before = last.get(incarnation.name, incarnation)
             assert incarnation.start >= before.start
             assert incarnation == before or ended.get(before) in (Health.DEAD, Health.LEFT)
@@ -290,18 +291,18 @@
             last[incarnation.name], ended[incarnation] = incarnation, health
 
 
-# FLEET_SEEDS="FROM TO" plays others: a failing one is in its test's name
+# FLEET_SEEDS="FROM TO" runs other seeds; the test id has the seed
 SEEDS = (
     range(*map(int, os.environ["FLEET_SEEDS"].split())) if "FLEET_SEEDS" in os.environ else [*range(10), 124]
 )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_after_any_trouble_all_agree_again(seed: int) -> None:
+def test_all_members_agree_after_random_faults(seed: int) -> None:
     run_random_faults(seed)
 
 
-# Bad input, bounds, versions
+# Malformed input, bounds, versions
 
 
 def standalone_machine(
@@ -339,7 +340,7 @@
         Rumour(Incarnation("me", 5), VERSION_LIMIT, 2),
     ],
 )
-def test_what_is_out_of_range_is_counted_and_changes_nothing(rumour: Rumour) -> None:
+def test_rumours_out_of_range_are_counted_and_change_nothing(rumour: Rumour) -> None:
     machine = standalone_machine()
     actions = machine.received(1, Incarnation("x", 1), RumourBatch((rumour,)))
     assert not actions and machine.dropped == {"malformed": 1}
@@ -347,7 +348,7 @@
 
 
 @pytest.mark.parametrize("count", [1024, 2000])
-def test_the_list_holds_as_many_as_it_says_and_no_more(count: int) -> None:
+def test_the_table_holds_its_capacity_and_no_more(count: int) -> None:
     machine = standalone_machine(MemberRules(most=count))
     for start in range(0, count + 50, 50):
         names = [f"m{i}" for i in range(start, start + 50)]
@@ -356,15 +357,15 @@
         )
     assert len(machine.alive()) == count
     assert machine.dropped["full"] == start + 50 - (count - 1)
-    after_join = 2 * SECOND
-    machine.received(after_join, Incarnation("m0", 1), RumourBatch((make_rumour(card("m7"), Health.LEFT),)))
-    # takes the place of one that is gone
-    machine.received(after_join, Incarnation("m0", 1), RumourBatch((make_rumour(card("new")),)))
+    later = 2 * SECOND
+    machine.received(later, Incarnation("m0", 1), RumourBatch((make_rumour(card("m7"), Health.LEFT),)))
+    # replaces the member that left
+    machine.received(later, Incarnation("m0", 1), RumourBatch((make_rumour(card("new")),)))
     assert machine.health(Incarnation("new", 1)) is Health.ALIVE and machine.card("m7") is None
     codec = Codec(MemberMachine.handles)
     sizes: list[int] = []
-    now = after_join
-    for _ in range(400):  # whatever the number, no message is large
+    now = later
+    for _ in range(400):  # messages stay small at any number of members
         now = max(now, min(machine.next_at(), now + 100 * MS))
         for action in machine.ticked(now):
             if isinstance(action, Send):
@@ -372,7 +373,7 @@
     assert len(sizes) > 100 and max(sizes) < 8_000
 
 
-def test_a_joiner_learns_two_thousand_members_from_one() -> None:
+def test_a_joining_member_learns_two_thousand_members_from_one() -> None:
     machine, joiner = (
         standalone_machine(),
         MemberMachine(Card(Incarnation("j", 9), "h:3", "x", version=1), MemberRules(), ("me",), 0),
@@ -392,7 +393,7 @@
     assert largest < 16_000
 
 
-def test_a_later_version_of_the_program_is_understood_as_far_as_it_goes() -> None:
+def test_unknown_fields_of_a_later_program_version_are_ignored() -> None:
     class LaterPing(Message, frozen=True, array_like=True):
         KIND = 1
         number: int
@@ -413,11 +414,11 @@
     assert machine.health(Incarnation("a", 1)) is Health.ALIVE
 
 
-# What must hold, whatever is said
+# Invariants
 
 
 def feed_random_messages(machine: MemberMachine, seed: int) -> None:
-    """Says at random of a few incarnations what could be said of them, this member's own included."""
+    """Sends random messages about a few incarnations, including this member's own."""
     rng = random.Random(seed)
     now, versions = 1, dict[str, int]()
     for _ in range(150):
@@ -452,7 +453,7 @@
             versions[str(member.card.incarnation)] = member.card.version
 
 
-def test_whatever_is_said_the_list_keeps_its_rules() -> None:
+def test_random_messages_break_no_invariant() -> None:
     for seed in range(200):
         machine = standalone_machine()
         feed_random_messages(machine, seed)
@@ -472,23 +473,23 @@
 }
 
 
-def load_module(name: str, text: str) -> ModuleType:
-    """A module made of that text."""
+def module_from_source(name: str, text: str) -> ModuleType:
+    """Creates a module from source text."""
     fleet = ModuleType(name)
-    sys.modules[name] = fleet  # dataclasses look for it
+    sys.modules[name] = fleet  # dataclasses look the module up here
     exec(compile(text, name, "exec"), fleet.__dict__)
     return fleet
 
 
 def mutant(monkeypatch: pytest.MonkeyPatch, old: str, new: str) -> type[MemberMachine]:
-    """The machine with one place of the text of ``merge`` changed."""
+    """The machine with one change in the source of ``merge``."""
     text = Path(merge_module.__file__).read_text()
     assert text.count(old) == 1
-    mutated = load_module("ironbarrow.fleet.members.mutant_merge", text.replace(old, new))
+    mutated = module_from_source("ironbarrow.fleet.members.mutant_merge", text.replace(old, new))
     with monkeypatch.context() as patch:
         patch.setitem(sys.modules, merge_module.__name__, mutated)
         machine_text = Path(machine_module.__file__).read_text()
-        machine = load_module("ironbarrow.fleet.members.mutant_machine", machine_text)
+        machine = module_from_source("ironbarrow.fleet.members.mutant_machine", machine_text)
     assert machine.RumourMerger is mutated.RumourMerger
     found: type[MemberMachine] = machine.MemberMachine
     return found
