--- a/ironbarrow/fleet/members/machine.py
+++ b/ironbarrow/fleet/members/machine.py
@@ -75,7 +75,7 @@
                 now, Rumour(card.incarnation, card.version, RANK_BY_HEALTH[Health.ALIVE], card=card)
             )
 
-    # Questions
+    # Queries
 
     @property
     def me(self) -> Card:
--- a/ironbarrow/fleet/members/messages.py
+++ b/ironbarrow/fleet/members/messages.py
@@ -6,12 +6,8 @@
 
 from ironbarrow.fleet.api import Card, Health, Incarnation, Message
 
-HEALTH_BY_RANK = (
-    Health.ALIVE,
-    Health.SUSPECT,
-    Health.DEAD,
-    Health.LEFT,
-)  # the index is the number on the wire
+# the index is the number on the wire
+HEALTH_BY_RANK = (Health.ALIVE, Health.SUSPECT, Health.DEAD, Health.LEFT)
 RANK_BY_HEALTH = {health: number for number, health in enumerate(HEALTH_BY_RANK)}
 VERSION_LIMIT = 1 << 53  # no refutation could exceed a corrupt version without bound
 
--- a/ironbarrow/fleet/members/relayed_probes.py
+++ b/ironbarrow/fleet/members/relayed_probes.py
@@ -29,9 +29,8 @@
         self._context = context
         self._table = context.table
         self._dissemination = dissemination
-        self._probe_numbers = (
-            numbers  # shared with this member's own probes, so that an Ack matches one probe only
-        )
+        # shared with this member's own probes, so that an Ack matches one probe only
+        self._probe_numbers = numbers
         self._probes: dict[int, RelayedProbe] = {}
 
     def on_request(self, now: int, requester: Incarnation, request: PingRequest) -> None:
--- a/ironbarrow/fleet/starvation/job_moves.py
+++ b/ironbarrow/fleet/starvation/job_moves.py
@@ -62,9 +62,8 @@
     def __init__(self, window: int, windows: int) -> None:
         self._window, self._pause = window, windows * window
         self._available_moves, self._refilled_at = MAX_MOVES_AT_ONCE, 0
-        self._moved_to: dict[
-            tuple[str, Incarnation], tuple[int, int]
-        ] = {}  # since when, and how many since then
+        # by tenant and target: start of the current window, and moves since then
+        self._moved_to: dict[tuple[str, Incarnation], tuple[int, int]] = {}
         self._last_received: dict[str, int] = {}  # when a moved job last arrived, by tenant
 
     def on_job_received(self, now: int, tenant: str) -> None:
--- a/ironbarrow/fleet/starvation/machine.py
+++ b/ironbarrow/fleet/starvation/machine.py
@@ -66,7 +66,7 @@
 log = structlog.get_logger()
 
 COLLECTORS_PER_SHARD = 2
-SHARE_TOLERANCE = 1.25  # a tenant may exceed its share by this factor: random arrivals do
+SHARE_TOLERANCE = 1.25  # factor by which chance may exceed a share
 MAX_PARTITION_WAITS = 4  # partitions with the shortest waits that a reply lists per tenant
 
 
