--- a/ironbarrow/fleet/ledgers/machine.py
+++ b/ironbarrow/fleet/ledgers/machine.py
@@ -13,12 +13,12 @@
     Action,
     Change,
     Claimed,
+    Committed,
     Decision,
     Fenced,
     Health,
     Incarnation,
-    Kept,
-    LedgerAt,
+    LedgerLocation,
 )
 from ironbarrow.fleet.file import LedgerRules
 from ironbarrow.fleet.ledgers.messages import (
@@ -61,7 +61,7 @@
         # by recipient, ledger, segment and release: message, when to resend it, times sent
         self._notices: dict[tuple[Incarnation, str, int, bool], list[Any]] = {}
         self._extra_ledgers = 0  # opened for claim keys
-        self._published: tuple[LedgerAt, ...] = ()
+        self._published: tuple[LedgerLocation, ...] = ()
 
     # api.Ledgers
 
@@ -72,11 +72,11 @@
         seq, actions = self._append(now, ledger, changes)
         return seq, self._deliver_local(now, actions)
 
-    def claim(self, now: int, at: LedgerAt) -> list[Action]:
+    def claim(self, now: int, at: LedgerLocation) -> list[Action]:
         inherited_from, into = self._inherited_claims.get(at.ledger, (frozenset(), ""))
         return self._deliver_local(now, self.recovery.start(now, at, False, inherited_from, into))
 
-    def lead(self, now: int, at: LedgerAt) -> list[Action]:
+    def lead(self, now: int, at: LedgerLocation) -> list[Action]:
         writer = self.writers.get(at.ledger)
         if writer is not None:
             return [api.Moved(writer.at, dict(writer.table))] if writer.opened else []
@@ -182,7 +182,7 @@
 
     def start_leading(self, now: int, claim: Claim, decision: Decision) -> list[Action]:
         """Makes this member the writer of a ledger whose next segment has been decided to be its own."""
-        at = LedgerAt(claim.proposal.at.ledger, claim.proposal.at.segment + 1, decision.replicas)
+        at = LedgerLocation(claim.proposal.at.ledger, claim.proposal.at.segment + 1, decision.replicas)
         writer = Writer(self.me, at, self._members, self._rules, self, claim.content or {})
         self.writers[at.ledger] = writer
         return writer.open_as_leader(now, claim.unreleased)
@@ -194,7 +194,7 @@
 
     def _create(self, now: int, ledger: str) -> list[Action]:
         writer = Writer(
-            self.me, LedgerAt(ledger, 0, self.choose_replicas(ledger)), self._members, self._rules, self
+            self.me, LedgerLocation(ledger, 0, self.choose_replicas(ledger)), self._members, self._rules, self
         )
         self.writers[ledger] = writer
         return writer.open(now)
@@ -247,7 +247,7 @@
                     out.append(action)
                 continue
             out.append(action)
-            if isinstance(action, Kept):
+            if isinstance(action, Committed):
                 queue += self._on_committed(now, action)
             elif isinstance(action, Fenced):
                 self.writers.pop(action.ledger, None)
@@ -259,7 +259,7 @@
                 self._inherit_claims(action)
         return out + self._publish_locations()
 
-    def _on_committed(self, now: int, event: Kept) -> list[Action]:
+    def _on_committed(self, now: int, event: Committed) -> list[Action]:
         """Continues what waited for a commit: claims whose keys were written, and releases after a key was
         dropped."""
         actions = self.recovery.on_committed(now, event.ledger, event.seq)
@@ -286,7 +286,7 @@
                 except (msgspec.MsgspecError, UnicodeDecodeError):
                     self.counts["unreadable claim"] += 1
                     continue
-                self._inherited_claims[record.ledger] = frozenset(record.claimants), event.into
+                self._inherited_claims[record.ledger] = frozenset(record.claimants), event.recorded_in
 
     def _resend_notices(self, now: int) -> list[Action]:
         """Resends the notices that are due, with a growing delay."""
@@ -314,4 +314,4 @@
         if at == self._published:
             return []
         self._published = at
-        return list(self._members.writes(at))
+        return list(self._members.announce_ledgers(at))
--- a/ironbarrow/fleet/ledgers/recovery.py
+++ b/ironbarrow/fleet/ledgers/recovery.py
@@ -4,8 +4,8 @@
 A claim follows the chain of segments. It seals a segment and proposes the decision that a replica has already
 accepted, or else its own; if the segment was decided to have moved, it continues with the next one. Before it
 proposes CLAIMED, the key ``c/LEDGER`` is committed in a job ledger of this member, so that whoever recovers
-that ledger inherits the claim. A claim ends with ``Claimed`` or ``ClaimLost``, a lead with ``Moved`` or
-``ClaimLost``, within ``CLAIM_TIMEOUT_WAITS`` times the configured ``wait``.
+that ledger inherits the claim. A claim ends with ``Claimed`` or ``ClaimFailed``, a lead with ``Moved`` or
+``ClaimFailed``, within ``CLAIM_TIMEOUT_WAITS`` times the configured ``wait``.
 """
 
 from collections import OrderedDict
@@ -20,12 +20,12 @@
     Action,
     Change,
     Claimed,
-    ClaimLost,
+    ClaimFailed,
     Decision,
     Fate,
     Health,
     Incarnation,
-    LedgerAt,
+    LedgerLocation,
     Members,
 )
 from ironbarrow.fleet.file import LedgerRules
@@ -40,8 +40,8 @@
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The value of the key ``c/LEDGER``: the fields of a ``LedgerAt``, and the incarnations that have claimed
-    the ledger one after another, whose claims the holder of the key continues."""
+    """The value of the key ``c/LEDGER``: the fields of a ``LedgerLocation``, and the incarnations that have
+    claimed the ledger one after another, whose claims the holder of the key continues."""
 
     ledger: str
     segment: int
@@ -76,7 +76,7 @@
     lead: bool
     inherited_from: frozenset[Incarnation]  # incarnations whose claims of the ledger this member continues
     into: str  # the ledger of this member that contains their claim; "": none
-    content_at: LedgerAt  # the last segment whose content is known to be complete
+    content_at: LedgerLocation  # the last segment whose content is known to be complete
     content: dict[str, bytes] | None = None  # None: unknown
     unreleased: list[Proposal] = field(default_factory=list)  # decided segments whose tables are still stored
 
@@ -107,7 +107,7 @@
     def start(
         self,
         now: int,
-        at: LedgerAt,
+        at: LedgerLocation,
         lead: bool,
         inherited_from: frozenset[Incarnation] = frozenset(),
         into: str = "",
@@ -118,9 +118,9 @@
         # a new claim would find the ledger decided to be this incarnation's, although whoever took over the
         # ledger with the key now continues that claim: two members would own the content
         if at.ledger in self.settled and not lead and not inherited_from:
-            return [ClaimLost(at.ledger, self.settled[at.ledger], {})]
+            return [ClaimFailed(at.ledger, self.settled[at.ledger], {})]
         if not at.replicas:
-            return [ClaimLost(at.ledger, None, {})]
+            return [ClaimFailed(at.ledger, None, {})]
         claim = Claim(Proposal(self.me, at, self._rules), now, lead, inherited_from, into, at)
         self.claims[at.ledger] = claim
         return claim.proposal.start(now)
@@ -297,7 +297,7 @@
             if claim.lead and decision.by == self.me:
                 del self.claims[at.ledger]
                 return actions + self._host.start_leading(now, claim, decision)
-            next_location = LedgerAt(at.ledger, at.segment + 1, decision.replicas)
+            next_location = LedgerLocation(at.ledger, at.segment + 1, decision.replicas)
             claim.proposal = Proposal(self.me, next_location, self._rules, decision.by)
             return actions + claim.proposal.start(now)
         if not self._is_decided_for_us(claim):
@@ -321,4 +321,4 @@
         if by is not None and ledger in self.keys:
             _, _, actions = self._host.append_own(now, [Change(CLAIM + ledger)], self.keys.pop(ledger).ledger)
         partial = {} if by is not None else claim.content or claim.proposal.partial_table()
-        return [*actions, ClaimLost(ledger, by, partial)]
+        return [*actions, ClaimFailed(ledger, by, partial)]
--- a/ironbarrow/fleet/ledgers/writer.py
+++ b/ironbarrow/fleet/ledgers/writer.py
@@ -15,13 +15,13 @@
     NEVER,
     Action,
     Change,
+    Committed,
     Decision,
     Fate,
     Fenced,
     Health,
     Incarnation,
-    Kept,
-    LedgerAt,
+    LedgerLocation,
     Members,
     Moved,
     NoMajority,
@@ -87,7 +87,7 @@
     def __init__(
         self,
         me: Incarnation,
-        at: LedgerAt,
+        at: LedgerLocation,
         members: Members,
         rules: LedgerRules,
         host: WriterHost,
@@ -98,7 +98,7 @@
         self.seq = 0  # of the last change appended
         self.committed_seq = 0  # of the last change that a majority of the replicas has
         self.opened = False  # a majority has the snapshot of this segment
-        self.last_opened: LedgerAt | None = None  # the last opened segment: where a recovery starts
+        self.last_opened: LedgerLocation | None = None  # the last opened segment: where a recovery starts
         self.ended = False  # fenced or closed
         self.counts: Counter[str] = Counter()
         self._led_content = dict(table) if table is not None else None  # reported by ``Moved``
@@ -252,7 +252,7 @@
             if not self.at.replicas:
                 replicas = self._host.choose_replicas(self.at.ledger)
                 if replicas:
-                    self.at = LedgerAt(self.at.ledger, self.at.segment, replicas)
+                    self.at = LedgerLocation(self.at.ledger, self.at.segment, replicas)
                     since = self._uncommitted[0][1]
                     actions += self.open(now)
                     self._uncommitted[0] = (self.snapshot_size, since)
@@ -335,7 +335,7 @@
                 self._moved_due, self._led_content = False, None
         if committed + self._seq_offset > self.committed_seq:
             self.committed_seq = committed + self._seq_offset
-            actions.append(Kept(self.at.ledger, self.committed_seq))
+            actions.append(Committed(self.at.ledger, self.committed_seq))
         return actions + self._check_majority(now)
 
     def _check_majority(self, now: int) -> list[Action]:
@@ -344,7 +344,7 @@
         if overdue == self._without_majority:
             return []
         self._without_majority = overdue
-        return [NoMajority(self.at.ledger, back=not overdue)]
+        return [NoMajority(self.at.ledger, restored=not overdue)]
 
     def _trim_tail(self, now: int) -> None:
         """Removes the changes that all replicas have from the tail; excludes the slowest replica while the
@@ -457,7 +457,7 @@
         chosen = self._host.choose_replicas(self.at.ledger, frozenset(self._avoided(now) | terminated))
         if not chosen:
             return []
-        self.at = LedgerAt(self.at.ledger, self.at.segment + 1, chosen)
+        self.at = LedgerLocation(self.at.ledger, self.at.segment + 1, chosen)
         self._moved_due = True
         self.counts["segment skipped"] += 1
         waiting_since = self._uncommitted[0][1] if self._uncommitted else now
@@ -502,7 +502,7 @@
         if proposal is None or proposal.step is not Step.DECIDED:
             return []  # decided by an earlier round of its own: the proposal will learn of it
         self._previous.append(proposal)
-        self.at = LedgerAt(self.at.ledger, self.at.segment + 1, decision.replicas)
+        self.at = LedgerLocation(self.at.ledger, self.at.segment + 1, decision.replicas)
         self._moved_due = True
         self.counts["moved"] += 1
         waiting_since = self._uncommitted[0][1] if self._uncommitted else now
--- a/ironbarrow/fleet/members/events.py
+++ b/ironbarrow/fleet/members/events.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-from ironbarrow.fleet.api import Incarnation, News
+from ironbarrow.fleet.api import FleetEvent, Incarnation
 
 
 @dataclass(frozen=True, slots=True)
-class IncarnationReplaced(News):
+class IncarnationReplaced(FleetEvent):
     """Another process uses this member's name and started later (incarnation ``by``).
 
     The other members regard this incarnation as DEAD from now on; it cannot refute that.
--- a/ironbarrow/fleet/members/outbox.py
+++ b/ironbarrow/fleet/members/outbox.py
@@ -1,6 +1,6 @@
 """The actions that a call to the member machine returns."""
 
-from ironbarrow.fleet.api import Action, Incarnation, Message, News, Send
+from ironbarrow.fleet.api import Action, FleetEvent, Incarnation, Message, Send
 
 
 class Outbox:
@@ -16,9 +16,9 @@
         """Adds a message to another member."""
         self._actions.append(Send(to, message))
 
-    def publish(self, news: News) -> None:
+    def publish(self, event: FleetEvent) -> None:
         """Adds an event for the process that hosts the machine."""
-        self._actions.append(news)
+        self._actions.append(event)
 
     def drain(self) -> list[Action]:
         """Returns all collected actions and empties the outbox."""
--- a/ironbarrow/fleet/members/validation.py
+++ b/ironbarrow/fleet/members/validation.py
@@ -4,7 +4,7 @@
 and no later rumour could supersede it.
 """
 
-from ironbarrow.fleet.api import NEVER, Card, Health, Incarnation, LedgerAt
+from ironbarrow.fleet.api import NEVER, Card, Health, Incarnation, LedgerLocation
 from ironbarrow.fleet.members.messages import HEALTH_BY_RANK, VERSION_LIMIT, Rumour
 
 MAX_NAME_LENGTH = 64  # characters, as in the fleet file
@@ -44,7 +44,7 @@
     )
 
 
-def _is_valid_ledger(at: LedgerAt) -> bool:
+def _is_valid_ledger(at: LedgerLocation) -> bool:
     return (
         len(at.ledger) <= MAX_TEXT_LENGTH
         and len(at.replicas) <= MAX_REPLICAS
--- a/ironbarrow/fleet/starvation/machine.py
+++ b/ironbarrow/fleet/starvation/machine.py
@@ -22,12 +22,12 @@
     Action,
     Card,
     Change,
+    FleetEvent,
     Health,
     Incarnation,
     Ledgers,
     Members,
     Message,
-    News,
     Send,
     job_ledger,
     rank,
@@ -87,7 +87,7 @@
         taken: Counter[str] = Counter()
         for (tenant, _, _), tally in rows.items():
             taken[tenant] += tally.taken
-        total, tenants = taken.total(), sum(tenant != UNTRACKED_TENANT for tenant in taken)
+        all_jobs, tenants = taken.total(), sum(tenant != UNTRACKED_TENANT for tenant in taken)
         found = set[str]()
         for tenant, jobs in taken.items():
             if tenant == UNTRACKED_TENANT or not jobs:
@@ -97,7 +97,7 @@
                 remote = elsewhere.get(tenant)
                 outside = sum(t.taken for k, t in remote.rows.items() if k[0] == tenant) if remote else 0
                 fraction = outside / remote.taken if remote and remote.taken else 0.0
-                share = max(2 * fraction, 1 / tenants) * total
+                share = max(2 * fraction, 1 / tenants) * all_jobs
             # 2 * sqrt(share): two standard deviations of a Poisson count
             if jobs > SHARE_TOLERANCE * share + 2 * share**0.5:
                 found.add(tenant)
@@ -178,7 +178,7 @@
         self.move_planner.on_job_received(now, tenant)
 
     @staticmethod
-    def log(event: News) -> None:
+    def log(event: FleetEvent) -> None:
         """Logs the start or the end of a verdict, for operators."""
         if isinstance(event, StarvationBegan):
             figures = msgspec.to_builtins(msgspec.structs.asdict(event.evidence))
--- a/ironbarrow/fleet/starvation/verdict.py
+++ b/ironbarrow/fleet/starvation/verdict.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct
 
-from ironbarrow.fleet.api import News
+from ironbarrow.fleet.api import FleetEvent
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.invariants import check
 from ironbarrow.fleet.starvation.tables import (
@@ -321,7 +321,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StarvationBegan(News):
+class StarvationBegan(FleetEvent):
     """A tenant starves in this partition since ``began_at``, ns."""
 
     tenant: str
@@ -331,7 +331,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StarvationEnded(News):
+class StarvationEnded(FleetEvent):
     """A tenant no longer starves. Times in ns; ``reason``: the state in the last assessment."""
 
     tenant: str
--- a/tests/test_fleet_ledgers.py
+++ b/tests/test_fleet_ledgers.py
@@ -8,11 +8,11 @@
     Ballot,
     Change,
     Claimed,
-    ClaimLost,
+    ClaimFailed,
+    Committed,
     Fenced,
     Incarnation,
-    Kept,
-    LedgerAt,
+    LedgerLocation,
     Moved,
     NoMajority,
 )
@@ -53,7 +53,7 @@
     def events(self, name: str, kind: type) -> list:
         return [event for event in self.net.seats[name].told if isinstance(event, kind)]
 
-    def location(self, name: str) -> LedgerAt:
+    def location(self, name: str) -> LedgerLocation:
         """The location of a member's first ledger, as it publishes it."""
         return self.everyone.members[name].card.ledgers[0]
 
@@ -85,7 +85,7 @@
     fleet.run(5)
     seq, _ = fleet.call("m0", "append", ledger, [Change("j/3")])
     fleet.run(5)
-    assert [event.seq for event in fleet.events("m0", Kept)][-1] == 21
+    assert [event.seq for event in fleet.events("m0", Committed)][-1] == 21
     at = fleet.location("m0")
     assert len(at.replicas) == (1 if n == 2 else min(replicas, n)) and (
         n <= replicas or Incarnation("m0") not in at.replicas
@@ -99,7 +99,7 @@
     assert claimed.content == {c.key: c.value for c in puts(20) if c.key != "j/3"}
     fleet.call("m2", "claim", at)
     fleet.run(50)
-    (lost,) = fleet.events("m2", ClaimLost)
+    (lost,) = fleet.events("m2", ClaimFailed)
     assert lost.by == fleet.machines["m1"].me
 
 
@@ -116,7 +116,7 @@
     fleet.call("m0", "append", ledger, puts(1, 7))
     fleet.run(100)
     assert fleet.events("m0", Fenced) == [Fenced(ledger, fleet.machines["m1"].me)]
-    assert fleet.events("m0", Kept)[-1].seq == 3
+    assert fleet.events("m0", Committed)[-1].seq == 3
     assert fleet.call("m0", "append", ledger, puts(1))[0] == 0
 
 
@@ -133,7 +133,7 @@
     )
     seq, _ = fleet.call("m0", "append", ledger, puts(2, 900))
     fleet.run(5)
-    assert fleet.events("m0", Kept)[-1].seq == seq == 502
+    assert fleet.events("m0", Committed)[-1].seq == seq == 502
     by = next(n for n in fleet.names[1:] if fleet.net.seats[n].node)
     for start in (at, moved.at):  # a recovery that starts at the old location finds the new one
         fleet.call(by, "claim", start)
@@ -149,10 +149,10 @@
         fleet.net.cut("m0", replica.name)
     fleet.call("m0", "append", ledger, puts(1))
     fleet.run(2000)
-    assert fleet.events("m0", NoMajority) == [NoMajority(ledger)] and not fleet.events("m0", Kept)
+    assert fleet.events("m0", NoMajority) == [NoMajority(ledger)] and not fleet.events("m0", Committed)
     fleet.net.mend()
     fleet.run(500)
-    assert fleet.events("m0", NoMajority)[-1].back and fleet.events("m0", Kept)[-1].seq == 1
+    assert fleet.events("m0", NoMajority)[-1].restored and fleet.events("m0", Committed)[-1].seq == 1
 
 
 def test_a_new_leader_has_a_higher_epoch_and_fences_the_old_one() -> None:
@@ -169,7 +169,7 @@
     assert fleet.events("m0", Fenced) == [Fenced("rollout/r", fleet.machines["m1"].me)]
     seq, _ = fleet.call("m1", "append", "rollout/r", puts(1, 30))
     fleet.run(5)
-    assert Kept("rollout/r", seq) in fleet.events("m1", Kept)
+    assert Committed("rollout/r", seq) in fleet.events("m1", Committed)
 
 
 @pytest.mark.parametrize("sealed_first", [False, True], ids=["seal refused", "accept refused"])
@@ -212,7 +212,7 @@
     (loser,) = {first, rival} - {winner}
     (claimed,) = fleet.events(winner, Claimed)
     assert claimed.content.keys() == {"j/0", "j/1", "j/2"}
-    assert [event.by for event in fleet.events(loser, ClaimLost)] == [fleet.machines[winner].me]
+    assert [event.by for event in fleet.events(loser, ClaimFailed)] == [fleet.machines[winner].me]
 
 
 def test_a_claim_is_inherited_from_a_dead_claimant() -> None:
@@ -225,7 +225,7 @@
     fleet.kill("m0")
     fleet.call("m1", "claim", first)
     fleet.run(20)
-    assert fleet.events("m1", Claimed)[0].into == second.ledger
+    assert fleet.events("m1", Claimed)[0].recorded_in == second.ledger
     fleet.kill("m1")
     by = next(n for n in fleet.names[2:] if Incarnation(n) not in (*first.replicas, *second.replicas))
     fleet.call(by, "claim", second)
@@ -237,8 +237,8 @@
     content = fleet.events(by, Claimed)[1].content
     assert content.keys() == {"j/0", "j/1", "j/2"}
     # once the jobs are in its own ledger in place of the key, the replicas release the tables
-    into = fleet.events(by, Claimed)[1].into
-    fleet.call(by, "append", into, [*(Change(k, v) for k, v in content.items()), Change(key)])
+    recorded_in = fleet.events(by, Claimed)[1].recorded_in
+    fleet.call(by, "append", recorded_in, [*(Change(k, v) for k, v in content.items()), Change(key)])
     fleet.run(20)
     stored = [m.replica.segments.get((first.ledger, 0)) for m in fleet.machines.values()]
     assert all(
@@ -246,7 +246,9 @@
     )
     fleet.call(by, "claim", first)
     fleet.run(20)
-    assert len(fleet.events(by, Claimed)) == 2 and fleet.events(by, ClaimLost)[-1].by == fleet.machines[by].me
+    assert (
+        len(fleet.events(by, Claimed)) == 2 and fleet.events(by, ClaimFailed)[-1].by == fleet.machines[by].me
+    )
 
 
 @pytest.mark.parametrize("mutant", [False, True])
@@ -272,7 +274,7 @@
     fleet.call("m1", "claim", first)
     fleet.run(500)
     assert len(fleet.events("m1", Claimed)) == 1 + mutant
-    assert mutant or fleet.events("m1", ClaimLost)[-1].by == fleet.machines["m2"].me
+    assert mutant or fleet.events("m1", ClaimFailed)[-1].by == fleet.machines["m2"].me
 
 
 def test_a_paused_lease_holder_acts_twice_but_a_fenced_writer_does_not() -> None:
@@ -294,15 +296,15 @@
     (claimed,) = fleet.events("m1", Claimed)
     assert claimed.content == {"j/1": b"taken"}
     intent = [Change("j/1", b"intent"), Change(CLAIM + ledger)]
-    seq, _ = fleet.call("m1", "append", claimed.into, intent)
+    seq, _ = fleet.call("m1", "append", claimed.recorded_in, intent)
     fleet.run(5)
-    by_ledger += ["m1"] * (fleet.events("m1", Kept)[-1].seq >= seq)
+    by_ledger += ["m1"] * (fleet.events("m1", Committed)[-1].seq >= seq)
     fleet.net.resume("m0")  # it continues with the action that it was about to take
     if m0_may_act:
         by_lease.append("m0")
     seq, _ = fleet.call("m0", "append", ledger, [Change("j/1", b"intent")])
     fleet.run(2_000)
-    by_ledger += ["m0"] * (bool(seq) and fleet.events("m0", Kept)[-1].seq >= seq)
+    by_ledger += ["m0"] * (bool(seq) and fleet.events("m0", Committed)[-1].seq >= seq)
     assert by_lease == ["m1", "m0"] and by_ledger == ["m1"]
 
 
@@ -397,7 +399,7 @@
 def test_random_load(seed: int) -> None:
     """Reproduce with: python -m ironbarrow.lab.fleet.random_ledgers --seeds 1 --from SEED"""
     counts = World(seed).run()
-    assert counts["jobs"] > 50 and counts["Kept"] > 50
+    assert counts["jobs"] > 50 and counts["Committed"] > 50
 
 
 # Mutants: each invariant, in the code or in the observer, must detect one.
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -10,7 +10,16 @@
 import pytest
 
 from ironbarrow.config.units import ms
-from ironbarrow.fleet.api import NEVER, Card, Health, Incarnation, LedgerAt, MemberChanged, Message, Send
+from ironbarrow.fleet.api import (
+    NEVER,
+    Card,
+    Health,
+    Incarnation,
+    LedgerLocation,
+    MemberChanged,
+    Message,
+    Send,
+)
 from ironbarrow.fleet.codec import Codec
 from ironbarrow.fleet.file import MemberRules
 from ironbarrow.fleet.invariants import INVARIANTS, InvariantError
@@ -147,8 +156,8 @@
     machine = fleet.machines["m0"]
     for segment in range(20):
         fleet.net.run((6130 + 97 * segment) * MS)
-        at = (LedgerAt("l", segment, ()),)
-        fleet.net.order("m0", lambda node, now, at=at: node.carry_out(machine.writes(at)))
+        at = (LedgerLocation("l", segment, ()),)
+        fleet.net.order("m0", lambda node, now, at=at: node.carry_out(machine.announce_ledgers(at)))
         fleet.net.run(MS)
         assert machine.local_health.score == 0, segment
     fleet.net.pause("m0")
@@ -258,8 +267,10 @@
             net.usual.lost, net.usual.doubled = rng.choice([(0.0, 0.0), (0.2, 0.1)])
             net.usual.jitter = rng.choice([MS // 10, 100 * MS])
         else:
-            at = (LedgerAt("l", rng.randrange(9), ()),)
-            net.order(name, lambda node, now, m=fleet.machines[name], at=at: node.carry_out(m.writes(at)))
+            at = (LedgerLocation("l", rng.randrange(9), ()),)
+            net.order(
+                name, lambda node, now, m=fleet.machines[name], at=at: node.carry_out(m.announce_ledgers(at))
+            )
         net.run(rng.randrange(3 * SECOND))
     net.mend()
     net.usual.lost = net.usual.doubled = 0.0
@@ -332,8 +343,8 @@
         make_rumour(card("a"), version=VERSION_LIMIT),
         make_rumour(card("a", version=-1), version=1),
         make_rumour(card("a"), age_ms=-1),
-        make_rumour(card("a", ledgers=(LedgerAt("l", 1, (Incarnation("k"),)),))),
-        make_rumour(card("a", ledgers=(LedgerAt("l" * 301, 1, ()),))),
+        make_rumour(card("a", ledgers=(LedgerLocation("l", 1, (Incarnation("k"),)),))),
+        make_rumour(card("a", ledgers=(LedgerLocation("l" * 301, 1, ()),))),
         make_rumour(card("a", front="f" * 301)),
         Rumour(Incarnation("b", 1), 1, 0, card=card("a")),
         Rumour(Incarnation("a", 1), 1, 4, card=card("a")),
