--- a/tests/decisions.py
+++ b/tests/decisions.py
@@ -5,7 +5,7 @@
 
 from heathway import api
 from heathway.api import Outcome
-from tests.scenario import Stage
+from tests.scenario import Harness
 
 
 class FixedOrder:
@@ -44,8 +44,8 @@
         return actions
 
 
-def fixed_order(*order: str, **config: Any) -> tuple[Stage, FixedOrder]:
+def fixed_order(*order: str, **config: Any) -> tuple[Harness, FixedOrder]:
     """A stage whose dispatcher uses FixedOrder; ``config``: arguments of the stage."""
-    stage, decisions = Stage(**config), FixedOrder(order)
+    stage, decisions = Harness(**config), FixedOrder(order)
     stage.dispatcher.host._dispatcher = decisions  # type: ignore[assignment]
     return stage, decisions
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -27,7 +27,7 @@
 from ironbarrow.lab.fleet.random_work import KINDS, SETTINGS, UNSAFE, play
 from ironbarrow.lab.fleet.work import WorkWorld, ms
 from ironbarrow.runtime.sockets import listen
-from tests.scenario import Stage, answer, call_back, job
+from tests.scenario import Harness, answer, call_back, job
 
 
 @pytest.fixture(autouse=True)
@@ -348,7 +348,7 @@
 # The program itself
 
 
-class ThreeDispatchers(Stage):
+class ThreeDispatchers(Harness):
     """Three dispatchers of a fleet in one thread. Peers ``c*`` talk to the first one, ``n*`` to the second,
     ``m*`` to the third."""
 
@@ -375,9 +375,9 @@
             self.dead = True
         elif line == "known":
             work = self.dispatcher.fleet.adapter
-            self.until(line, lambda: "members=3" in work.readiness() and not work.machine.no_majority)
+            self.run_until(line, lambda: "members=3" in work.readiness() and not work.machine.no_majority)
         elif line == "taken over":
-            self.until(line, lambda: any(other.fleet.adapter.owed for other in self.others.values()))
+            self.run_until(line, lambda: any(other.fleet.adapter.owed for other in self.others.values()))
         elif letter in self.others and line.split()[0] not in self.peers:
             old, self.address = self.address, self.others[letter].listener.getsockname()
             super().step(line)
@@ -385,14 +385,14 @@
         else:
             super().step(line)
 
-    def pass_time(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         running = [*self.others.values(), *([] if self.dead else [self.dispatcher])]
         for dispatcher in running:
             if not dispatcher.loop.stopped:
                 dispatcher.loop.call_at(dispatcher.loop.now() + int(seconds * 1e9 / 8), lambda: None)
                 dispatcher.loop.turn()
         for peer in self.peers.values():
-            peer.look()
+            peer.receive()
 
     def close(self) -> None:
         self.peers.pop("gone", None)
@@ -444,24 +444,24 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_the_program_in_a_fleet(tmp_path: Path, name: str) -> None:
-    ThreeDispatchers(tmp_path).play(SCENARIOS[name])
+    ThreeDispatchers(tmp_path).run(SCENARIOS[name])
 
 
 def test_an_invalid_fleet_file_ends_the_start_with_one_line(tmp_path: Path) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text('listen = "127.0.0.1:0"\nkeepers = 3\n')
     with pytest.raises(ConfigError, match=r"fleet\.toml: .*keepers"):
-        Stage(fleet=path)
+        Harness(fleet=path)
     path.write_text('listen = "127.0.0.1:0"\n')
     with pytest.raises(
         ConfigError, match=r"fleet\.toml: links: 258 descriptors leave -90 of limits\.sockets = 200"
     ):
-        Stage(fleet=path, sockets=200)
+        Harness(fleet=path, sockets=200)
 
 
 def test_without_a_fleet_file_no_fleet_module_is_imported() -> None:
     code = (
-        "from tests.scenario import Stage; import sys; Stage().close(); "
+        "from tests.scenario import Harness; import sys; Harness().close(); "
         "print([m for m in sys.modules if m.startswith('ironbarrow.fleet') or m == 'msgspec'])"
     )
     environment = {**os.environ, "PYTHONPATH": str(Path(__file__).parents[1])}
