--- a/ironbarrow/fleet/members/helpers.py
+++ b/ironbarrow/fleet/members/relay_selection.py
@@ -1,4 +1,4 @@
-"""The choice of helpers, who probe a member in another one's stead."""
+"""Selection of the relays for an indirect probe."""
 
 import random
 from collections.abc import Iterable
@@ -7,29 +7,30 @@
 from ironbarrow.fleet.members.table import Entry
 
 
-def choose_helpers(
+def select_relays(
     entries: Iterable[Entry],
     target: str,
-    sites_last: tuple[str, str],
+    last_resort_sites: tuple[str, str],
     count: int,
     random_source: random.Random,
 ) -> list[Incarnation]:
-    """Picks helpers for a target: one of each site in turn, so that a cut between two sites is seen round.
+    """Picks up to ``count`` ALIVE members to probe ``target``, one of each site in turn.
 
-    ``sites_last``: those of the target and of the member that asks; helpers of other sites go first.
+    A network partition between two sites can thus be bypassed through a third one.
+    ``last_resort_sites``: the sites of the target and of this member; other sites are taken first.
     """
     by_site = _candidates_by_site(entries, target)
     sites = list(by_site)
     random_source.shuffle(sites)
-    sites.sort(key=lambda site: site in sites_last)
+    sites.sort(key=lambda site: site in last_resort_sites)
     for candidates in by_site.values():
         random_source.shuffle(candidates)
-    helpers: list[Incarnation] = []
-    while len(helpers) < count and any(by_site.values()):
+    relays: list[Incarnation] = []
+    while len(relays) < count and any(by_site.values()):
         for site in sites:
-            if by_site[site] and len(helpers) < count:
-                helpers.append(by_site[site].pop())
-    return helpers
+            if by_site[site] and len(relays) < count:
+                relays.append(by_site[site].pop())
+    return relays
 
 
 def _candidates_by_site(entries: Iterable[Entry], target: str) -> dict[str, list[Incarnation]]:
--- a/ironbarrow/fleet/members/sync.py
+++ b/ironbarrow/fleet/members/sync.py
@@ -1,6 +1,7 @@
-"""Anti-entropy: two members compare a part of their tables, and each sends what the other lacks.
+"""Anti-entropy: two members compare a partition of their tables, and each sends what the other lacks.
 
-It also brings in new members, and heals cuts: dead members and unknown seeds are tried again.
+This is also how a new member joins and how a network partition heals: a member keeps contacting DEAD members
+and unknown seeds.
 """
 
 import math
@@ -10,22 +11,22 @@
 from ironbarrow.fleet.members.context import MemberContext
 from ironbarrow.fleet.members.dissemination import Dissemination
 from ironbarrow.fleet.members.merge import RumourMerger, merge_key
-from ironbarrow.fleet.members.messages import RANK, Cards, Rumour, Sync, Want
+from ironbarrow.fleet.members.messages import RANK_BY_HEALTH, CardRequest, Rumour, RumourBatch, Sync
 from ironbarrow.fleet.members.table import Entry
 from ironbarrow.fleet.members.transitions import Transitions
 from ironbarrow.runtime.clock import MS, SECOND
 
-PARTITION_SIZE = 64  # members whose state is compared in a sync, about
-MAX_WANTED = 4 * PARTITION_SIZE  # cards asked for, or sent on request, at once
-MAX_CARDS = 24  # in a message
+PARTITION_SIZE = 64  # approximate number of members compared in one sync
+MAX_REQUESTED_CARDS = 4 * PARTITION_SIZE  # per CardRequest, sent or answered
+MAX_CARDS = 24  # per message
 MAX_SYNC_INTERVAL = 5 * SECOND
-MIN_SYNC_INTERVAL = SECOND // 2  # as long as a sync brings news
-RECONNECT_INTERVAL = SECOND  # between two tries of members held DEAD, or of unknown seeds
-JOIN_SEEDS = 3  # seeds that are tried at once while nobody is known
+MIN_SYNC_INTERVAL = SECOND // 2  # while syncs bring changes
+RECONNECT_INTERVAL = SECOND  # between two attempts to contact a DEAD member or an unknown seed
+JOIN_SEEDS = 3  # seeds contacted at once while the table is empty
 
 
 class Synchronizer:
-    """Compares tables in intervals that grow while there is nothing new."""
+    """Compares tables at intervals that double while nothing changes."""
 
     def __init__(
         self,
@@ -49,69 +50,69 @@
     # Messages
 
     def on_sync(self, now: int, sender: Incarnation, sync: Sync) -> None:
-        """Answers a sync with what the sender lacks, and asks for what this member lacks."""
-        if sync.card.incarnation != sender or not 0 <= sync.part < sync.parts:
+        """Sends the rumours that the sender lacks and requests the cards that this member lacks."""
+        if sync.card.incarnation != sender or not 0 <= sync.partition < sync.partitions:
             self._context.dropped["malformed"] += 1
             return
-        own_view = Rumour(sender, sync.card.version, RANK[Health.ALIVE], card=sync.card)
+        own_view = Rumour(sender, sync.card.version, RANK_BY_HEALTH[Health.ALIVE], card=sync.card)
         self._merger.merge(now, own_view)
-        wanted = self._merge_states(now, sync.known)
-        self._send_later_states(now, sender, sync)
-        if wanted:
-            self._context.outbox.send(sender, Want(tuple(wanted[:MAX_WANTED])))
+        missing = self._merge_states(now, sync.states)
+        self._send_newer_rumours(now, sender, sync)
+        if missing:
+            self._context.outbox.send(sender, CardRequest(tuple(missing[:MAX_REQUESTED_CARDS])))
 
-    def on_want(self, now: int, sender: Incarnation, want: Want) -> None:
-        """Sends the cards that another member asks for."""
-        self.send_cards(sender, self._full_rumours(now, want.names[:MAX_WANTED]))
+    def on_card_request(self, now: int, sender: Incarnation, request: CardRequest) -> None:
+        """Answers a request for cards."""
+        self.send_rumours(sender, self._full_rumours(now, request.names[:MAX_REQUESTED_CARDS]))
 
-    def on_cards(self, now: int, cards: Cards) -> None:
-        """Takes in cards; the next sync is soon if these came of one and brought something new."""
+    def on_rumour_batch(self, now: int, batch: RumourBatch) -> None:
+        """Merges rumours; after changes from a sync the next sync follows at the shortest interval."""
         outbox = self._context.outbox
         before = len(outbox)
-        self._merger.merge_all(now, cards.items, cards.synced)
-        if cards.synced and len(outbox) > before and self._interval > MIN_SYNC_INTERVAL:
+        self._merger.merge_all(now, batch.rumours, batch.from_sync)
+        if batch.from_sync and len(outbox) > before and self._interval > MIN_SYNC_INTERVAL:
             self._interval = MIN_SYNC_INTERVAL
             self._sync_at = min(self._sync_at, now + MIN_SYNC_INTERVAL)
 
-    def send_cards(self, to: Incarnation, rumours: Sequence[Rumour], synced: bool = True) -> None:
-        """Sends rumours with their cards, a bounded number in a message."""
+    def send_rumours(self, to: Incarnation, rumours: Sequence[Rumour], from_sync: bool = True) -> None:
+        """Sends rumours with their cards, at most ``MAX_CARDS`` per message."""
         for start in range(0, len(rumours), MAX_CARDS):
-            self._context.outbox.send(to, Cards(tuple(rumours[start : start + MAX_CARDS]), synced))
+            self._context.outbox.send(to, RumourBatch(tuple(rumours[start : start + MAX_CARDS]), from_sync))
 
     def _merge_states(self, now: int, states: Iterable[Rumour]) -> list[str]:
-        """Takes in states without cards; returns the names whose cards are wanted."""
-        wanted: list[str] = []
+        """Merges states without cards; returns the names whose cards are missing."""
+        missing: list[str] = []
         for rumour in states:
             name = rumour.incarnation.name
             entry = self._table.get(name)
             if name == self._table.own_name or (
                 entry is not None and entry.incarnation == rumour.incarnation
             ):
-                self._merger.merge(now, rumour, synced=True)
-            if self._is_wanted(entry, rumour):
-                wanted.append(name)
-        return wanted
+                self._merger.merge(now, rumour, from_sync=True)
+            if self._is_card_missing(entry, rumour):
+                missing.append(name)
+        return missing
 
-    def _is_wanted(self, entry: Entry | None, rumour: Rumour) -> bool:
+    def _is_card_missing(self, entry: Entry | None, rumour: Rumour) -> bool:
         if entry is not None:
             return (rumour.incarnation.start, rumour.version) > (entry.incarnation.start, entry.card.version)
         is_other = rumour.incarnation.name != self._table.own_name
         return is_other and rumour.age_ms * MS < self._context.rules.keep_dead
 
-    def _send_later_states(self, now: int, sender: Incarnation, sync: Sync) -> None:
-        theirs = {rumour.incarnation.name: rumour for rumour in sync.known}
-        later: list[Rumour] = []
-        for mine in self._full_rumours(now, self._names_of_partition(sync, sender)):
-            known = theirs.get(mine.incarnation.name)
-            if known is None or merge_key(known) < merge_key(mine):
-                later.append(mine)
-        self.send_cards(sender, later)
+    def _send_newer_rumours(self, now: int, sender: Incarnation, sync: Sync) -> None:
+        known_by_sender = {rumour.incarnation.name: rumour for rumour in sync.states}
+        newer: list[Rumour] = []
+        for own_rumour in self._full_rumours(now, self._names_of_partition(sync, sender)):
+            known = known_by_sender.get(own_rumour.incarnation.name)
+            if known is None or merge_key(known) < merge_key(own_rumour):
+                newer.append(own_rumour)
+        self.send_rumours(sender, newer)
 
     def _names_of_partition(self, sync: Sync, sender: Incarnation) -> list[str]:
-        """This member and those others that the sync is about, but for the sender."""
+        """This member and all members of the partition except the sender."""
         names = [self._table.own_name]
         for name in self._table.entries:
-            if name != sender.name and self._table.hash_of(name) % sync.parts == sync.part:
+            if name != sender.name and self._table.sync_hash_of(name) % sync.partitions == sync.partition:
                 names.append(name)
         return names
 
@@ -122,7 +123,7 @@
     # Time
 
     def tick(self, now: int) -> None:
-        """Syncs with a random member, or tries those that are gone, if that is due."""
+        """Syncs with a random member and contacts DEAD members or seeds when due."""
         if self._context.leaving:
             self._sync_at = self._reconnect_at = NEVER
         if self._sync_at <= now:
@@ -135,11 +136,11 @@
             self._reconnect(now)
 
     def next_at(self) -> int:
-        """When something is due, ns; NEVER if nothing is."""
+        """When the next step is due, ns; NEVER after leaving."""
         return min(self._sync_at, self._reconnect_at)
 
     def resume(self, now: int) -> None:
-        """Makes up for a stop of the process: nothing was due before now."""
+        """Skips the steps missed while the process was paused."""
         self._sync_at = max(self._sync_at, now)
         self._reconnect_at = max(self._reconnect_at, now)
 
@@ -154,13 +155,13 @@
         states = tuple(
             self._state(now, entry)
             for name, entry in self._table.entries.items()
-            if entry.hash % partitions == partition or name == to.name
+            if entry.sync_hash % partitions == partition or name == to.name
         )
         self._context.outbox.send(to, Sync(self._table.own_card, partitions, partition, states))
 
     def _state(self, now: int, entry: Entry) -> Rumour:
         age_ms = (now - entry.since) // MS if entry.health is Health.DEAD else 0
-        return Rumour(entry.incarnation, entry.advertised_version, RANK[entry.health], "", age_ms)
+        return Rumour(entry.incarnation, entry.advertised_version, RANK_BY_HEALTH[entry.health], "", age_ms)
 
     def _forget_expired(self, now: int) -> None:
         for name, entry in list(self._table.entries.items()):
@@ -172,7 +173,7 @@
             self._join(now)
             return
         names = [name for name, entry in self._table.entries.items() if entry.health is Health.DEAD]
-        names += [seed for seed in self._seeds if self._is_seed_out_of_sight(seed)]
+        names += [seed for seed in self._seeds if self._is_seed_unknown_or_left(seed)]
         if names:
             self._sync_with(now, Incarnation(self._context.random.choice(names)))
 
@@ -181,7 +182,7 @@
         for name in self._context.random.sample(self._seeds, count):
             self._sync_with(now, Incarnation(name))
 
-    def _is_seed_out_of_sight(self, seed: str) -> bool:
-        """Whether a seed is unknown, or LEFT: it may have begun again where it could not be heard."""
+    def _is_seed_unknown_or_left(self, seed: str) -> bool:
+        """Whether a seed is unknown or LEFT: it may have restarted without this member noticing."""
         entry = self._table.get(seed)
         return entry is None or entry.health is Health.LEFT
