--- a/ironbarrow/fleet/takeover/participant.py
+++ b/ironbarrow/fleet/takeover/participant.py
@@ -84,17 +84,17 @@
 
     def _compare_waits(self, service: FleetService, rules: StarvationRules, now: int) -> None:
         """Adds the machine that compares this dispatcher's waits with those of the others."""
-        from ironbarrow.fleet.starvation.machine import Shares, StarvationMachine
+        from ironbarrow.fleet.starvation.machine import StarvationMachine, TenantShares
 
         settings = self._host.settings
-        shares = Shares({t.name: t.allowance_per_s / settings.dispatchers for t in settings.tenants})
+        shares = TenantShares({t.name: t.allowance_per_s / settings.dispatchers for t in settings.tenants})
         if rules.move and self.waits is None:
             log.warning("starvation.move: jobs are not moved yet, only verdicts are given")
-        book = self.waits.book if self.waits is not None else None
+        book = self.waits.recorder if self.waits is not None else None
         self.waits = StarvationMachine(
-            service.members.me, service.members, self.ledgers, rules, shares, now, book=book
+            service.members.me, service.members, self.ledgers, rules, shares, now, recorder=book
         )
-        self._host.wait_observer = self.waits.book
+        self._host.wait_observer = self.waits.recorder
         service.add(self.waits)
 
     def _log_waits(self, event: FleetEvent) -> None:
