--- a/ironbarrow/fleet/links/links.py
+++ b/ironbarrow/fleet/links/links.py
@@ -220,7 +220,7 @@
             # such an address would otherwise cause a log line for each attempt
             peer.logged_at = self._loop.now()
             log.debug("link broken", peer=peer.name, address=peer.address, reason=str(error))
-        self._loop.soon(self._on_broken, peer.name)
+        self._loop.call_soon(self._on_broken, peer.name)
 
     def _connect(self, peer: _Peer) -> Coroutine[None]:
         """Opens the connection; an OSError if that fails or takes too long."""
--- a/ironbarrow/fleet/takeover/participant.py
+++ b/ironbarrow/fleet/takeover/participant.py
@@ -56,7 +56,7 @@
         self._rules = takeover_rules(host.settings, self.fleet, on_fault_point)
         self.service = make_service(loop, self.fleet, name, site, "{}:{}".format(*front))
         self.adapter = TakeoverAdapter(loop, host, invoker, self.service.carry_out)
-        self.adapter.on_superseded = lambda: loop.soon(self._on_superseded)
+        self.adapter.on_superseded = lambda: loop.call_soon(self._on_superseded)
         self._add_machines(self.service)
         self.service.on_new_incarnation(self._add_machines)
         self.service.subscribe(self.adapter.on_event)
@@ -94,7 +94,7 @@
         self.waits = StarvationMachine(
             service.members.me, service.members, self.ledgers, rules, shares, now, recorder=book
         )
-        self._host.waits = self.waits.recorder
+        self._host.wait_observer = self.waits.recorder
         service.add(self.waits)
 
     def _log_waits(self, event: FleetEvent) -> None:
--- a/ironbarrow/fronts/server.py
+++ b/ironbarrow/fronts/server.py
@@ -11,7 +11,7 @@
 
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.core.host import Host
-from ironbarrow.core.jobs import Answer, Job, Payload, Terms
+from ironbarrow.core.jobs import Answer, Job, JobOptions, Payload
 from ironbarrow.fronts.connection_slots import LINGER_TIMEOUT, NEW_CONNECTION_GRACE, ConnectionSlots
 from ironbarrow.fronts.requests import (
     JSON_HEADER,
@@ -47,8 +47,8 @@
     def take(
         self, payload: Payload, answered: "Callable[[Answer | None], None]", **placement: Any
     ) -> Callable[[], None]:
-        """As ``Host.take``, but ``answered`` is called with None if another request has the same id. Returns
-        the function to call when the client disconnects or has its answer."""
+        """As ``Host.submit``, but ``answered`` is called with None if another request has the same id.
+        Returns the function to call when the client disconnects or has its answer."""
 
     def readiness(self) -> str:
         """The state of the fleet as one line of text, for the header X-Fleet."""
@@ -105,7 +105,7 @@
     @property
     def has_connections(self) -> bool:
         """Whether any connection is open or waits to be accepted."""
-        return self._slots.in_use > 0 or sockets.has_waiting(self._listener)
+        return self._slots.in_use > 0 or sockets.has_pending_connection(self._listener)
 
     def close_idle(self) -> None:
         """Stops keep-alive: closes idle connections now, new ones that send no request soon, and the others
@@ -127,7 +127,7 @@
             for _ in range(_ACCEPTS_PER_TURN):
                 # without this check, ``make_room`` would evict a connection though no other one waits, and a
                 # request that is on its way on it would be lost
-                if not sockets.has_waiting(self._listener):
+                if not sockets.has_pending_connection(self._listener):
                     self._accept_failing_since = 0
                     break
                 if not self._slots.make_room():
@@ -217,7 +217,7 @@
     def _schedule_wake(self) -> None:
         if not self._wake_scheduled:
             self._wake_scheduled = True
-            self._loop.soon(self._wake_readers)
+            self._loop.call_soon(self._wake_readers)
 
     def _wake_readers(self) -> None:
         self._wake_scheduled = False
@@ -252,7 +252,9 @@
             path = request.target.partition("?")[0]
             if path == "/-/ready":
                 require_method(request, "GET")
-                status, body = (200, b"ready") if self._host.listed else (503, b"no list of workers yet")
+                status, body = (
+                    (200, b"ready") if self._host.has_worker_list else (503, b"no list of workers yet")
+                )
                 if self.fleet_jobs is not None:
                     headers.append(("X-Fleet", self.fleet_jobs.readiness()))
             elif path == "/callback":
@@ -406,7 +408,7 @@
     ) -> Callable[[], None]:
         """Submits a job. Returns the function to call when the client disconnects or has its answer; raises
         RequestRejectedError if the job is not accepted."""
-        if self.fleet_jobs is None and self._host.knows(payload.id):
+        if self.fleet_jobs is None and self._host.has_job(payload.id):
             raise RequestRejectedError(409, "a job with this X-Request-ID is under way")
         if self._host.must_not_run_again(payload.id):
             # the client may have lost the answer and sent the request again
@@ -429,7 +431,7 @@
         self._slots.begin_job(connection, len(payload.body))
         if self.fleet_jobs is not None:
             return self.fleet_jobs.take(payload, on_answer, **placement)
-        job = self._host.take(payload, on_answer, **placement)
+        job = self._host.submit(payload, on_answer, **placement)
         self.awaiting_answer[job] = connection, task
         return partial(self._withdraw, job)
 
@@ -468,5 +470,5 @@
             "job_class": ticket.route.cls.name,
             "key": hash_key(ticket.key) if ticket.key else None,
             "tenant": ticket.tenant or None,
-            "terms": Terms(**arrival(ticket, settings), watch=ticket),
+            "options": JobOptions(**arrival(ticket, settings), limiter=ticket),
         }
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -390,7 +390,7 @@
         for dispatcher in running:
             if not dispatcher.loop.stopped:
                 dispatcher.loop.call_at(dispatcher.loop.now() + int(seconds * 1e9 / 8), lambda: None)
-                dispatcher.loop.turn()
+                dispatcher.loop.run_once()
         for peer in self.peers.values():
             peer.receive()
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -191,7 +191,7 @@
             else:
                 stage.step(line.strip())
         stage.step("exits")
-        assert stage.dispatcher.host.owed == 0
+        assert stage.dispatcher.host.unanswered == 0
     finally:
         stage.close()
 
@@ -277,7 +277,7 @@
         monkeypatch.setattr(HttpServer, "close_idle", fail)
     else:
         monkeypatch.setattr("ironbarrow.daemon.dispatcher.log", SimpleNamespace(info=fail, error=fail))
-    stage.dispatcher.loop.soon(stage.dispatcher.stop)
+    stage.dispatcher.loop.call_soon(stage.dispatcher.stop)
     stage.run("exits")
 
 
