--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -24,7 +24,7 @@
 from ironbarrow.discovery.client import DiscoveryClient
 from ironbarrow.fronts.server import HttpServer
 from ironbarrow.runtime.loop import MS, SECOND, Loop
-from ironbarrow.runtime.retry import until_it_goes
+from ironbarrow.runtime.retry import retry_transient
 from ironbarrow.runtime.sockets import listen
 
 log = structlog.get_logger()
@@ -85,16 +85,16 @@
     """
 
     def __init__(self, config: Config, listener: socket.socket | None = None) -> None:
-        # danger: to whoever started this process, a start that fails on a brief shortage of descriptors or
+        # danger: to whoever started this process, a start that fails for a temporary lack of descriptors or
         # memory is a crash
-        self.loop = until_it_goes(lambda: Loop(_log_task_failure))
+        self.loop = retry_transient(lambda: Loop(_log_task_failure))
         self._stopping = False
         self._connections_until = 0  # ns; set by stop
         self._wakes_on_signals = False  # the wakeup descriptor of signals is the loop's
         self.shutdown_times = ShutdownTimes.of(config.settings)
         self._config = config
-        self.listener = listener or until_it_goes(
-            lambda: listen(config.listen, shared=config.admin is not None)
+        self.listener = listener or retry_transient(
+            lambda: listen(config.listen, reuse_port=config.admin is not None)
         )
         self.host = Host(self.loop, config.settings, config.seed, traced=config.traced)
         self._operations: Any = None
@@ -109,7 +109,7 @@
             self.loop, config.discovery, self._on_worker_list, on_request=list_on_request, seed=config.seed
         )
         if list_on_request:
-            self.host.follow = self.discovery.subscribe
+            self.host.set_subscribed = self.discovery.subscribe
         spare = (
             _available_descriptors(config.sockets)
             - _RESERVED_DESCRIPTORS
@@ -124,8 +124,8 @@
             config.reports,
             connect_timeout=config.connect_timeout,
             idle_limit=config.idle_limit,
-            most_idle=spare // 4,
-            most=spare - spare * 5 // 8 + _RESERVED_DESCRIPTORS // 2,
+            max_idle=spare // 4,
+            max_connections=spare - spare * 5 // 8 + _RESERVED_DESCRIPTORS // 2,
         )
         self.host.invoker = self.invoker
         self.server = HttpServer(
@@ -152,7 +152,7 @@
                 # in a fleet, the other members take over the jobs that a process leaves
                 self._open_hand_over(config)
             admin = config.admin
-            self.admin_listener = until_it_goes(lambda: listen(admin))
+            self.admin_listener = retry_transient(lambda: listen(admin))
             Door(self.loop, self.admin_listener, self._operations)
 
     def _join_fleet(self, config: Config, path: Path) -> None:
@@ -185,7 +185,7 @@
 
         try:
             folder = config.folder
-            self._upgrade = until_it_goes(
+            self._upgrade = retry_transient(
                 lambda: Upgrade(self.loop, self.host, self.server, self.invoker, folder, config.name)
             )
         except OSError as error:
@@ -203,7 +203,7 @@
             self._upgrade.stray(raw)
 
     def _on_worker_list(self, worker_list: api.WorkerList) -> None:
-        self.host.workers_listed(
+        self.host.update_workers(
             worker_list if self._operations is None else self._operations.listed(worker_list)
         )
 
@@ -212,7 +212,7 @@
         log.info("serving", address="{}:{}".format(*self.listener.getsockname()[:2]))
         self.loop.run()
         self.close()
-        log.info("stopped", events=self.host.events.totals())
+        log.info("stopped", events=self.host.event_log.totals())
 
     def stop_on_signals(self) -> None:
         """Installs handlers of SIGTERM and SIGINT that call ``stop``. They replace the whole process's
@@ -231,7 +231,7 @@
         Danger: without a handler, the signal ends the program and loses the jobs that it has accepted.
         """
         self._wake_on_signals()
-        signal.signal(signal.SIGHUP, lambda number, frame: self.loop.soon(self._reload, read))
+        signal.signal(signal.SIGHUP, lambda number, frame: self.loop.call_soon(self._reload, read))
         # a signal that came during the start may be pending
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
 
@@ -310,7 +310,7 @@
             self.admin_listener.close()
 
     def _on_signal(self, number: int, frame: FrameType | None) -> None:
-        self.loop.soon(self.stop)
+        self.loop.call_soon(self.stop)
 
     def stop(self) -> None:
         """Begins the orderly shutdown: accepts jobs for a short time more, finishes the accepted jobs and
@@ -327,11 +327,11 @@
             if self.fleet is not None:
                 self.loop.call_at(now + self.shutdown_times.leave_delay, self._leave_fleet)
             else:
-                self.host.end_by = now + self.shutdown_times.answer_limit
+                self.host.answer_deadline = now + self.shutdown_times.answer_limit
             self.loop.call_at(now + self.shutdown_times.idle_close_delay, self._close_idle)
         if self._operations is not None:
             self._operations.stopping = True
-        log.info("stopping", owed=self.host.owed)
+        log.info("stopping", owed=self.host.unanswered)
 
     def _begin_hand_over(self) -> bool:
         """Starts to hand jobs over to the new process; False if there is none or the channel fails.
@@ -363,7 +363,9 @@
         self.loop.stop()
 
     def _close_idle(self) -> None:
-        self.loop.soon(self._finish_when_done)  # danger: the program must end even if the next line raises
+        self.loop.call_soon(
+            self._finish_when_done
+        )  # danger: the program must end even if the next line raises
         self.server.close_idle()
 
     def _finish_when_done(self) -> None:
@@ -372,7 +374,7 @@
         other_owed += self.fleet.adapter.owed if self.fleet is not None else 0
         # danger: a connection whose peer never closes its side would delay the end until SIGKILL
         has_open_connections = self.server.has_connections and self.loop.now() < self._connections_until
-        if self.host.owed or other_owed or has_open_connections:
+        if self.host.unanswered or other_owed or has_open_connections:
             self.loop.call_at(self.loop.now() + _DONE_CHECK_INTERVAL, self._finish_when_done)
         elif self.fleet is None:
             self._finish()
--- a/ironbarrow/fleet/rollout_participant.py
+++ b/ironbarrow/fleet/rollout_participant.py
@@ -64,7 +64,7 @@
         if rules.plan:
             self._plan = self._read_plan(Path(rules.plan))
             loop.call_at(loop.now() + rules.meet, self._start_rollout)
-        host.attempt_observer, host.on_listed = self, self._worker_list_changed
+        host.attempt_observer, host.on_worker_list = self, self._worker_list_changed
         self._ledgers = ledgers
         self._starvation_event: type[FleetEvent] | None = None
         if service.fleet.starvation is not None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,7 +19,7 @@
 from ironbarrow.fleet.file import parse
 from ironbarrow.fleet.ledgers.messages import Append
 from ironbarrow.fleet.members.messages import Ping
-from ironbarrow.fleet.starvation.tables import Waits
+from ironbarrow.fleet.starvation.tables import WaitReport
 from ironbarrow.fleet.takeover.messages import JobAnswer
 from ironbarrow.lab.live.wire import HttpClient
 from ironbarrow.lab.model.discovery import Entry
@@ -150,7 +150,7 @@
             pass
         loop.call_at(loop.now() + 120 * MS, loop.stop)
 
-    loop.soon(stand_still)
+    loop.call_soon(stand_still)
     loop.run()
     loop.close()
     taken = meter.take()
@@ -160,7 +160,7 @@
 
 
 def test_messages_are_counted_by_the_part_of_the_fleet():
-    kinds = [kind_of(kind) for kind in (Ping, Append, JobAnswer, Waits)]
+    kinds = [kind_of(kind) for kind in (Ping, Append, JobAnswer, WaitReport)]
     assert kinds == [KINDS[0], KINDS[1], KINDS[2], KINDS[4]]
 
 
@@ -353,7 +353,7 @@
         limit = loop.now() + 30 * SECOND
         while not holds() and loop.now() < limit:
             loop.call_at(loop.now() + 20 * MS, lambda: None)
-            loop.turn()
+            loop.run_once()
         return holds()
 
     try:
