--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -19,11 +19,11 @@
 import pytest
 
 from heathway.settings import read_settings
-from ironbarrow.daemon.dispatcher import Pace
+from ironbarrow.daemon.dispatcher import ShutdownTimes
 from ironbarrow.fronts.server import HttpServer
 from ironbarrow.runtime.loop import MS, SECOND
 from tests.scenario import SETTINGS, Harness, Peer, answer, call_back, job
-from tests.test_config import ROOT, UNUSED, logged, written
+from tests.test_config import ROOT, WITHOUT_DISCOVERY, wait_for_log, write_config
 
 ACCEPTED = answer(202)
 READY = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
@@ -31,7 +31,9 @@
 
 def paced(**times: int) -> Harness:
     stage = Harness()
-    stage.dispatcher.pace = replace(stage.dispatcher.pace, **{name: ms * MS for name, ms in times.items()})
+    stage.dispatcher.shutdown_times = replace(
+        stage.dispatcher.shutdown_times, **{name: ms * MS for name, ms in times.items()}
+    )
     return stage
 
 
@@ -176,7 +178,7 @@
 
 @pytest.mark.parametrize("name", MOMENTS)
 def test_what_was_taken_before_the_closing_is_answered_before_the_end(name: str) -> None:
-    stage = paced(still_coming=60_000, last_answer=120_000)
+    stage = paced(idle_close_delay=60_000, answer_limit=120_000)
     try:
         stage.step("stop")
         for line in MOMENTS[name].strip().splitlines():
@@ -197,7 +199,7 @@
 
 
 def test_stopping_finishes_what_was_taken_and_serves_what_still_comes() -> None:
-    paced(still_coming=500, last_answer=60_000).run(
+    paced(idle_close_delay=500, answer_limit=60_000).run(
         f"""
         c1 send {job()}
         p1 expect in$
@@ -224,14 +226,14 @@
 
 def test_a_job_that_comes_while_stopping_is_answered_before_the_end() -> None:
     # danger: killed with it unanswered, the dispatcher loses a job that it took after the order to stop
-    stage = paced(last_answer=600)
+    stage = paced(answer_limit=600)
     idle = f"c1 send {READY}\nc1 expect 200\nstop\nwait 50\nc1 silent 50\n"
     booking = f"c1 send {job(path='book/x', ms=25000)}\np1 expect in$\np1 send {ACCEPTED}\n"
     stage.run(f"{idle}{booking}c1 expect ^HTTP/1.1 500")
 
 
 def test_who_connects_before_the_last_look_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage = paced(still_coming=0)
+    stage = paced(idle_close_delay=0)
     real = HttpServer.has_connections
     sent = iter((f"c1 send {job()}",))
 
@@ -247,7 +249,7 @@
 
 def test_who_connects_after_the_last_look_is_refused_and_not_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     # danger: taken in by the kernel and then reset, the request has no answer; refused, it goes elsewhere
-    stage = paced(still_coming=0)
+    stage = paced(idle_close_delay=0)
     loop = stage.dispatcher.loop
     found: list[int] = []
 
@@ -266,7 +268,7 @@
     part: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # danger: a second order to stop changes nothing, and SIGKILL finds what it may
-    stage = paced(still_coming=20)
+    stage = paced(idle_close_delay=20)
 
     def fail(*args: Any, **more: Any) -> bool:
         raise BrokenPipeError
@@ -298,18 +300,18 @@
     # danger: with short deadlines SIGKILL comes sooner, and what came just before it would have no answer
     made = SETTINGS["requestClasses"][0]
     classes = [{**made, "name": str(ms), "promise": ms * MS, "giveUp": ms * MS} for ms in deadlines]
-    pace = Pace.of(read_settings({**SETTINGS, "requestClasses": classes}))
-    assert (pace.still_coming, pace.last_answer) == (still_coming * MS, last_answer * MS)
+    pace = ShutdownTimes.of(read_settings({**SETTINGS, "requestClasses": classes}))
+    assert (pace.idle_close_delay, pace.answer_limit) == (still_coming * MS, last_answer * MS)
     killed = min(max(deadlines), 3000) * MS + 700 * MS
-    assert 400 * MS < pace.still_coming < pace.last_answer <= killed - 150 * MS
-    assert pace.leaving + pace.leave_limit == pace.last_answer
-    assert 0 < pace.leave_limit <= 700 * MS < SECOND
+    assert 400 * MS < pace.idle_close_delay < pace.answer_limit <= killed - 150 * MS
+    assert pace.leave_delay + pace.leave_timeout == pace.answer_limit
+    assert 0 < pace.leave_timeout <= 700 * MS < SECOND
 
 
 # The program, with real signals
 
 SHORT = {
-    **UNUSED,
+    **WITHOUT_DISCOVERY,
     "settings": {
         **SETTINGS,
         "requestClasses": [{**SETTINGS["requestClasses"][0], "promise": 400 * MS, "giveUp": 500 * MS}],
@@ -324,7 +326,11 @@
     process = subprocess.Popen(
         [sys.executable, "-c", "import os, signal\n" + before + _SERVE],
         cwd=ROOT,
-        env={"PATH": os.environ["PATH"], "BALANCER_DISCOVERY": "127.0.0.1:1", **written(tmp_path, SHORT)},
+        env={
+            "PATH": os.environ["PATH"],
+            "BALANCER_DISCOVERY": "127.0.0.1:1",
+            **write_config(tmp_path, SHORT),
+        },
         **{"stderr": subprocess.PIPE, "text": True, **more},
     )
     try:
@@ -366,7 +372,7 @@
     # danger: ended by Python's own handling, it would reset what its listener has taken in
     before = _AT_START.format(where=where, name=name, number=number)
     with program(tmp_path, before) as process:
-        host, port = logged(process, '"serving"').split('"address": "')[1].split('"')[0].split(":")
+        host, port = wait_for_log(process, '"serving"').split('"address": "')[1].split('"')[0].split(":")
         with socket.create_connection((host, int(port)), 20) as client:
             client.sendall(READY.replace("\\r\\n", "\r\n").encode())
             assert client.recv(100).startswith(b"HTTP/1.1 503 ")
@@ -375,9 +381,9 @@
 
 def test_further_signals_while_it_ends_change_nothing(tmp_path: Path) -> None:
     with program(tmp_path) as process:
-        logged(process, '"serving"')
+        wait_for_log(process, '"serving"')
         process.send_signal(signal.SIGTERM)
-        logged(process, '"stopping"')
+        wait_for_log(process, '"stopping"')
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGINT):
             process.send_signal(number)
         assert '"reloaded"' in rest(process)
@@ -386,9 +392,9 @@
 _IN_RELOAD = """
 from ironbarrow import config
 real = config.load
-def load(*args, replaced=False):
-    found = real(*args, replaced=replaced)
-    if replaced:
+def load(*args, prefer_file=False):
+    found = real(*args, prefer_file=prefer_file)
+    if prefer_file:
         os.kill(os.getpid(), signal.SIGTERM)
     return found
 config.load = load
@@ -397,7 +403,7 @@
 
 def test_an_order_to_stop_during_a_reload_waits_for_its_end(tmp_path: Path) -> None:
     with program(tmp_path, _IN_RELOAD) as process:
-        logged(process, '"serving"')
+        wait_for_log(process, '"serving"')
         process.send_signal(signal.SIGHUP)
         seen = rest(process)
         assert seen.index('"reloaded"') < seen.index('"stopping"')
@@ -432,14 +438,14 @@
 def test_a_signal_in_the_last_instants_does_not_change_the_end(moment: str, tmp_path: Path) -> None:
     # danger: a descriptor's number that is closed, or handlers that Python has taken away
     with program(tmp_path, _LATE[moment]) as process:
-        logged(process, '"serving"')
+        wait_for_log(process, '"serving"')
         process.send_signal(signal.SIGTERM)
         rest(process)
 
 
 def test_a_log_whose_reader_is_gone_does_not_change_the_end(tmp_path: Path) -> None:
     with program(tmp_path) as process:
-        logged(process, '"serving"')
+        wait_for_log(process, '"serving"')
         assert process.stderr is not None
         process.stderr.close()
         process.send_signal(signal.SIGHUP)
@@ -450,9 +456,9 @@
 @pytest.mark.parametrize("deadline_ms", [50, 300, 600, 1000, 2000, 3000, 60_000])
 def test_the_end_comes_after_the_last_answer_and_before_the_earliest_kill(deadline_ms: int) -> None:
     classes = tuple(replace(cls, deadline=deadline_ms * MS) for cls in read_settings(SETTINGS).classes)
-    pace = Pace.of(replace(read_settings(SETTINGS), classes=classes))
+    pace = ShutdownTimes.of(replace(read_settings(SETTINGS), classes=classes))
     earliest_kill = min(deadline_ms, 3000) * MS + 700 * MS
-    assert pace.last_answer < pace.gone <= earliest_kill - 100 * MS
+    assert pace.answer_limit < pace.connection_limit <= earliest_kill - 100 * MS
 
 
 @pytest.mark.parametrize("deadline_ms", [600, 1000, 3000])
