--- a/ironbarrow/admin/operations.py
+++ b/ironbarrow/admin/operations.py
@@ -6,8 +6,8 @@
 import structlog
 
 from heathway import api
+from ironbarrow.admin.ban_file import BanFile
 from ironbarrow.admin.bans import Bans
-from ironbarrow.admin.keep import BanFile
 from ironbarrow.core.host import Host
 from ironbarrow.runtime.loop import MS, Loop
 
--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -129,7 +129,7 @@
         if config.fleet is not None:
             self._join(config, config.fleet)
         if config.admin is not None:
-            from ironbarrow.admin.door import Door
+            from ironbarrow.admin.server import Door
 
             if self.fleet is None:
                 # with a fleet, what a process leaves is taken over by the others
--- a/ironbarrow/fleet/takeover/adapter.py
+++ b/ironbarrow/fleet/takeover/adapter.py
@@ -33,7 +33,7 @@
     WithdrawJob,
 )
 from ironbarrow.fleet.takeover.machine import Takeover, TakeoverRules
-from ironbarrow.handover.keeper import Keeper, Kept
+from ironbarrow.handover.pending import Keeper, Kept
 from ironbarrow.handover.records import Record
 from ironbarrow.runtime.clock import MS, SECOND, Clock
 
--- a/ironbarrow/handover/upgrade.py
+++ b/ironbarrow/handover/upgrade.py
@@ -14,7 +14,7 @@
 from ironbarrow.core.jobs import Answer, Attempt, Job, Payload, Terms
 from ironbarrow.handover import records
 from ironbarrow.handover.channel import Channel
-from ironbarrow.handover.keeper import Keeper, Kept
+from ironbarrow.handover.pending import Keeper, Kept
 from ironbarrow.handover.records import Record
 from ironbarrow.runtime.loop import MS, Loop, Task
 from ironbarrow.transport.http import Connection
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 
 from heathway import api
-from ironbarrow.admin import door
+from ironbarrow.admin import server
+from ironbarrow.admin.ban_file import BanFile
 from ironbarrow.admin.bans import Bans
-from ironbarrow.admin.keep import BanFile
 from ironbarrow.core.figures import OUTCOMES, Figures
 from tests.scenario import Stage, answer, call_back, job, post
 
@@ -93,7 +93,7 @@
 
 def test_callers_that_stall_are_never_in_the_way_of_the_next() -> None:
     played = stage()
-    stalled = "\n".join(f"o{n} send {'GET /ops' if n % 2 else ''}" for n in range(100, 100 + 4 * door.MOST))
+    stalled = "\n".join(f"o{n} send {'GET /ops' if n % 2 else ''}" for n in range(100, 100 + 4 * server.MOST))
     played.play(f"{stalled}\no1 send {call('stats')}\no1 expect HTTP/1.1 200 .*app_in_flight")
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 from ironbarrow.core.jobs import Answer, Verdict
 from ironbarrow.daemon.dispatcher import Dispatcher
 from ironbarrow.handover import records
-from ironbarrow.handover.keeper import Keeper, Kept
+from ironbarrow.handover.pending import Keeper, Kept
 from ironbarrow.handover.records import Record
 from ironbarrow.runtime.sockets import listen
 from tests.scenario import Stage, answer, call_back, job
