--- a/ironbarrow/admin/__init__.py
+++ b/ironbarrow/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The door for operators: readiness, figures, workers taken out of use by hand."""
+"""The HTTP interface for operators: readiness, metrics, bans of workers."""
--- a/ironbarrow/admin/server.py
+++ b/ironbarrow/admin/server.py
@@ -1,7 +1,8 @@
-"""The listener for operators: one call per connection, answered beside job work and never behind it.
+"""The operators' HTTP server: one request per connection, on a listener of its own.
 
-It has a few descriptors of its own. Danger: callers that connect and say nothing, or half a call, would take
-all of them; whoever has not brought a whole call within a second is let go, and sooner if others wait.
+It has its own small limit of connections, so operators are served however many clients are connected.
+Danger: clients that connect and send no complete request could use up that limit. Their connections are
+closed after a second, and earlier if others wait.
 """
 
 import socket
@@ -18,76 +19,80 @@
 
 log = structlog.get_logger()
 
-MOST = 24  # connections at once
-_CALL_LIMIT = 1 * SECOND  # from accepting a connection to its call's last byte
-_WRITE_LIMIT = 1 * SECOND
-_LINGER_LIMIT = 200 * MS
-_PAUSE = 20 * MS  # before accepting again when no descriptor is left
-_ACCEPTS_AT_ONCE = 64  # danger: behind hundreds that stall, a call would wait for many turns of the loop
-_BODY_MOST = 4096  # bytes
-_ID_MOST = 1024  # characters
-_TEXT = ("Content-Type", "text/plain; charset=utf-8")
+MAX_CONNECTIONS = 24  # at the same time
+_REQUEST_TIMEOUT = 1 * SECOND  # from accepting a connection to the last byte of its request
+_WRITE_TIMEOUT = 1 * SECOND
+_LINGER_TIMEOUT = 200 * MS
+_ACCEPT_RETRY_DELAY = 20 * MS  # when no descriptor or connection is free
+# Danger: with hundreds of stalled connections in the queue before it, a request would wait for many turns of
+# the event loop if only one were accepted in each.
+_ACCEPT_BATCH = 64
+_MAX_BODY_BYTES = 4096
+_MAX_ID_LENGTH = 1024  # characters
+_CONTENT_TYPE = ("Content-Type", "text/plain; charset=utf-8")
 
 
 class Operations(Protocol):
-    """What the calls do. None of it may wait."""
+    """What the requests do. The methods must not block: they run on the event loop."""
 
     def is_ready(self) -> bool:
-        """Whether this process can serve."""
+        """Returns whether this process can serve."""
 
     def stats(self) -> str:
-        """The figures, as text."""
+        """Returns the metrics as text."""
 
     def worker_down(self, worker: str) -> bool:
-        """Takes a worker out of use; False for an id that was never on the list."""
+        """Bans a worker; False if its id was never on the worker list."""
 
     def worker_up(self, worker: str) -> bool:
-        """Lets a worker be used again; False for an id that was never on the list."""
+        """Lifts the ban of a worker; False if its id was never on the worker list."""
 
     @property
     def is_stored(self) -> bool:
-        """Whether all changes outlast this process; those that do not are in force all the same."""
+        """Whether all changes are stored. Those that are not apply to this process all the same."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Reply:
+class _Response:
     status: int
     text: str
 
 
-class Door:
-    """Answers the calls of operators at ``listener``."""
+class AdminServer:
+    """Answers operators' requests on the connections of ``listener``."""
 
     def __init__(self, loop: Loop, listener: socket.socket, operations: Operations) -> None:
         self._loop = loop
         self._listener = listener
         self._operations = operations
-        self._waiting: dict[Connection, Task] = {}  # no whole call yet, the oldest first
-        self._open = 0
+        self._reading: dict[Connection, Task] = {}  # their request is not complete; the oldest first
+        self._open_count = 0
         loop.spawn(self._accept())
 
     def _accept(self) -> Coroutine[None]:
         while True:
             yield Wait(self._listener.fileno(), READ, self._loop.now() + 3600 * SECOND)
-            for _ in range(_ACCEPTS_AT_ONCE):
-                if self._open >= MOST and not self._make_room():
-                    yield from sleep(self._loop.now() + _PAUSE)
+            for _ in range(_ACCEPT_BATCH):
+                if self._open_count >= MAX_CONNECTIONS and not self._evict_silent():
+                    yield from sleep(self._loop.now() + _ACCEPT_RETRY_DELAY)
                     continue
                 try:
                     connection = accept(self._listener)
                 except OSError as error:
                     log.warning("no descriptor left for operators", error=str(error))
-                    yield from sleep(self._loop.now() + _PAUSE)
+                    yield from sleep(self._loop.now() + _ACCEPT_RETRY_DELAY)
                     continue
                 if connection is None:
                     break
-                self._open += 1
+                self._open_count += 1
                 connection.used_at = self._loop.now()
                 self._loop.spawn(self._serve(connection))
 
-    def _make_room(self) -> bool:
-        """Lets the caller go that has been silent for longest; one whose bytes are in is served."""
-        for connection, task in self._waiting.items():
+    def _evict_silent(self) -> bool:
+        """Closes the oldest connection that has sent nothing; False if there is none.
+
+        A connection with bytes to read is served."""
+        for connection, task in self._reading.items():
             if connection.is_silent():
                 task.cancel()
                 return True
@@ -96,58 +101,60 @@
     def _serve(self, connection: Connection) -> Coroutine[None]:
         task = self._loop.current
         assert task is not None
-        self._waiting[connection] = task
+        self._reading[connection] = task
         try:
             try:
-                request = yield from connection.read_message(connection.used_at + _CALL_LIMIT, _BODY_MOST)
-                reply = self._answer(request)
+                request = yield from connection.read_message(
+                    connection.used_at + _REQUEST_TIMEOUT, _MAX_BODY_BYTES
+                )
+                response = self._answer(request)
             except ConnectionEndedError as error:
                 if error.ending not in (Ending.MALFORMED, Ending.TOO_LARGE, Ending.STALLED):
                     return
                 if not connection.can_answer():
                     return
-                reply = _Reply(error.status, str(error) or "the call did not come whole within a second")
-            self._waiting.pop(connection, None)
+                response = _Response(error.status, str(error) or "request not complete within 1 s")
+            self._reading.pop(connection, None)
             data = connection.response_bytes(
-                reply.status, [_TEXT, ("Connection", "close")], reply.text.encode()
+                response.status, [_CONTENT_TYPE, ("Connection", "close")], response.text.encode()
             )
-            yield from connection.write(data, self._loop.now() + _WRITE_LIMIT)
-            yield from connection.linger(self._loop.now() + _LINGER_LIMIT)
+            yield from connection.write(data, self._loop.now() + _WRITE_TIMEOUT)
+            yield from connection.linger(self._loop.now() + _LINGER_TIMEOUT)
         except ConnectionEndedError:
             return
         finally:
-            self._waiting.pop(connection, None)
-            self._open -= 1
+            self._reading.pop(connection, None)
+            self._open_count -= 1
             connection.close()
 
-    def _answer(self, request: Message) -> _Reply:
+    def _answer(self, request: Message) -> _Response:
         path = request.target.partition("?")[0]
-        calls: dict[str, tuple[str, Callable[[Message], _Reply]]] = {
+        routes: dict[str, tuple[str, Callable[[Message], _Response]]] = {
             "/ops/readiness": ("GET", self._readiness),
-            "/ops/stats": ("GET", lambda _: _Reply(200, self._operations.stats())),
-            "/ops/workers/down": ("POST", lambda r: self._worker(r, self._operations.worker_down)),
-            "/ops/workers/up": ("POST", lambda r: self._worker(r, self._operations.worker_up)),
+            "/ops/stats": ("GET", lambda _: _Response(200, self._operations.stats())),
+            "/ops/workers/down": ("POST", lambda r: self._change_ban(r, self._operations.worker_down)),
+            "/ops/workers/up": ("POST", lambda r: self._change_ban(r, self._operations.worker_up)),
         }
-        if path not in calls:
-            return _Reply(404, "no such call; there are " + ", ".join(calls) + "\n")
-        method, call = calls[path]
+        if path not in routes:
+            return _Response(404, "no such path; there are " + ", ".join(routes) + "\n")
+        method, handler = routes[path]
         if request.method != method:
-            return _Reply(405, f"{path} is called by {method}\n")
-        return call(request)
+            return _Response(405, f"{path} expects {method}\n")
+        return handler(request)
 
-    def _readiness(self, _: Message) -> _Reply:
-        return _Reply(200, "ready\n") if self._operations.is_ready() else _Reply(503, "not ready\n")
+    def _readiness(self, _: Message) -> _Response:
+        return _Response(200, "ready\n") if self._operations.is_ready() else _Response(503, "not ready\n")
 
-    def _worker(self, request: Message, change: Callable[[str], bool]) -> _Reply:
+    def _change_ban(self, request: Message, change: Callable[[str], bool]) -> _Response:
         try:
             worker = request.body.decode("utf-8").strip()
         except UnicodeDecodeError:
-            return _Reply(400, "the body is not UTF-8\n")
-        if not worker or len(worker) > _ID_MOST or not worker.isprintable():
-            return _Reply(400, f"the body is not one worker's id of 1 to {_ID_MOST} characters\n")
+            return _Response(400, "the body is not UTF-8\n")
+        if not worker or len(worker) > _MAX_ID_LENGTH or not worker.isprintable():
+            return _Response(400, f"the body is not one worker's id of 1 to {_MAX_ID_LENGTH} characters\n")
         if not change(worker):
-            return _Reply(404, f"no worker {worker} was ever on the list\n")
+            return _Response(404, f"no worker {worker} was ever on the list\n")
         if not self._operations.is_stored:
-            # danger: a yes is a promise that a kill must not break
-            return _Reply(500, "in force in this process, but not stored yet; call again\n")
-        return _Reply(200, "done\n")
+            # Danger: after a 200 the ban has to hold even if this process is killed at once.
+            return _Response(500, "in force in this process, but not stored yet; call again\n")
+        return _Response(200, "done\n")
--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -129,14 +129,14 @@
         if config.fleet is not None:
             self._join(config, config.fleet)
         if config.admin is not None:
-            from ironbarrow.admin.server import Door
+            from ironbarrow.admin.server import AdminServer
 
             if self.fleet is None:
                 # with a fleet, what a process leaves is taken over by the others
                 self._open_channel(config)
             admin = config.admin
             self.admin = until_it_goes(lambda: listen(admin))
-            Door(self.loop, self.admin, self._operations)
+            AdminServer(self.loop, self.admin, self._operations)
 
     def _join(self, config: Config, path: Path) -> None:
         """What this process takes and owes is known to its fleet from here on."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -93,7 +93,9 @@
 
 def test_callers_that_stall_are_never_in_the_way_of_the_next() -> None:
     played = stage()
-    stalled = "\n".join(f"o{n} send {'GET /ops' if n % 2 else ''}" for n in range(100, 100 + 4 * server.MOST))
+    stalled = "\n".join(
+        f"o{n} send {'GET /ops' if n % 2 else ''}" for n in range(100, 100 + 4 * server.MAX_CONNECTIONS)
+    )
     played.play(f"{stalled}\no1 send {call('stats')}\no1 expect HTTP/1.1 200 .*app_in_flight")
 
 
