--- a/ironbarrow/admin/ban_file.py
+++ b/ironbarrow/admin/ban_file.py
@@ -1,9 +1,9 @@
-"""Keeps the bans of one dispatcher in a file, so that they outlast its process.
+"""Stores the bans of one dispatcher in a file, so that they outlast its process.
 
-The file is shared by an old process and the one that replaces it: each writes it whole, by rename, under a
-lock, and looks whether the other one has. A change that can't be written is kept and joined with all that is
-read until it can be. A file that is torn, foreign or of a later version is passed over
-with a line in the log and replaced by the next change.
+During a hand-over the old and the new process share the file. Each replaces it atomically (by a rename, under
+a lock) and checks whether the other one has changed it. Changes that can't be written yet are kept in memory
+and applied on top of what is read. A file that is corrupt or of another version is logged and ignored; the
+next change replaces it.
 """
 
 import fcntl
@@ -18,29 +18,31 @@
 log = structlog.get_logger()
 
 VERSION = 1
-_SIZE_LIMIT = 8 << 20
+_MAX_CHARACTERS = 8 << 20
 
 
 class BanFile:
-    """The bans of the dispatcher ``name`` in ``folder``; without one they last as long as the process."""
+    """The file with the bans of the dispatcher ``name`` in ``folder``.
+
+    Without a folder (None) bans last only as long as the process."""
 
     def __init__(self, folder: Path | None, name: str) -> None:
         self._path = None if folder is None else folder / f"ironbarrow-bans-{crc32(name.encode()):08x}.json"
-        self._seen: tuple[int, int, int] | None = None  # of the file as it was read last
-        self._unread = False  # the last try to read it failed
-        self._known: frozenset[str] = frozenset()
-        self._unwritten: dict[str, bool] = {}  # workers and whether they are banned: not in the file yet
+        self._stat_at_read: tuple[int, int, int] | None = None  # inode, size, mtime (ns)
+        self._read_failed = False  # the last attempt to read the file
+        self._banned: frozenset[str] = frozenset()  # as last read, with the pending changes
+        self._pending: dict[str, bool] = {}  # changes that are not in the file yet: worker, banned or not
         if folder is None:
             log.warning("bans do not outlast this process: TMPDIR is not set")
 
-    def changed(self) -> bool:
-        """Whether the file is another one than when it was read last."""
+    def has_changed(self) -> bool:
+        """Whether the file has changed since it was last read, or could not be read."""
         try:
-            return self._path is not None and (self._unread or self._mark() != self._seen)
+            return self._path is not None and (self._read_failed or self._stat() != self._stat_at_read)
         except OSError:
             return True
 
-    def _mark(self) -> tuple[int, int, int] | None:
+    def _stat(self) -> tuple[int, int, int] | None:
         assert self._path is not None
         try:
             found = os.stat(self._path)
@@ -49,86 +51,93 @@
         return found.st_ino, found.st_size, found.st_mtime_ns
 
     def read(self) -> frozenset[str]:
-        """The bans; the last ones known where the file can't be read, which is then tried again."""
+        """Reads the file and returns the bans.
+
+        If that fails, returns the last known ones, and ``has_changed`` stays true until a read succeeds."""
         if self._path is None:
-            return self._known
+            return self._banned
         try:
             self._load()
         except OSError as error:
-            self._unread = True
-            log.error("file of bans not read yet", file=str(self._path), error=str(error))
-        return self._known
+            self._read_failed = True
+            log.error(
+                "ban file not readable; using the last known bans", file=str(self._path), error=str(error)
+            )
+        return self._banned
 
     def _load(self) -> None:
-        """Takes in the file. Danger: an OSError may be a moment's; taken for an empty file, the next change
-        would replace it without the bans that it holds."""
+        """Reads the file; raises an OSError if that fails.
+
+        Danger: the error may be temporary. If the file were taken for empty, the next change would overwrite
+        the bans that it holds."""
         assert self._path is not None
-        self._seen = self._mark()
-        if self._seen is not None:
+        self._stat_at_read = self._stat()
+        if self._stat_at_read is not None:
             try:
-                self._known = self._joined(_parsed(self._path))
+                self._banned = self._with_pending(_parse(self._path))
             except ValueError as error:
-                log.error("file of bans passed over", file=str(self._path), error=str(error))
-        self._unread = False
-
-    def change(self, worker: str, banned: bool) -> frozenset[str]:
-        """Bans a worker or takes that back, on top of what the file holds now, and writes it; the bans after
-        it. What can't be written holds in this process, ``is_stored`` tells of it, and ``settle`` tries
-        again."""
-        self._unwritten[worker] = banned
-        self._known = self._joined(self._known)
-        if not self.settle():
-            log.error("bans do not outlast this process yet", file=str(self._path))
-        return self._known
+                log.error("invalid ban file ignored", file=str(self._path), error=str(error))
+        self._read_failed = False
+
+    def set_banned(self, worker: str, banned: bool) -> frozenset[str]:
+        """Bans a worker or lifts its ban, writes the file and returns the resulting bans.
+
+        A change that can't be written applies to this process; ``is_stored`` is then False, and ``flush``
+        tries again."""
+        self._pending[worker] = banned
+        self._banned = self._with_pending(self._banned)
+        if not self.flush():
+            log.error("ban file not written; bans do not outlast this process yet", file=str(self._path))
+        return self._banned
 
     @property
     def is_stored(self) -> bool:
-        """Whether nothing waits to be written."""
-        return not self._unwritten
+        """Whether no change waits to be written."""
+        return not self._pending
 
-    def settle(self) -> bool:
-        """Writes what is not written yet; whether nothing is left of it.
+    def flush(self) -> bool:
+        """Writes the pending changes; returns whether none is left.
 
-        Danger: with the file locked by the other process, a change that is only known here would be lost as
-        soon as that one's is read.
+        Danger: while the other process has the file locked, a change made here can't be written. It stays
+        pending, as it would otherwise be lost when the other process's version is read.
         """
         if self._path is None:
-            self._unwritten.clear()
-        if not self._unwritten:
+            self._pending.clear()
+        if not self._pending:
             return True
         assert self._path is not None
         try:
             with open(self._path.with_suffix(".lock"), "w") as lock:
                 fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
                 self._load()
-                self._write(self._known)
+                self._write(self._banned)
         except OSError:
             return False
-        self._unwritten.clear()
+        self._pending.clear()
         return True
 
-    def _joined(self, banned: frozenset[str]) -> frozenset[str]:
-        """Bans with the changes that are not written yet."""
-        added = {worker for worker, is_banned in self._unwritten.items() if is_banned}
-        return (banned - self._unwritten.keys()) | added
+    def _with_pending(self, banned: frozenset[str]) -> frozenset[str]:
+        """Returns ``banned`` with the pending changes applied."""
+        added = {worker for worker, is_banned in self._pending.items() if is_banned}
+        return (banned - self._pending.keys()) | added
 
     def _write(self, banned: frozenset[str]) -> None:
         assert self._path is not None
         names = sorted(banned)
-        text = json.dumps({"version": VERSION, "banned": names, "crc": _sum(names)})
-        draft = self._path.with_suffix(f".{os.getpid()}")
+        text = json.dumps({"version": VERSION, "banned": names, "crc": _checksum(names)})
+        temporary = self._path.with_suffix(f".{os.getpid()}")
         try:
-            _write_whole(draft, text.encode())
-            os.replace(draft, self._path)
+            _write_synced(temporary, text.encode())
+            os.replace(temporary, self._path)
         except OSError:
             with suppress(OSError):
-                os.unlink(draft)
+                os.unlink(temporary)
             raise
-        self._seen = self._mark()
+        self._stat_at_read = self._stat()
 
 
-def _write_whole(path: Path, data: bytes) -> None:
-    """Writes a file and has it on the disk; an OSError if any of that fails."""
+def _write_synced(path: Path, data: bytes) -> None:
+    """Writes a file and syncs it to the disk. Raises an OSError if any of that fails."""
     file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
         while data:
@@ -138,19 +147,19 @@
         os.close(file)
 
 
-def _sum(names: list[str]) -> int:
+def _checksum(names: list[str]) -> int:
     return crc32("\n".join(names).encode("utf-8", "surrogatepass"))
 
 
-def _parsed(path: Path) -> frozenset[str]:
+def _parse(path: Path) -> frozenset[str]:
     with open(path, encoding="utf-8") as file:
-        text = file.read(_SIZE_LIMIT + 1)
-    found = json.loads(text) if len(text) <= _SIZE_LIMIT else None
+        text = file.read(_MAX_CHARACTERS + 1)
+    found = json.loads(text) if len(text) <= _MAX_CHARACTERS else None
     if not isinstance(found, dict) or found.get("version") != VERSION:
         raise ValueError(f"expected an object of version {VERSION}")
     names = found.get("banned")
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-        raise ValueError("expected names in `banned`")
-    if found.get("crc") != _sum(names):
-        raise ValueError("`crc` does not fit the names")
+        raise ValueError("banned: expected a list of names")
+    if found.get("crc") != _checksum(names):
+        raise ValueError("crc: expected the checksum of the names")
     return frozenset(names)
--- a/ironbarrow/admin/operations.py
+++ b/ironbarrow/admin/operations.py
@@ -1,4 +1,4 @@
-"""What the operators' calls do in one process: readiness, figures, bans."""
+"""Implements the operators' requests in one process: readiness, metrics, bans."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -13,64 +13,70 @@
 
 log = structlog.get_logger()
 
-_LOOK_EVERY = 200 * MS  # at the file of bans, which the process beside this one may have changed
+_FILE_CHECK_INTERVAL = 200 * MS  # the other process of a hand-over may change the file
 
 
 class Operations:
-    """Joins bans with the list and tells the figures. ``folder``: what outlasts the process is kept there;
-    None: nothing does."""
+    """Applies bans to the worker list and reports metrics. Bans are stored in ``folder``; with None they end
+    with the process."""
 
     def __init__(self, loop: Loop, host: Host, folder: Path | None, name: str) -> None:
         self._loop = loop
         self._host = host
         self._bans = Bans()
         self._file = BanFile(folder, name)
-        self._bans.set(self._file.read())
+        self._bans.set_banned(self._file.read())
         self.stopping = False
-        self.announced: Callable[[], bool] = lambda: True  # to the process that this one replaces
-        self.kept: Callable[[], int] = lambda: 0  # jobs of a process that this one replaces
-        loop.call_at(loop.now() + _LOOK_EVERY, self._look)
-
-    def listed(self, news: api.WorkerList) -> api.WorkerList:
-        """The discovery service's news as the host is to hear them."""
-        return self._bans.take_list(news)
+        self.announce_ready: Callable[[], bool] = lambda: (
+            True
+        )  # announces to the old process that this one can serve
+        self.pending_jobs: Callable[[], int] = lambda: (
+            0
+        )  # jobs of the old process that this one has still to answer
+        loop.call_at(loop.now() + _FILE_CHECK_INTERVAL, self._check_file)
+
+    def apply_bans(self, update: api.WorkerList) -> api.WorkerList:
+        """Returns the discovery service's update of the worker list for the host, with the bans applied."""
+        return self._bans.apply_to_list(update)
 
     def is_ready(self) -> bool:
-        return self._host.listed and self.announced() and not self.stopping
+        return self._host.listed and self.announce_ready() and not self.stopping
 
     def stats(self) -> str:
         listed = self._bans.listed
         excluded = (self._bans.banned & listed) | (self._host.avoided & listed)
         return self._host.figures.text(
-            in_flight=self._host.owed + self.kept(), workers_known=len(listed), workers_excluded=len(excluded)
+            in_flight=self._host.owed + self.pending_jobs(),
+            workers_known=len(listed),
+            workers_excluded=len(excluded),
         )
 
     def worker_down(self, worker: str) -> bool:
         if not self._bans.knows(worker):
             return False
-        self._apply(self._file.change(worker, True))
-        log.info("worker taken out of use", worker=worker)
+        self._set_bans(self._file.set_banned(worker, True))
+        log.info("worker banned", worker=worker)
         return True
 
     def worker_up(self, worker: str) -> bool:
         if not self._bans.knows(worker):
             return False
-        self._apply(self._file.change(worker, False))
-        log.info("worker back in use", worker=worker)
+        self._set_bans(self._file.set_banned(worker, False))
+        log.info("ban of a worker lifted", worker=worker)
         return True
 
     @property
     def is_stored(self) -> bool:
-        """Whether every change of bans outlasts this process, as far as anything does here."""
+        """Whether every change of the bans is stored; always True without a folder."""
         return self._file.is_stored
 
-    def _look(self) -> None:
-        self._file.settle()
-        if self._file.changed():
-            self._apply(self._file.read())
-        self._loop.call_at(self._loop.now() + _LOOK_EVERY, self._look)
+    def _check_file(self) -> None:
+        self._file.flush()
+        if self._file.has_changed():
+            self._set_bans(self._file.read())
+        self._loop.call_at(self._loop.now() + _FILE_CHECK_INTERVAL, self._check_file)
 
-    def _apply(self, banned: frozenset[str]) -> None:
-        news = self._bans.set(banned)
-        if news is not None:
-            self._host.workers_listed(news)
+    def _set_bans(self, banned: frozenset[str]) -> None:
+        update = self._bans.set_banned(banned)
+        if update is not None:
+            self._host.workers_listed(update)
--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -171,8 +171,8 @@
         except OSError as error:
             log.warning("no hand-over to a next process", folder=str(config.folder), error=str(error))
             return
-        self._operations.announced = self._upgrade.announce
-        self._operations.kept = lambda: self._upgrade.owed
+        self._operations.announce_ready = self._upgrade.announce
+        self._operations.pending_jobs = lambda: self._upgrade.owed
 
     def _called_back(self, raw: Any) -> None:
         if self.invoker.called_back(raw):
@@ -183,7 +183,7 @@
             self._upgrade.stray(raw)
 
     def _listed(self, news: api.WorkerList) -> None:
-        self.host.workers_listed(news if self._operations is None else self._operations.listed(news))
+        self.host.workers_listed(news if self._operations is None else self._operations.apply_bans(news))
 
     def run(self) -> None:
         """Serves until ``stop``, and then until all that was taken has its answer."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -139,7 +139,7 @@
     for what, who in steps:
         if what in ("ban", "lift"):
             banned = banned | {who} if what == "ban" else banned - {who}
-            news = bans.set(frozenset(banned))
+            news = bans.set_banned(frozenset(banned))
         else:
             if what == "whole":
                 listed, entries, kind = dict.fromkeys(who, UP), [(w, UP) for w in who], api.ListKind.FULL
@@ -147,7 +147,7 @@
                 listed[who], entries, kind = what, [(who, what)], api.ListKind.CHANGES
             ever |= {w for w, _ in entries}
             made = tuple(api.WorkerEntry(w, state=s) for w, s in entries)
-            news = bans.take_list(api.WorkerList(kind, made))
+            news = bans.apply_to_list(api.WorkerList(kind, made))
             told = {} if kind is api.ListKind.FULL else told
         told |= {entry.worker: entry.state for entry in news.entries} if news else {}
         for worker, state in listed.items():
@@ -158,28 +158,28 @@
 
 def test_bans_outlast_the_process_and_are_shared_with_the_next_one(tmp_path: Path) -> None:
     old = BanFile(tmp_path, "n1")
-    assert old.change("p1", True) == {"p1"}
+    assert old.set_banned("p1", True) == {"p1"}
     new = BanFile(tmp_path, "n1")
     assert new.read() == {"p1"}
     assert BanFile(tmp_path, "n2").read() == frozenset()
-    new.change("p2", True)
-    assert old.changed()
+    new.set_banned("p2", True)
+    assert old.has_changed()
     assert old.read() == {"p1", "p2"}
-    assert not old.changed()
+    assert not old.has_changed()
 
 
 def test_a_change_made_while_the_file_is_locked_is_written_later(tmp_path: Path) -> None:
     old, new = BanFile(tmp_path, "n1"), BanFile(tmp_path, "n1")
-    old.change("p0", True)
+    old.set_banned("p0", True)
     with open(next(tmp_path.glob("*.json")).with_suffix(".lock"), "w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
-        assert old.change("p1", True) == {"p0", "p1"}
-        assert old.change("p0", False) == {"p1"}
-        assert not old.settle()
+        assert old.set_banned("p1", True) == {"p0", "p1"}
+        assert old.set_banned("p0", False) == {"p1"}
+        assert not old.flush()
         assert new.read() == {"p0"}
-    new.change("p2", True)
+    new.set_banned("p2", True)
     assert old.read() == {"p1", "p2"}  # both what is written and what is not
-    assert old.settle()
+    assert old.flush()
     assert new.read() == BanFile(tmp_path, "n1").read() == {"p1", "p2"}
 
 
@@ -189,12 +189,12 @@
 def test_a_torn_or_foreign_file_is_passed_over_and_replaced_by_the_next_change(
     tmp_path: Path, text: str
 ) -> None:
-    BanFile(tmp_path, "n1").change("p0", True)
+    BanFile(tmp_path, "n1").set_banned("p0", True)
     (path,) = tmp_path.glob("*.json")
     path.write_text(text)
     kept = BanFile(tmp_path, "n1")
     assert kept.read() == frozenset()
-    kept.change("p1", True)
+    kept.set_banned("p1", True)
     assert json.loads(path.read_text())["banned"] == ["p1"]
 
 
@@ -236,15 +236,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a failed read that makes a process forget bans, and wipe them (bcef66)."""
-    BanFile(tmp_path, "n1").change("p1", True)
+    BanFile(tmp_path, "n1").set_banned("p1", True)
     left = failing(monkeypatch, "stat", errno.EIO, errno.EIO)
     kept = BanFile(tmp_path, "n1")
     assert kept.read() == frozenset()
-    kept.change("p2", True)
+    kept.set_banned("p2", True)
     assert left == [] and not kept.is_stored
-    assert kept.changed()
+    assert kept.has_changed()
     assert kept.read() == {"p1", "p2"}
-    assert kept.settle()
+    assert kept.flush()
     assert BanFile(tmp_path, "n1").read() == {"p1", "p2"}
 
 
@@ -252,7 +252,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a torn file that hides the bans before it (bcef66)."""
-    BanFile(tmp_path, "n1").change("p1", True)
+    BanFile(tmp_path, "n1").set_banned("p1", True)
     real = os.write
 
     def torn(file: int, data: bytes) -> int:
@@ -261,7 +261,7 @@
 
     monkeypatch.setattr(os, "write", torn)
     with pytest.raises(KeyboardInterrupt):
-        BanFile(tmp_path, "n1").change("p2", True)
+        BanFile(tmp_path, "n1").set_banned("p2", True)
     monkeypatch.undo()
     assert BanFile(tmp_path, "n1").read() == {"p1"}
 
@@ -269,5 +269,5 @@
 def test_where_nothing_can_be_written_bans_hold_in_the_process(tmp_path: Path) -> None:
     for folder in (None, tmp_path / "missing"):
         kept = BanFile(folder, "n1")
-        assert kept.change("p1", True) == {"p1"}
-        assert kept.change("p2", True) == {"p1", "p2"}
+        assert kept.set_banned("p1", True) == {"p1"}
+        assert kept.set_banned("p2", True) == {"p1", "p2"}
