--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -172,7 +172,7 @@
             log.warning("no hand-over to a next process", folder=str(config.folder), error=str(error))
             return
         self._operations.announce_ready = self._upgrade.announce
-        self._operations.pending_jobs = lambda: self._upgrade.owed
+        self._operations.pending_jobs = lambda: self._upgrade.jobs_pending
 
     def _called_back(self, raw: Any) -> None:
         if self.invoker.called_back(raw):
@@ -180,7 +180,7 @@
         if self.fleet is not None:
             self.fleet.on_unmatched_call_back(raw)
         elif self._upgrade is not None:
-            self._upgrade.stray(raw)
+            self._upgrade.on_unmatched_call_back(raw)
 
     def _listed(self, news: api.WorkerList) -> None:
         self.host.workers_listed(news if self._operations is None else self._operations.apply_bans(news))
@@ -336,7 +336,7 @@
 
     def _stop_when_done(self) -> None:
         # danger: the listener stays to the end, since call-backs come in through it
-        kept = self._upgrade.owed + self._upgrade.handed_over if self._upgrade is not None else 0
+        kept = self._upgrade.jobs_pending + self._upgrade.jobs_handed_over if self._upgrade is not None else 0
         kept += self.fleet.adapter.owed if self.fleet is not None else 0
         # danger: one whose peer never closes its side would hold up the end beyond SIGKILL
         waited_for = self.clients.busy and self.loop.now() < self._gone_at
--- a/ironbarrow/fleet/takeover/adapter.py
+++ b/ironbarrow/fleet/takeover/adapter.py
@@ -33,7 +33,7 @@
     WithdrawJob,
 )
 from ironbarrow.fleet.takeover.machine import Takeover, TakeoverRules
-from ironbarrow.handover.pending import Keeper, Kept
+from ironbarrow.handover.pending import PendingJob, PendingJobs
 from ironbarrow.handover.records import Record
 from ironbarrow.runtime.clock import MS, SECOND, Clock
 
@@ -113,11 +113,11 @@
         self._classes = {cls.name: cls for cls in host.settings.classes}
         settings = host.settings
         retry_after = min(200 * MS, settings.max_retry_after) if settings.gives_retry_after else 0
-        self.keeper = Keeper(
+        self.keeper = PendingJobs(
             settings.max_attempts,
             retry_after,
-            early_for=_EARLY_CALL_BACK_RETENTION,
-            early_most=_MAX_EARLY_CALL_BACKS,
+            early_retention=_EARLY_CALL_BACK_RETENTION,
+            max_early=_MAX_EARLY_CALL_BACKS,
         )
         self.on_superseded: Callable[[], None] = lambda: None
         self.on_adopted: Callable[[LedgerAdopted], None] = lambda event: None
@@ -280,7 +280,7 @@
     def _release_job(self, event: ReleaseJob) -> None:
         """Drops a job without cancelling its attempts: a cancellation could hit the copy that the new owner
         of the job has sent to the same worker."""
-        self.keeper.gone(event.id)
+        self.keeper.discard(event.id)
         job = self._jobs.pop(event.id, None)
         if job is not None:
             for attempt in job.attempts:
@@ -304,7 +304,9 @@
         record, now = event.record, self._clock.now()
         fields = {n: getattr(record, n) for n in Record.__slots__ if n not in ("time_left", "attempts")}
         kept = Record(**fields, time_left=max(1, record.until - now), attempts=record.attempts)
-        self.keeper.keep(Kept(kept, event.safe, record.until, self._awaited_ended(record), self._retry), now)
+        self.keeper.add(
+            PendingJob(kept, event.safe, record.until, self._awaited_ended(record), self._retry), now
+        )
         self._plan_expiry_check()
 
     def _awaited_ended(self, record: JobRecord) -> Callable[[Answer], None]:
@@ -325,7 +327,7 @@
 
     def _check_expired(self) -> None:
         self._check_planned = False
-        self.keeper.run_out(self._clock.now())
+        self.keeper.expire(self._clock.now())
         if self.keeper.jobs:
             self._plan_expiry_check()
 
@@ -341,7 +343,7 @@
         def done(confirmed: bool) -> None:
             still_awaited = self.keeper.jobs.get(record.id) is kept
             if confirmed and still_awaited and machine is self.machine:
-                self.keeper.gone(record.id)
+                self.keeper.discard(record.id)
                 self._run(machine.cancelled_at_worker(self._clock.now(), record.id))
 
         self._invoker.call_off(record.id, record.worker, record.until, done)
@@ -357,7 +359,7 @@
     def _deliver_to_awaited(self, raw: dict[str, Any]) -> bool:
         result = raw.get("result", "")
         data = result.encode() if isinstance(result, str) else b""
-        return self.keeper.called_back(raw["id"], raw["from"], raw["state"], data, self._clock.now())
+        return self.keeper.on_call_back(raw["id"], raw["from"], raw["state"], data, self._clock.now())
 
     def _deliver_call_back(self, event: DeliverCallBack) -> None:
         """Handles a call-back forwarded by another member. It is not forwarded again: one that no member
--- a/ironbarrow/handover/__init__.py
+++ b/ironbarrow/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Replacing the process: jobs, their clients' connections and stray call-backs pass to the next one."""
+"""Replacing a process: jobs, client connections and late call-backs are passed to its successor."""
--- a/ironbarrow/handover/channel.py
+++ b/ironbarrow/handover/channel.py
@@ -1,7 +1,7 @@
-"""Messages between the processes of one dispatcher, through Unix sockets in a folder that they share.
+"""Messages between the processes of one dispatcher, through Unix sockets in a shared folder.
 
-Each has a datagram socket there, named after the dispatcher and its process id. A message carries at most one
-descriptor. What a full queue does not take waits here, up to a bound.
+Each process has a datagram socket there, named after the dispatcher and the process id. A message carries at
+most one descriptor. Messages without one are queued here, up to a limit, if they can't be sent at once.
 """
 
 import array
@@ -19,24 +19,26 @@
 
 log = structlog.get_logger()
 
-_SIZE_MOST = 160 * 1024  # bytes of a message: a body of 64 KiB in base64 and its fields
-_WAITING_MOST = 256  # messages that a full queue did not take
-_AGAIN = 5 * MS
-_READS_AT_ONCE = 32
+_MAX_MESSAGE_BYTES = 160 * 1024  # a body of 64 KiB in base64, and the other fields
+_MAX_QUEUED_MESSAGES = 256  # that could not be sent at once
+_RETRY_DELAY = 5 * MS
+_READ_BATCH = 32
 
 
 class Channel:
-    """The own socket, and sends to others. An OSError if the folder can't hold a socket."""
+    """This process's socket. Raises an OSError if it can't be created in the folder.
+
+    ``on_message`` gets the sender's path, the data and the received descriptors, which it has to close."""
 
     def __init__(
-        self, loop: Loop, folder: Path, name: str, received: Callable[[str, bytes, list[int]], None]
+        self, loop: Loop, folder: Path, name: str, on_message: Callable[[str, bytes, list[int]], None]
     ) -> None:
         self._loop = loop
-        self._received = received
-        self._stem = str(folder / f"ironbarrow-{crc32(name.encode()):08x}.")
+        self._on_message = on_message
+        self._path_prefix = str(folder / f"ironbarrow-{crc32(name.encode()):08x}.")
         self._folder = folder
-        self.path = f"{self._stem}{os.getpid()}.{id(self):x}"
-        self._waiting: deque[tuple[str, bytes]] = deque()
+        self.path = f"{self._path_prefix}{os.getpid()}.{id(self):x}"
+        self._queue: deque[tuple[str, bytes]] = deque()
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
         try:
@@ -48,76 +50,78 @@
         loop.spawn(self._read())
 
     def others(self) -> list[str]:
-        """The sockets of this dispatcher's other processes; one that has died may still be among them."""
-        stem = Path(self._stem).name
-        found = (str(path) for path in self._folder.glob(f"{stem}[0-9]*") if path.is_socket())
-        return sorted(path for path in found if path != self.path)
+        """Returns the socket paths of this dispatcher's other processes; some may be dead."""
+        prefix = Path(self._path_prefix).name
+        paths = (str(path) for path in self._folder.glob(f"{prefix}[0-9]*") if path.is_socket())
+        return sorted(path for path in paths if path != self.path)
 
     def send(self, to: str, data: bytes, fd: int | None = None) -> bool:
-        """Whether the other process has it, or will: one that goes with a descriptor is not kept waiting."""
-        if fd is None and self._waiting:
-            return self._keep(to, data)
+        """Sends a message or queues it; False if neither is possible.
+
+        A message with a descriptor is never queued."""
+        if fd is None and self._queue:
+            return self._enqueue(to, data)
         try:
             ancillary = [] if fd is None else [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [fd]))]
             self._sock.sendmsg([data], ancillary, 0, to)
         except (ConnectionRefusedError, FileNotFoundError):
-            self._forget(to)
+            self._remove_socket(to)
             return False
         except OSError as error:
             if meaning_of(error) is Meaning.HERE:
-                return fd is None and self._keep(to, data)
-            log.warning("message to the other process failed", error=str(error))
+                return fd is None and self._enqueue(to, data)
+            log.warning("message to the other process could not be sent", error=str(error))
             return False
         return True
 
-    def _forget(self, path: str) -> None:
+    def _remove_socket(self, path: str) -> None:
         try:
-            os.unlink(path)  # danger: the next process would take a dead one for its neighbour
+            os.unlink(path)  # danger: left behind, a dead process would be taken for a running one
         except OSError:
             return
 
-    def _keep(self, to: str, data: bytes) -> bool:
-        if len(self._waiting) >= _WAITING_MOST:
+    def _enqueue(self, to: str, data: bytes) -> bool:
+        if len(self._queue) >= _MAX_QUEUED_MESSAGES:
             return False
-        if not self._waiting:
-            self._loop.call_at(self._loop.now() + _AGAIN, self._flush)
-        self._waiting.append((to, data))
+        if not self._queue:
+            self._loop.call_at(self._loop.now() + _RETRY_DELAY, self._flush)
+        self._queue.append((to, data))
         return True
 
     def _flush(self) -> None:
-        while self._waiting:
-            to, data = self._waiting[0]
+        while self._queue:
+            to, data = self._queue[0]
             try:
                 self._sock.sendto(data, to)
             except (ConnectionRefusedError, FileNotFoundError):
-                self._forget(to)
+                self._remove_socket(to)
             except OSError as error:
                 if meaning_of(error) is Meaning.HERE:
-                    self._loop.call_at(self._loop.now() + _AGAIN, self._flush)
+                    self._loop.call_at(self._loop.now() + _RETRY_DELAY, self._flush)
                     return
-                log.warning("message to the other process failed", error=str(error))
-            self._waiting.popleft()
+                log.warning("message to the other process could not be sent", error=str(error))
+            self._queue.popleft()
 
     def _read(self) -> Coroutine[None]:
         while True:
             yield Wait(self._sock.fileno(), READ, self._loop.now() + 3600 * SECOND)
-            if not self.take_in():
-                yield from sleep(self._loop.now() + _AGAIN)
+            if not self.receive():
+                yield from sleep(self._loop.now() + _RETRY_DELAY)
 
-    def take_in(self) -> bool:
-        """Takes in what has come, some of it if it is much; False where a read has failed."""
-        for _ in range(_READS_AT_ONCE):
+    def receive(self) -> bool:
+        """Handles the messages that have arrived, at most a batch; False if a read failed."""
+        for _ in range(_READ_BATCH):
             try:
-                data, fds, _, sender = socket.recv_fds(self._sock, _SIZE_MOST, 4)
+                data, fds, _, sender = socket.recv_fds(self._sock, _MAX_MESSAGE_BYTES, 4)
             except BlockingIOError:
                 return True
             except OSError as error:
-                # danger: ended by one failed read, it would be deaf to all that still comes
-                log.warning("message of the other process not read", error=str(error))
+                # Danger: if one failed read ended the task, later messages would never be read.
+                log.warning("message of the other process could not be read", error=str(error))
                 return False
-            self._received(str(sender), data, list(fds))
+            self._on_message(str(sender), data, list(fds))
         return True
 
     def close(self) -> None:
         self._sock.close()
-        self._forget(self.path)
+        self._remove_socket(self.path)
--- a/ironbarrow/handover/pending.py
+++ b/ironbarrow/handover/pending.py
@@ -1,7 +1,7 @@
-"""Jobs of the old process that a worker has: each waits here for its call-back. No input or output.
+"""Jobs received from another process that wait for a worker's call-back. No input or output.
 
-No decision is taken on them beyond the rules: what has ended without any doubt that it never ran may be
-taken anew, as may a safe job, and all else ends here with the one answer that is lawful.
+No worker is chosen here. A job that certainly did not run may be retried, and so may a job of a safe class;
+any other ends with the one final answer that the rules of service allow.
 """
 
 from collections import OrderedDict
@@ -13,116 +13,138 @@
 from ironbarrow.core.jobs import Answer, Verdict
 from ironbarrow.handover.records import Record
 
-_EARLY_MOST = 1024  # call-backs that are remembered for a job still on its way here
-_EARLY_FOR = 2_000_000_000  # ns
-_EARLY_BYTES = 4 << 20  # of their results
+_MAX_EARLY_CALL_BACKS = 1024  # for jobs that have not arrived yet
+_EARLY_CALL_BACK_RETENTION = 2_000_000_000  # ns
+_MAX_EARLY_RESULT_BYTES = 4 << 20  # all early results together
 
 
-class End(Enum):
-    """How an attempt that was kept has ended."""
+class AttemptEnd(Enum):
+    """How the attempt of a pending job ended."""
 
     DONE = auto()
     NEVER_RAN = auto()
     MAY_HAVE_RUN = auto()
-    TIME_OVER = auto()
+    EXPIRED = auto()
 
 
-_ENDS = {"done": End.DONE, "returned": End.NEVER_RAN, "failed": End.MAY_HAVE_RUN, "lost": End.MAY_HAVE_RUN}
+_END_BY_STATE = {
+    "done": AttemptEnd.DONE,
+    "returned": AttemptEnd.NEVER_RAN,
+    "failed": AttemptEnd.MAY_HAVE_RUN,
+    "lost": AttemptEnd.MAY_HAVE_RUN,
+}
 
 
 @dataclass(slots=True)
-class Kept:
-    """A job that is kept, what answers its client, and what takes it anew."""
+class PendingJob:
+    """A job that waits for its call-back: ``answer`` answers its client, ``retry`` starts it again."""
 
     record: Record
     safe: bool  # its class may run any number of times
-    until: int  # ns, on the clock of this process
+    deadline: int  # ns, on this process's clock
     answer: Callable[[Answer], None]
-    again: Callable[[Record], None]
+    retry: Callable[[Record], None]
 
 
-class Keeper:
-    """All of them. ``most_attempts``: of one job, those of the old process included. ``early_for`` (ns),
-    ``early_most``: how long, and how many, call-backs are remembered for jobs that are not here yet."""
+class PendingJobs:
+    """The jobs that wait for a call-back, by id.
+
+    ``max_attempts`` limits the attempts of one job, including those of the process that it came from.
+    ``early_retention`` (ns) and ``max_early`` limit how long and how many call-backs are remembered for jobs
+    that have not arrived yet."""
 
     def __init__(
         self,
-        most_attempts: int,
+        max_attempts: int,
         retry_after: int,
         *,
-        early_for: int = _EARLY_FOR,
-        early_most: int = _EARLY_MOST,
+        early_retention: int = _EARLY_CALL_BACK_RETENTION,
+        max_early: int = _MAX_EARLY_CALL_BACKS,
     ) -> None:
-        self._most_attempts = most_attempts
-        self._early_for, self._early_most = early_for, early_most
+        self._max_attempts = max_attempts
+        self._early_retention, self._max_early = early_retention, max_early
         self._early_bytes = 0
-        self._retry_after = retry_after  # ns; 0: clients are not told
-        self.jobs: dict[str, Kept] = {}
-        self._early: OrderedDict[tuple[str, str], tuple[int, str, bytes]] = OrderedDict()
-
-    def keep(self, kept: Kept, now: int) -> None:
-        """Keeps a job until its call-back or its time; a call-back that came before it counts."""
-        self.jobs[kept.record.id] = kept
-        early = self.early(kept.record.id, kept.record.worker, now)
+        self._retry_after = retry_after  # ns; 0: not sent to clients
+        self.jobs: dict[str, PendingJob] = {}
+        # by job id and worker: when it came (ns), state, result
+        self._early_call_backs: OrderedDict[tuple[str, str], tuple[int, str, bytes]] = OrderedDict()
+
+    def add(self, pending: PendingJob, now: int) -> None:
+        """Adds a job until its call-back or its deadline. A call-back that came earlier ends it at once."""
+        self.jobs[pending.record.id] = pending
+        early = self.pop_early(pending.record.id, pending.record.worker, now)
         if early is not None:
-            self.called_back(kept.record.id, kept.record.worker, *early, now)
-
-    def early(self, job_id: str, worker: str, now: int) -> tuple[str, bytes] | None:
-        """Takes out what a worker has said of a job before it was here: state and result."""
-        found = self._forget_early((job_id, worker))
-        return found[1:] if found is not None and found[0] + self._early_for >= now else None
-
-    def _forget_early(self, key: tuple[str, str]) -> tuple[int, str, bytes] | None:
-        found = self._early.pop(key, None)
-        if found is not None:
-            self._early_bytes -= len(found[2])
-        return found
-
-    def called_back(self, job_id: str, worker: str, state: str, result: bytes, now: int) -> bool:
-        """A worker's word; False if no job here waits for it, and then it is remembered for a while, since
-        the job may be on its way from the other process."""
-        kept = self.jobs.get(job_id)
-        if kept is None or kept.record.worker != worker:
-            if state in _ENDS:
-                self._forget_early((job_id, worker))
-                self._early[job_id, worker] = (now, state, result)
+            self.on_call_back(pending.record.id, pending.record.worker, *early, now)
+
+    def pop_early(self, job_id: str, worker: str, now: int) -> tuple[str, bytes] | None:
+        """Removes a remembered call-back and returns its state and result.
+
+        None if there is none or it is too old."""
+        early_call_back = self._drop_early((job_id, worker))
+        return (
+            early_call_back[1:]
+            if early_call_back is not None and early_call_back[0] + self._early_retention >= now
+            else None
+        )
+
+    def _drop_early(self, key: tuple[str, str]) -> tuple[int, str, bytes] | None:
+        early_call_back = self._early_call_backs.pop(key, None)
+        if early_call_back is not None:
+            self._early_bytes -= len(early_call_back[2])
+        return early_call_back
+
+    def on_call_back(self, job_id: str, worker: str, state: str, result: bytes, now: int) -> bool:
+        """Handles a worker's call-back; False if no pending job matches it.
+
+        It is then remembered for a while, as the job may still be on its way from the other process."""
+        pending = self.jobs.get(job_id)
+        if pending is None or pending.record.worker != worker:
+            if state in _END_BY_STATE:
+                self._drop_early((job_id, worker))
+                self._early_call_backs[job_id, worker] = (now, state, result)
                 self._early_bytes += len(result)
-                while len(self._early) > self._early_most or self._early_bytes > _EARLY_BYTES:
-                    self._forget_early(next(iter(self._early)))
+                while (
+                    len(self._early_call_backs) > self._max_early
+                    or self._early_bytes > _MAX_EARLY_RESULT_BYTES
+                ):
+                    self._drop_early(next(iter(self._early_call_backs)))
             return False
-        if state in _ENDS:
-            self._end(kept, _ENDS[state], result, now)
+        if state in _END_BY_STATE:
+            self._end(pending, _END_BY_STATE[state], result, now)
         else:
-            # danger: of one that has told of its start, "returned" is no proof any more
-            kept.record = replace(kept.record, may_have_run=True)
+            # Danger: once the worker has reported the start, a later "returned" does not prove that the job
+            # never ran.
+            pending.record = replace(pending.record, may_have_run=True)
         return True
 
-    def run_out(self, now: int) -> None:
-        """Ends the jobs whose time is over."""
-        for kept in [kept for kept in self.jobs.values() if kept.until <= now]:
-            self._end(kept, End.TIME_OVER, b"", now)
+    def expire(self, now: int) -> None:
+        """Ends the jobs whose deadline has passed."""
+        for pending in [pending for pending in self.jobs.values() if pending.deadline <= now]:
+            self._end(pending, AttemptEnd.EXPIRED, b"", now)
 
-    def gone(self, job_id: str) -> None:
-        """Its client has left: nothing more is owed."""
+    def discard(self, job_id: str) -> None:
+        """Removes a job without an answer, for example when its client has disconnected."""
         self.jobs.pop(job_id, None)
 
-    def _end(self, kept: Kept, end: End, result: bytes, now: int) -> None:
-        del self.jobs[kept.record.id]
-        if end is End.DONE:
-            kept.answer(Answer(Verdict.SERVED, result))
+    def _end(self, pending: PendingJob, end: AttemptEnd, result: bytes, now: int) -> None:
+        del self.jobs[pending.record.id]
+        if end is AttemptEnd.DONE:
+            pending.answer(Answer(Verdict.SERVED, result))
             return
-        never_ran = end is End.NEVER_RAN and not kept.record.may_have_run
-        if not kept.safe and not never_ran:
-            kept.answer(Answer(Verdict.FAILED))  # danger: a refusal invites a repeat
-        elif end is End.TIME_OVER or kept.record.attempts >= self._most_attempts:
-            kept.answer(Answer(Verdict.REFUSED, retry_after=self._retry_after))
+        never_ran = end is AttemptEnd.NEVER_RAN and not pending.record.may_have_run
+        if not pending.safe and not never_ran:
+            pending.answer(
+                Answer(Verdict.FAILED)
+            )  # danger: after a refusal the client may send it again, though it may have run
+        elif end is AttemptEnd.EXPIRED or pending.record.attempts >= self._max_attempts:
+            pending.answer(Answer(Verdict.REFUSED, retry_after=self._retry_after))
         else:
-            fields: dict[str, Any] = {n: getattr(kept.record, n) for n in Record.__slots__}
-            tried = (*kept.record.tried, kept.record.worker)
+            fields: dict[str, Any] = {name: getattr(pending.record, name) for name in Record.__slots__}
+            tried = (*pending.record.tried, pending.record.worker)
             fields |= {
                 "worker": "",
                 "may_have_run": not never_ran,
-                "time_left": kept.until - now,
+                "time_left": pending.deadline - now,
                 "tried": tried,
             }
-            kept.again(Record(**fields))
+            pending.retry(Record(**fields))
--- a/ironbarrow/handover/records.py
+++ b/ironbarrow/handover/records.py
@@ -1,7 +1,7 @@
-"""What an old process tells the one that replaces it. No input or output.
+"""The messages between an old process and its successor. No input or output.
 
-A job that waits is taken by the new process as if it had just come, with the attempts and the time that are
-left. One that a worker has is only kept: its call-back ends it, and it is never sent beside that attempt.
+The successor starts a waiting job as if it had just arrived, with the remaining attempts and time. A job that
+a worker has waits for its call-back; it is never sent to a second worker while that attempt may run.
 """
 
 import json
@@ -10,18 +10,20 @@
 from typing import Any
 
 VERSION = 1
-NOT_TAKEN = "not taken"  # the answer to a job that came without its client's connection, or can't be kept
+NOT_TAKEN = "not taken"  # the reply to a job that came without its client's connection, or can't be adopted
 KINDS = ("ready", "job", "call-back", NOT_TAKEN)
-_WORKER_KEY = "provider"  # in messages; processes of other versions read and write it
+_WORKER_KEY = (
+    "provider"  # the field `worker` in messages: processes of other versions read and write this name
+)
 
 
 class RecordError(ValueError):
-    """A message that is none of this version's; the text says what is wrong."""
+    """A message that this version can't read; the text says what is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One job. Times in ns, as lengths: the two processes' clocks need not agree."""
+    """One job. Times are durations in ns, as the clocks of the two processes may differ."""
 
     id: str
     job_class: str
@@ -30,50 +32,50 @@
     body: bytes
     content_type: str
     time_left: int
-    attempts: int  # written so far
-    worker: str = ""  # who has it; "": nobody
-    may_have_run: bool = False  # at an attempt before the one that is out, or that one has told of its start
+    attempts: int  # sent so far
+    worker: str = ""  # that has the job; "": none
+    may_have_run: bool = False  # in an earlier attempt, or the running one has reported its start
     key: int | None = None
     tenant: str | None = None
     slots: float = 1.0
     memory: float = 0.0
     idempotency_key: str = ""
-    tried: tuple[str, ...] = ()  # workers that may still tell of an earlier attempt
+    tried: tuple[str, ...] = ()  # workers that may still call back for an earlier attempt
 
 
 def message(kind: str, **fields: Any) -> bytes:
-    """One message as bytes."""
+    """Encodes a message."""
     return json.dumps({"version": VERSION, "kind": kind, **fields}).encode()
 
 
 def job_message(record: Record) -> bytes:
-    """A job as bytes; its client's connection goes beside them."""
+    """Encodes a job. The descriptor of its client's connection is sent with the message."""
     fields = asdict(record)
     fields[_WORKER_KEY] = fields.pop("worker")
     fields["body"] = b64encode(record.body).decode()
     if not record.tried:
-        del fields["tried"]  # which processes before this one do not read
+        del fields["tried"]  # older versions do not know this field
     return message("job", job=fields)
 
 
 def parse(data: bytes) -> dict[str, Any]:
-    """A message's fields, ``job`` as a Record; a RecordError for what is none."""
+    """Decodes a message: its fields, ``job`` as a Record. Raises a RecordError for an invalid message."""
     try:
-        found = json.loads(data)
+        fields = json.loads(data)
     except (ValueError, RecursionError) as error:
         raise RecordError(f"not JSON: {error}") from None
-    if not isinstance(found, dict) or found.get("version") != VERSION:
+    if not isinstance(fields, dict) or fields.get("version") != VERSION:
         raise RecordError(f"expected an object of version {VERSION}")
-    if found.get("kind") not in KINDS:
-        raise RecordError(f"kind: expected one of {', '.join(KINDS)}, got {found.get('kind')!r}")
-    if found["kind"] == NOT_TAKEN and not isinstance(found.get("id"), str):
-        raise RecordError("id: expected that of the job which was not taken")
-    if found["kind"] == "job":
-        found["job"] = _record(found.get("job"))
-    return found
+    if fields.get("kind") not in KINDS:
+        raise RecordError(f"kind: expected one of {', '.join(KINDS)}, got {fields.get('kind')!r}")
+    if fields["kind"] == NOT_TAKEN and not isinstance(fields.get("id"), str):
+        raise RecordError("id: expected the id of the job that was not taken")
+    if fields["kind"] == "job":
+        fields["job"] = _parse_record(fields.get("job"))
+    return fields
 
 
-def _record(fields: Any) -> Record:
+def _parse_record(fields: Any) -> Record:
     try:
         values = {**fields, "body": b64decode(fields["body"], validate=True)}
         values["tried"] = tuple(values.get("tried", ()))
@@ -81,7 +83,7 @@
     except (KeyError, TypeError, ValueError) as error:
         raise RecordError(f"job: {error}") from None
     if not all(isinstance(worker, str) for worker in record.tried):
-        raise RecordError("job: tried: expected names of workers")
+        raise RecordError("job: tried: expected a list of worker names")
     if not record.id or record.time_left <= 0 or record.attempts < 0:
-        raise RecordError("job: expected an id, time left and a number of attempts")
+        raise RecordError("job: expected an id, time_left > 0 and attempts >= 0")
     return record
--- a/ironbarrow/handover/upgrade.py
+++ b/ironbarrow/handover/upgrade.py
@@ -1,4 +1,4 @@
-"""One process of a dispatcher and the one beside it: who succeeds whom, what passes between them."""
+"""The hand-over of jobs from a dispatcher's old process to its successor, which runs beside it."""
 
 import os
 import socket
@@ -14,43 +14,46 @@
 from ironbarrow.core.jobs import Answer, Attempt, Job, Payload, Terms
 from ironbarrow.handover import records
 from ironbarrow.handover.channel import Channel
-from ironbarrow.handover.pending import Keeper, Kept
+from ironbarrow.handover.pending import PendingJob, PendingJobs
 from ironbarrow.handover.records import Record
 from ironbarrow.runtime.loop import MS, Loop, Task
 from ironbarrow.transport.http import Connection
 
 log = structlog.get_logger()
 
-_STEP = 20 * MS  # between two looks at what can be handed over, or at what has run out
-_TAKEN_WITHIN = 500 * MS  # the next process says by then that it could not take a job
-_LEAST_LEFT = 50 * MS  # a job with less time left is not worth moving
+_CHECK_INTERVAL = 20 * MS  # for jobs that can be handed over or have expired
+_REJECTION_TIMEOUT = 500 * MS  # by then the successor has reported a job that it could not adopt
+_MIN_TIME_LEFT = 50 * MS  # jobs with less time left are not handed over
 
-_Begin = Callable[[Callable[[Answer], None]], Callable[[], None]]
+# gets the callback for the final answer; returns what is called when the client disconnects before it
+_StartJob = Callable[[Callable[[Answer], None]], Callable[[], None]]
 
 
 class Front(Protocol):
-    """What has the clients' connections."""
+    """Serves the clients' connections."""
 
     asking: dict[Job, tuple[Connection, Task]]
 
-    def adopt(self, sock: socket.socket, begin: _Begin) -> Task:
-        """Answers a client whose request another process has read; ended early, the task lets go of it."""
+    def adopt(self, sock: socket.socket, start_job: _StartJob) -> Task:
+        """Answers a client whose request another process has read. Cancelling the task closes the
+        connection."""
 
 
-class Back(Protocol):
-    """What has the attempts."""
+class Invoker(Protocol):
+    """Runs the attempts."""
 
     def let_go(self, attempt: Attempt) -> None:
-        """Another process has the attempt now."""
+        """Drops an attempt that another process now has, without cancelling it at its worker."""
 
     def called_back(self, raw: Any) -> bool:
-        """A worker's word on an attempt, and whether any is out that it is about; a ValueError if it is
+        """Handles a worker's call-back; False if it is for no running attempt. Raises a ValueError if it is
         malformed."""
 
 
 @dataclass(slots=True)
-class _Adopted:
-    """A job of the old process: its client, what was told of it, the host's job once taken anew."""
+class _AdoptedJob:
+    """A job received from the old process: its client, its record, and the host's job once it is started
+    here."""
 
     sock: socket.socket
     task: Task
@@ -59,157 +62,171 @@
 
 
 @dataclass(slots=True)
-class _HandedOver:
-    """A job that was given to the next process, which may still say that it could not take it."""
+class _HandedOverJob:
+    """A job sent to the successor, which may still report that it could not adopt it."""
 
     record: Record
-    sock: socket.socket  # a copy of its client's connection
-    at: int  # ns
+    sock: socket.socket  # a duplicate of its client's connection
+    at: int  # when it was sent, ns
 
 
 class Upgrade:
-    """The channel, the kept jobs, and the handing over. An OSError if the folder can't hold a socket."""
-
-    def __init__(self, loop: Loop, host: Host, front: Front, back: Back, folder: Path, name: str) -> None:
-        self._loop, self._host, self._front, self._back = loop, host, front, back
-        rules = host.settings
-        self._safe = {cls.name: cls.effect is api.Effect.SAFE for cls in rules.classes}
-        self._classes = {cls.name: cls for cls in rules.classes}
-        advice = min(200 * MS, rules.max_retry_after) if rules.gives_retry_after else 0
-        self.keeper = Keeper(rules.max_attempts, advice)
+    """Hands jobs over to a successor, and adopts those of the process that this one replaces.
+
+    Raises an OSError if the channel's socket can't be created in the folder."""
+
+    def __init__(
+        self, loop: Loop, host: Host, front: Front, invoker: Invoker, folder: Path, name: str
+    ) -> None:
+        self._loop, self._host, self._front, self._invoker = loop, host, front, invoker
+        host_settings = host.settings
+        self._safe = {cls.name: cls.effect is api.Effect.SAFE for cls in host_settings.classes}
+        self._classes = {cls.name: cls for cls in host_settings.classes}
+        retry_after = min(200 * MS, host_settings.max_retry_after) if host_settings.gives_retry_after else 0
+        self.pending = PendingJobs(host_settings.max_attempts, retry_after)
         self.successor: str | None = None
-        self._adopted: dict[str, _Adopted] = {}  # by id
-        self._handed_over: dict[str, _HandedOver] = {}  # by id
-        self._handing = False
-        self._told_ready = False
-        self._channel = Channel(loop, folder, name, self._received)
-        loop.call_at(loop.now() + _STEP, self._step)
+        self._adopted: dict[str, _AdoptedJob] = {}  # by id
+        self._handed_over: dict[str, _HandedOverJob] = {}  # by id
+        self._handing_over = False
+        self._ready_announced = False
+        self._channel = Channel(loop, folder, name, self._on_message)
+        loop.call_at(loop.now() + _CHECK_INTERVAL, self._run_checks)
 
     @property
-    def owed(self) -> int:
-        """Jobs of the other process that wait here for their answer."""
-        return len(self.keeper.jobs)
+    def jobs_pending(self) -> int:
+        """Number of adopted jobs that wait for a call-back."""
+        return len(self.pending.jobs)
 
     @property
-    def handed_over(self) -> int:
-        """Jobs that were given to the next process and may still come back."""
+    def jobs_handed_over(self) -> int:
+        """Number of jobs sent to the successor that it may still reject."""
         return len(self._handed_over)
 
     def announce(self) -> bool:
-        """Tells the process beside this one, once, that this one can serve; whether it has been told.
-        Danger: told only after whoever waits for the readiness has seen it, the old one may be ordered to
-        stop while it knows of no successor."""
-        if not self._told_ready and self._host.listed:
-            self._told_ready = True
+        """Announces to the old process, once, that this one can serve; returns whether that is done.
+
+        Danger: it has to come before this process reports itself as ready. The old process is stopped once
+        that is seen, and must know its successor by then."""
+        if not self._ready_announced and self._host.listed:
+            self._ready_announced = True
             for other in self._channel.others():
                 self._channel.send(other, records.message("ready", process=os.getpid()))
-        return self._told_ready
+        return self._ready_announced
 
     def hand_over(self) -> bool:
-        """From now on all that can be passes to the successor; False if there is none."""
-        # danger: the order to stop may overtake the word that the successor is ready
-        self._channel.take_in()
-        self._handing = self.successor is not None
-        return self._handing
+        """Starts to hand over all jobs that can be; False if there is no successor."""
+        # Danger: the stop signal may arrive before the successor's announcement has been read.
+        self._channel.receive()
+        self._handing_over = self.successor is not None
+        return self._handing_over
 
     def close(self) -> None:
+        """Closes the channel and the connections of jobs handed over."""
         for handed_over in self._handed_over.values():
             handed_over.sock.close()
         self._handed_over.clear()
         self._channel.close()
 
-    def stray(self, raw: dict[str, Any]) -> None:
-        """A call-back for no attempt of this process: for a job kept here, or for the process beside it."""
-        if not self._kept_called_back(raw):
+    def on_unmatched_call_back(self, raw: dict[str, Any]) -> None:
+        """Handles a call-back for no attempt of this process: for a pending job here, or for another
+        process."""
+        if not self._deliver_to_pending(raw):
             data = records.message("call-back", call_back=raw)
             for other in self._channel.others():
                 self._channel.send(other, data)
 
-    def _kept_called_back(self, raw: dict[str, Any]) -> bool:
+    def _deliver_to_pending(self, raw: dict[str, Any]) -> bool:
         result = raw.get("result", "")
         data = result.encode() if isinstance(result, str) else b""
-        return self.keeper.called_back(raw["id"], raw["from"], raw["state"], data, self._loop.now())
+        return self.pending.on_call_back(raw["id"], raw["from"], raw["state"], data, self._loop.now())
 
-    def _step(self) -> None:
-        self.keeper.run_out(self._loop.now())
+    def _run_checks(self) -> None:
+        self.pending.expire(self._loop.now())
         self._adopted = {
             job_id: adopted for job_id, adopted in self._adopted.items() if not adopted.task.done
         }
-        self._forget_handed_over(self._loop.now() - _TAKEN_WITHIN)
+        self._drop_handed_over(self._loop.now() - _REJECTION_TIMEOUT)
         self.announce()
-        if self._handing:
-            self._pass_on()
-        self._loop.call_at(self._loop.now() + _STEP, self._step)
+        if self._handing_over:
+            self._hand_over_jobs()
+        self._loop.call_at(self._loop.now() + _CHECK_INTERVAL, self._run_checks)
 
     # The old process
 
-    def _pass_on(self) -> None:
+    def _hand_over_jobs(self) -> None:
         for job, (connection, task) in list(self._front.asking.items()):
-            record = self._record(job) if not connection.has_unread else None
-            if record is None or not self._give(record, connection.sock):
+            record = self._make_record(job) if not connection.has_unread else None
+            if record is None or not self._send_job(record, connection.sock):
                 continue
-            self._let_go(job)
+            self._release(job)
             task.cancel()
-        self._pass_on_adopted()
+        self._hand_over_adopted()
 
-    def _pass_on_adopted(self) -> None:
+    def _hand_over_adopted(self) -> None:
         for job_id, adopted in list(self._adopted.items()):
-            kept, taken = self.keeper.jobs.get(job_id), adopted.job
+            pending_job, host_job = self.pending.jobs.get(job_id), adopted.job
             record: Record | None = None
-            if kept is not None:
-                record = replace(kept.record, time_left=max(1, kept.until - self._loop.now()))
-            elif taken is not None:
-                record = self._record(taken, adopted.record)
-            if record is None or not self._give(record, adopted.sock):
+            if pending_job is not None:
+                record = replace(
+                    pending_job.record, time_left=max(1, pending_job.deadline - self._loop.now())
+                )
+            elif host_job is not None:
+                record = self._make_record(host_job, adopted.record)
+            if record is None or not self._send_job(record, adopted.sock):
                 continue
             del self._adopted[job_id]
-            if taken is not None:
-                self._let_go(taken)
+            if host_job is not None:
+                self._release(host_job)
             adopted.task.cancel()
 
-    def _let_go(self, job: Job) -> None:
+    def _release(self, job: Job) -> None:
         for attempt in job.attempts:
-            self._back.let_go(attempt)
+            self._invoker.let_go(attempt)
         self._host.let_go(job)
 
-    def _give(self, record: Record, sock: socket.socket) -> bool:
+    def _send_job(self, record: Record, sock: socket.socket) -> bool:
         assert self.successor is not None
         try:
             copy = sock.dup()
         except OSError:
-            return False  # no descriptor left: it stays here for now
+            return False  # no descriptor left: the job stays here for now
         if not self._channel.send(self.successor, records.job_message(record), sock.fileno()):
             copy.close()
             return False
-        self._handed_over[record.id] = _HandedOver(record, copy, self._loop.now())
+        self._handed_over[record.id] = _HandedOverJob(record, copy, self._loop.now())
         return True
 
-    def _forget_handed_over(self, since: int) -> None:
+    def _drop_handed_over(self, before: int) -> None:
         for job_id in [
-            job_id for job_id, handed_over in self._handed_over.items() if handed_over.at <= since
+            job_id for job_id, handed_over in self._handed_over.items() if handed_over.at <= before
         ]:
             self._handed_over.pop(job_id).sock.close()
 
-    def _not_taken(self, job_id: str) -> None:
-        """Danger: a process without a free descriptor gets the job's message, but not the connection; nobody
-        would answer its client."""
+    def _on_not_taken(self, job_id: str) -> None:
+        """Takes a rejected job back. Danger: a successor without a free descriptor gets the message but not
+        the connection, and nobody would answer the client."""
         handed_over = self._handed_over.pop(job_id, None)
         if handed_over is None:
-            log.error("a job handed over came back too late", id=job_id)
+            log.error("job rejected by the successor too late", id=job_id)
             return
-        left = max(1, handed_over.record.time_left - (self._loop.now() - handed_over.at))
-        self._adopt(replace(handed_over.record, time_left=left), handed_over.sock)
-
-    def _record(self, job: Job, earlier: Record | None = None) -> Record | None:
-        """What the successor has to know of a job, ``earlier`` being what this process was told of it; None
-        while it can't be moved: an attempt is on its way to a worker or being called off, or its repeats
-        are bound to where it may have run."""
-        left = job.deadline - self._loop.now()
-        out = [attempt for attempt in job.attempts if not attempt.ended]
-        if job.over or left < _LEAST_LEFT or any(not c.accepted or c.given_up for c in out):
+        remaining = max(1, handed_over.record.time_left - (self._loop.now() - handed_over.at))
+        self._adopt(replace(handed_over.record, time_left=remaining), handed_over.sock)
+
+    def _make_record(self, job: Job, received_record: Record | None = None) -> Record | None:
+        """Makes the record of a job for the successor; ``received_record``: the one that this process got.
+
+        None while the job can't be handed over: an attempt is being sent or cancelled, or the job may have
+        run and its class is not safe."""
+        remaining = job.deadline - self._loop.now()
+        running = [attempt for attempt in job.attempts if not attempt.ended]
+        if (
+            job.over
+            or remaining < _MIN_TIME_LEFT
+            or any(not sent.accepted or sent.given_up for sent in running)
+        ):
             return None
-        risky = any(attempt.ended and not attempt.never_ran for attempt in job.attempts)
-        if risky and not self._safe.get(job.arrival.job_class, False):
+        may_have_run_before = any(attempt.ended and not attempt.never_ran for attempt in job.attempts)
+        if may_have_run_before and not self._safe.get(job.arrival.job_class, False):
             return None
         payload, arrival = job.payload, job.arrival
         return Record(
@@ -219,79 +236,84 @@
             target=payload.target,
             body=payload.body,
             content_type=payload.content_type,
-            time_left=left,
-            attempts=len(job.attempts) + (earlier.attempts if earlier is not None else 0),
-            worker=out[0].worker if out else "",
-            may_have_run=risky
-            or any(attempt.started for attempt in out)
-            or (earlier is not None and earlier.may_have_run),
+            time_left=remaining,
+            attempts=len(job.attempts) + (received_record.attempts if received_record is not None else 0),
+            worker=running[0].worker if running else "",
+            may_have_run=may_have_run_before
+            or any(attempt.started for attempt in running)
+            or (received_record is not None and received_record.may_have_run),
             key=arrival.key,
             tenant=arrival.tenant,
             slots=arrival.slots,
             memory=arrival.memory,
             idempotency_key=payload.idempotency_key,
             tried=(
-                *(earlier.tried if earlier is not None else ()),
+                *(received_record.tried if received_record is not None else ()),
                 *(attempt.worker for attempt in job.attempts if attempt.ended and attempt.written),
             ),
         )
 
     # The new process
 
-    def _received(self, sender: str, data: bytes, fds: list[int]) -> None:
+    def _on_message(self, sender: str, data: bytes, fds: list[int]) -> None:
         socks = [socket.socket(fileno=fd) for fd in fds]
         try:
-            found = records.parse(data)
+            fields = records.parse(data)
         except records.RecordError as error:
-            log.error("message of the other process passed over", error=str(error))
-            found = {"kind": ""}
-        if found["kind"] == "ready":
+            log.error("invalid message of the other process ignored", error=str(error))
+            fields = {"kind": ""}
+        if fields["kind"] == "ready":
             self.successor = sender
-        elif found["kind"] == "call-back":
-            self._forwarded(found.get("call_back"))
-        elif found["kind"] == records.NOT_TAKEN:
-            self._not_taken(found["id"])
-        elif found["kind"] == "job" and socks and self._can_adopt(found["job"]):
-            self._adopt(found["job"], socks.pop())
-        elif found["kind"] == "job":
-            log.error("job of the other process not taken", id=found["job"].id, connections=len(socks))
-            self._channel.send(sender, records.message(records.NOT_TAKEN, id=found["job"].id))
+        elif fields["kind"] == "call-back":
+            self._on_forwarded_call_back(fields.get("call_back"))
+        elif fields["kind"] == records.NOT_TAKEN:
+            self._on_not_taken(fields["id"])
+        elif fields["kind"] == "job" and socks and self._can_adopt(fields["job"]):
+            self._adopt(fields["job"], socks.pop())
+        elif fields["kind"] == "job":
+            log.error("job of the other process rejected", id=fields["job"].id, connections=len(socks))
+            self._channel.send(sender, records.message(records.NOT_TAKEN, id=fields["job"].id))
         for sock in socks:
             sock.close()
 
-    def _forwarded(self, raw: Any) -> None:
-        """Danger: a call-back that neither process knows would go to and fro for ever."""
+    def _on_forwarded_call_back(self, raw: Any) -> None:
+        """Handles a call-back that another process could not match. It is not forwarded again: two processes
+        that both can't match it would forward it to each other for ever."""
         try:
-            if not self._back.called_back(raw):
-                self._kept_called_back(raw)
+            if not self._invoker.called_back(raw):
+                self._deliver_to_pending(raw)
         except ValueError as error:
-            log.error("forwarded call-back passed over", error=str(error))
+            log.error("malformed forwarded call-back ignored", error=str(error))
 
     def _can_adopt(self, record: Record) -> bool:
         return record.job_class in self._classes and not self._host.knows(record.id)
 
     def _adopt(self, record: Record, sock: socket.socket) -> None:
-        until = self._loop.now() + record.time_left
-        begin = self._keep if record.worker else self._take
-        task = self._front.adopt(sock, lambda answer: begin(record, until, answer))
-        self._adopted[record.id] = _Adopted(sock, task, record)
+        deadline = self._loop.now() + record.time_left
+        start_job = self._await_call_back if record.worker else self._start_job
+        task = self._front.adopt(sock, lambda answer: start_job(record, deadline, answer))
+        self._adopted[record.id] = _AdoptedJob(sock, task, record)
 
-    def _keep(self, record: Record, until: int, answer: Callable[[Answer], None]) -> Callable[[], None]:
-        left: list[Callable[[], None]] = [lambda: self.keeper.gone(record.id)]
+    def _await_call_back(
+        self, record: Record, deadline: int, answer: Callable[[Answer], None]
+    ) -> Callable[[], None]:
+        on_disconnect: list[Callable[[], None]] = [lambda: self.pending.discard(record.id)]
 
-        def counted(final: Answer) -> None:
+        def count_and_answer(final: Answer) -> None:
             self._host.count_answer(record.job_class, final.verdict)
             answer(final)
 
-        def again(later: Record) -> None:
-            left[0] = self._take(later, until, answer)
+        def retry(retry_record: Record) -> None:
+            on_disconnect[0] = self._start_job(retry_record, deadline, answer)
 
         safe = self._safe[record.job_class]
-        self.keeper.keep(Kept(record, safe, until, counted, again), self._loop.now())
-        return lambda: left[0]()
+        self.pending.add(PendingJob(record, safe, deadline, count_and_answer, retry), self._loop.now())
+        return lambda: on_disconnect[0]()
 
-    def _take(self, record: Record, until: int, answer: Callable[[Answer], None]) -> Callable[[], None]:
-        """Takes a job as if it had come now, with the attempts that are left."""
+    def _start_job(
+        self, record: Record, deadline: int, answer: Callable[[Answer], None]
+    ) -> Callable[[], None]:
+        """Starts a job as if it had just arrived, with the remaining attempts and time."""
         job = self._host.take(
             Payload(
                 record.id,
@@ -303,7 +325,7 @@
             ),
             answer,
             job_class=record.job_class,
-            time_left=max(1, until - self._loop.now()),
+            time_left=max(1, deadline - self._loop.now()),
             key=record.key,
             tenant=record.tenant,
             slots=record.slots,
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 from ironbarrow.core.jobs import Answer, Verdict
 from ironbarrow.daemon.dispatcher import Dispatcher
 from ironbarrow.handover import records
-from ironbarrow.handover.pending import Keeper, Kept
+from ironbarrow.handover.pending import PendingJob, PendingJobs
 from ironbarrow.handover.records import Record
 from ironbarrow.runtime.sockets import listen
 from tests.scenario import Stage, answer, call_back, job
@@ -271,14 +271,14 @@
     ends: list[Answer | Record] = []
     fields = {name: getattr(RECORD, name) for name in Record.__slots__}
     record = Record(**fields | {"attempts": attempts, "may_have_run": may_have_run})
-    keeper = Keeper(3, 200)
-    keeper.keep(Kept(record, safe, 1_000, ends.append, ends.append), 0)
-    assert not keeper.called_back("j1", "p2", "done", b"", 1)
-    assert keeper.called_back("j1", "p1", "started", b"", 1)
+    pending = PendingJobs(3, 200)
+    pending.add(PendingJob(record, safe, 1_000, ends.append, ends.append), 0)
+    assert not pending.on_call_back("j1", "p2", "done", b"", 1)
+    assert pending.on_call_back("j1", "p1", "started", b"", 1)
     for _ in range(2):
         if state is not None:
-            keeper.called_back("j1", "p1", state, b"out", 2)
-        keeper.run_out(1_000)
+            pending.on_call_back("j1", "p1", state, b"out", 2)
+        pending.expire(1_000)
     (end,) = ends
     if state == "done":
         assert end == Answer(Verdict.SERVED, b"out")
@@ -292,9 +292,9 @@
 
 def test_a_call_back_that_comes_before_its_job_counts() -> None:
     ends: list[Any] = []
-    keeper = Keeper(3, 0)
-    assert not keeper.called_back("j1", "p1", "done", b"out", 0)
-    keeper.keep(Kept(RECORD, False, 1_000, ends.append, ends.append), 1)
+    pending = PendingJobs(3, 0)
+    assert not pending.on_call_back("j1", "p1", "done", b"out", 0)
+    pending.add(PendingJob(RECORD, False, 1_000, ends.append, ends.append), 1)
     assert ends == [Answer(Verdict.SERVED, b"out")]
 
 
@@ -334,11 +334,11 @@
     again = Dispatcher(pair.config, listen(("127.0.0.1", 0)))
     channel = again._upgrade._channel
     channel._sock = FailingSocket(channel._sock, errno.ENOBUFS, errno.ENOMEM, errno.ENOBUFS)
-    again._upgrade.stray({"id": "j1", "from": "p1", "state": "done", "result": "out"})
+    again._upgrade.on_unmatched_call_back({"id": "j1", "from": "p1", "state": "done", "result": "out"})
 
     def is_sent() -> bool:
         again.loop.turn(wait=False)
-        return not channel._waiting
+        return not channel._queue
 
     pair.until("sent after all", is_sent)
     assert not channel._sock.errors
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -272,7 +272,9 @@
         raise BrokenPipeError
 
     if part == "the hand-over":
-        stage.dispatcher._upgrade = SimpleNamespace(hand_over=fail, owed=0, handed_over=0, close=lambda: None)
+        stage.dispatcher._upgrade = SimpleNamespace(
+            hand_over=fail, jobs_pending=0, jobs_handed_over=0, close=lambda: None
+        )
     elif part == "the closing":
         monkeypatch.setattr(Clients, "close_idle", fail)
     else:
