--- a/ironbarrow/fleet/rollout/__init__.py
+++ b/ironbarrow/fleet/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Staged upgrades: plan, pause rules, one coordinator at a time, commands that may be repeated."""
+"""Staged upgrades (rollouts): plan, pause rules, one coordinator at a time, idempotent commands."""
--- a/ironbarrow/fleet/rollout/records.py
+++ b/ironbarrow/fleet/rollout/records.py
@@ -1,4 +1,4 @@
-"""What a rollout's ledger says: the plan, how far it is, and each target's last step. No input or output."""
+"""The content of a rollout's ledger: plan, state, each target's last step. No input or output."""
 
 import enum
 
@@ -7,46 +7,46 @@
 
 from ironbarrow.fleet.api import Change
 
-LEDGER = "rollout/"  # and the plan's name
-PLAN = "plan"
-STATE = "state"
-STEP = "s/"  # and the target
+LEDGER_PREFIX = "rollout/"  # followed by the plan's name
+PLAN_KEY = "plan"
+STATE_KEY = "state"
+STEP_KEY_PREFIX = "s/"  # followed by the target's name
 
 
 class Stage(enum.IntEnum):
-    """How far a rollout is."""
+    """The stage of a rollout."""
 
     RUNNING = 1
-    HELD = 2  # goes on by itself
-    STOPPED = 3  # waits for a person
-    BACK = 4  # goes back to the last good runtime
+    HELD = 2  # paused; continues by itself
+    STOPPED = 3  # paused until an operator resumes it
+    BACK = 4  # is being rolled back to the last good runtime
     DONE = 5
-    WENT_BACK = 6  # all that had the new runtime have the last good one again
+    WENT_BACK = 6  # rolled back: no target has the new runtime
 
 
-class State(Struct, frozen=True, array_like=True, kw_only=True):
-    """How far it is. Times: Unix ns."""
+class RolloutState(Struct, frozen=True, array_like=True, kw_only=True):
+    """How far a rollout is. Times: Unix ns."""
 
     stage: Stage = Stage.RUNNING
-    group: int = 0  # of sites
+    group: int = 0  # index of the group of sites
     wave: int = 0
     wave_began_at: int = 0
-    soak_from: int = 0  # 0: not all of the wave have it yet
-    rule: str = ""  # by which it is held or stopped
-    figures: str = ""
-    since: int = 0
+    soak_began_at: int = 0  # 0: the wave's targets are not all replaced yet
+    rule: str = ""  # the pause rule by which it is held or stopped
+    details: str = ""
+    since: int = 0  # when the stage was entered
     pauses: int = 0
 
 
 class StepStage(enum.IntEnum):
-    """How far a step is."""
+    """The stage of a step."""
 
-    ORDERED = 1  # its command may be out
+    ORDERED = 1  # its command may have been sent
     DONE = 2
 
 
 class Step(Struct, frozen=True, array_like=True, kw_only=True):
-    """One target's last step."""
+    """The last step of one target: the replacement of its process."""
 
     number: int
     target: str
@@ -56,46 +56,46 @@
     at: int = 0  # Unix ns
     group: int = 0
     wave: int = 0
-    worker: str = ""  # DONE: the name under which its process is listed, and its start, Unix ns
+    worker: str = ""  # the name under which its process is listed; this and started_at (Unix ns): once DONE
     started_at: int = 0
 
 
-class Content(Struct, kw_only=True):
-    """A ledger's content, read."""
+class LedgerContent(Struct, kw_only=True):
+    """The decoded content of a rollout's ledger."""
 
     plan: bytes = b""
-    state: State = State()
+    state: RolloutState = RolloutState()
     steps: dict[str, Step] = msgspec.field(default_factory=dict)
-    unread: int = 0  # entries that could not be read
+    unreadable: int = 0  # number of entries that could not be decoded
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_STATES = msgspec.msgpack.Decoder(State)
-_STEPS = msgspec.msgpack.Decoder(Step)
+_STATE_DECODER = msgspec.msgpack.Decoder(RolloutState)
+_STEP_DECODER = msgspec.msgpack.Decoder(Step)
 
 
-def put_plan(text: bytes) -> Change:
-    return Change(PLAN, text)
+def plan_change(text: bytes) -> Change:
+    return Change(PLAN_KEY, text)
 
 
-def put_state(state: State) -> Change:
-    return Change(STATE, _ENCODER.encode(state))
+def state_change(state: RolloutState) -> Change:
+    return Change(STATE_KEY, _ENCODER.encode(state))
 
 
-def put_step(step: Step) -> Change:
-    return Change(STEP + step.target, _ENCODER.encode(step))
+def step_change(step: Step) -> Change:
+    return Change(STEP_KEY_PREFIX + step.target, _ENCODER.encode(step))
 
 
-def read(content: dict[str, bytes]) -> Content:
-    """What a ledger holds; what can't be read is counted."""
-    found = Content(plan=content.get(PLAN, b""))
-    for key, value in content.items():
+def parse_content(entries: dict[str, bytes]) -> LedgerContent:
+    """Decodes a ledger's content; entries that can't be decoded are counted."""
+    parsed = LedgerContent(plan=entries.get(PLAN_KEY, b""))
+    for key, value in entries.items():
         try:
-            if key == STATE:
-                found.state = _STATES.decode(value)
-            elif key.startswith(STEP):
-                step = _STEPS.decode(value)
-                found.steps[step.target] = step
+            if key == STATE_KEY:
+                parsed.state = _STATE_DECODER.decode(value)
+            elif key.startswith(STEP_KEY_PREFIX):
+                step = _STEP_DECODER.decode(value)
+                parsed.steps[step.target] = step
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            found.unread += 1
-    return found
+            parsed.unreadable += 1
+    return parsed
--- a/ironbarrow/fleet/rollout/sizing.py
+++ b/ironbarrow/fleet/rollout/sizing.py
@@ -1,9 +1,9 @@
-"""How many targets may be out at a time: by the floors, and by what cold workers can be sent.
+"""How many targets may be out of use at a time: limited by the floors and by the budgets of cold workers.
 
-Danger: each worker taken out leaves its load to the others, and each that starts is cold. If the warm ones
-can't carry the load, dispatchers turn to the cold ones, all at once, and a cold worker that is sent a
-multiple of what it can do falls over. ``heathway.warming`` divides that budget over the fleet; here the batch
-is kept so small that what is left for cold workers fits into it.
+Danger: the load of a worker taken out moves to the others, and each started worker is cold. If the warm
+workers can't carry the load, all dispatchers turn to the cold ones at once, and a cold worker that is sent a
+multiple of its capacity collapses. ``heathway.warming`` divides a cold worker's budget among the dispatchers;
+here the batch is kept so small that the load left for cold workers fits into their budgets.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,46 +12,63 @@
 from heathway import api, warming
 from ironbarrow.fleet.rollout.plan import Floor, Target
 
-CARRIES = 0.9  # part of their slots that warm workers can have in use before jobs wait
+WARM_UTILIZATION = 0.9  # part of the warm workers' slots that can be in use before jobs have to wait
 
 
 @dataclass(frozen=True, slots=True)
-class Capacity:
-    """What a target adds at present: ``part`` of its slots, 0 when it is not in use."""
+class TargetCapacity:
+    """What a target adds to the capacity now: ``fraction`` of its slots, 0 if it is not in use."""
 
     target: Target
-    part: float
-    cold_since: int = 0  # Unix ns; 0: it is warm
+    fraction: float
+    cold_since: int = 0  # Unix ns; 0: warm
 
 
-def cold_room(rules: api.Settings, size: float, mean: float, age: int) -> float:
-    """Slots of work that the whole fleet can keep sending to a cold worker of that age (ns), mean service
-    time (ns) and size (slots): the jobs that fit its budget, over the window that this is for."""
-    budget = rules.fall_multiple * warming.capacity(rules, 0, age) * rules.fall_window * size
-    return warming.jobs_within(budget, mean) * mean / rules.fall_window
+def cold_capacity(settings: api.Settings, size: float, mean_duration: float, age: int) -> float:
+    """Load (slots in use) that the fleet as a whole can keep sending to a cold worker.
 
+    These are the jobs that fit into its budget, divided by the budget's window. ``size``: its slots; ``age``:
+    since its start, ns; ``mean_duration``: of a job, ns."""
+    budget = settings.fall_multiple * warming.capacity(settings, 0, age) * settings.fall_window * size
+    return warming.jobs_within(budget, mean_duration) * mean_duration / settings.fall_window
 
-def carried(rules: api.Settings, fleet: Iterable[Capacity], mean: float, unix: int) -> float:
-    """Slots of work that a fleet carries: its warm workers, and its cold ones as far as they may be sent."""
+
+def sustainable_load(
+    settings: api.Settings, capacities: Iterable[TargetCapacity], mean_duration: float, unix_time: int
+) -> float:
+    """Load (slots in use) that a fleet can carry: its warm workers, and its cold ones within their
+    budgets."""
     total = 0.0
-    for one in fleet:
-        if one.part <= 0:
+    for target_capacity in capacities:
+        if target_capacity.fraction <= 0:
             continue
-        if one.cold_since and one.part < 1:
-            able = one.part * one.target.slots
-            total += min(able, cold_room(rules, one.target.slots, mean, unix - one.cold_since))
+        if target_capacity.cold_since and target_capacity.fraction < 1:
+            usable_slots = target_capacity.fraction * target_capacity.target.slots
+            total += min(
+                usable_slots,
+                cold_capacity(
+                    settings,
+                    target_capacity.target.slots,
+                    mean_duration,
+                    unix_time - target_capacity.cold_since,
+                ),
+            )
         else:
-            total += CARRIES * one.target.slots * one.part
+            total += WARM_UTILIZATION * target_capacity.target.slots * target_capacity.fraction
     return total
 
 
-def under_floor(
-    floors: Iterable[Floor], fleet: Mapping[str, Capacity], classes: dict[str, str | None]
+def broken_floors(
+    floors: Iterable[Floor], capacities: Mapping[str, TargetCapacity], classes: dict[str, str | None]
 ) -> list[tuple[Floor, float]]:
-    """The floors that are broken, with the slots that there are."""
-    found = []
+    """Returns the floors that do not hold, each with the slots that are available."""
+    broken = []
     for floor in floors:
-        has = sum(c.part * c.target.slots for c in fleet.values() if floor.counts(c.target, classes))
-        if has < floor.slots - 1e-9:
-            found.append((floor, has))
-    return found
+        available = sum(
+            target_capacity.fraction * target_capacity.target.slots
+            for target_capacity in capacities.values()
+            if floor.includes(target_capacity.target, classes)
+        )
+        if available < floor.slots - 1e-9:
+            broken.append((floor, available))
+    return broken
--- a/ironbarrow/fleet/rollout_participant.py
+++ b/ironbarrow/fleet/rollout_participant.py
@@ -12,11 +12,11 @@
 from ironbarrow.core.jobs import Attempt
 from ironbarrow.fleet.api import FleetEvent, Ledgers, MemberChanged
 from ironbarrow.fleet.file import FleetError, RolloutRules
-from ironbarrow.fleet.rollout.commands import StarvationSeen
-from ironbarrow.fleet.rollout.coordinator import Listed, RolloutChanged, Rollouts
+from ironbarrow.fleet.rollout.commands import StarvationReport
+from ironbarrow.fleet.rollout.coordinator import ListedTarget, RolloutChanged, RolloutMachine
 from ironbarrow.fleet.rollout.plan import Inventory, Plan, PlanError, Target, parse
-from ironbarrow.fleet.rollout.records import LEDGER, Stage
-from ironbarrow.fleet.rollout.signals import End
+from ironbarrow.fleet.rollout.records import LEDGER_PREFIX, Stage
+from ironbarrow.fleet.rollout.signals import AttemptEnd
 from ironbarrow.fleet.service import FleetService
 from ironbarrow.runtime.loop import MS, Loop
 
@@ -25,9 +25,9 @@
 _START_RETRY_INTERVAL = 200 * MS  # between checks whether the plan can be started
 _AVERAGED_JOBS = 16  # jobs; weight of the moving average of a job class's duration
 _END_BY_OUTCOME = {
-    api.Outcome.OK: End.DONE,
-    api.Outcome.ERROR: End.FAILED,
-    api.Outcome.RESET: End.RESET,
+    api.Outcome.OK: AttemptEnd.DONE,
+    api.Outcome.ERROR: AttemptEnd.FAILED,
+    api.Outcome.RESET: AttemptEnd.RESET,
 }
 _WARNING_STAGES = (Stage.STOPPED, Stage.HELD, Stage.BACK, Stage.WENT_BACK)
 
@@ -42,7 +42,7 @@
 
     Raises a FleetError for a plan that can't be read, a PlanError for one that can't be used."""
 
-    machine: Rollouts
+    machine: RolloutMachine
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
     ) -> None:
         """``ledgers`` returns the ledgers of the service's current incarnation."""
         self._loop, self._host, self._service, self._rules = loop, host, service, rules
-        self._targets: dict[str, Listed] = {}
+        self._targets: dict[str, ListedTarget] = {}
         self._absent: dict[str, int] = {}  # targets that are no longer listed: since when, ns
         # running attempts: when their worker's process and they themselves (0: not yet) started, ns
         self._sent: dict[Attempt, tuple[int, int]] = {}
@@ -77,9 +77,9 @@
 
     def _add_machine(self, service: FleetService) -> None:
         """Adds the machine of a new incarnation of the member."""
-        self.machine = Rollouts(service.members, self._ledgers(), _to_unix, self._host.settings)
-        self.machine.held = lambda: self._host.slots_waiting
-        self.machine.workers(self._loop.now(), self._targets.values())
+        self.machine = RolloutMachine(service.members, self._ledgers(), _to_unix, self._host.settings)
+        self.machine.waiting_slots = lambda: self._host.slots_waiting
+        self.machine.update_targets(self._loop.now(), self._targets.values())
         service.add(self.machine)
 
     # The plan
@@ -110,7 +110,7 @@
             self._loop.call_at(self._loop.now() + _START_RETRY_INTERVAL, self._start_rollout)
             return
         (text, plan), self._plan = self._plan, None
-        if self.machine.known == LEDGER + plan.name:
+        if self.machine.known_ledger == LEDGER_PREFIX + plan.name:
             log.info("rollout is already running or done", plan=plan.name)
             return
         try:
@@ -131,25 +131,25 @@
                 stage=event.stage.name.lower(),
                 wave=event.wave,
                 rule=event.rule,
-                figures=event.figures,
+                figures=event.details,
             )
         elif self._starvation_event is not None and isinstance(event, self._starvation_event):
             self._on_starvation(event)
         else:
-            self._service.carry_out(self.machine.told(self._loop.now(), event))
+            self._service.carry_out(self.machine.on_event(self._loop.now(), event))
             if isinstance(event, MemberChanged):
                 self._drop_absent()
 
     def _on_starvation(self, event: Any) -> None:
         """Tells the rollout of a tenant that starves at this member."""
-        seen = StarvationSeen(event.tenant, event.partition, event.began_at)
-        self._service.carry_out(self.machine.starvation(self._loop.now(), seen))
+        seen = StarvationReport(event.tenant, event.partition, event.began_at)
+        self._service.carry_out(self.machine.report_starvation(self._loop.now(), seen))
 
     # The list of workers
 
     def _worker_list_changed(self) -> None:
         self._update_targets()
-        self.machine.workers(self._loop.now(), self._targets.values())
+        self.machine.update_targets(self._loop.now(), self._targets.values())
 
     def _update_targets(self) -> None:
         """Updates the targets from the list of workers.
@@ -163,12 +163,14 @@
             known = self._targets.get(entry.worker)
             slots = max(entry.weight, known.target.slots if known is not None else 0.0)
             target = Target(entry.worker, entry.zone, entry.kind, slots)
-            self._targets[entry.worker] = Listed(target, entry.state is api.WorkerState.UP, entry.started_at)
+            self._targets[entry.worker] = ListedTarget(
+                target, entry.state is api.WorkerState.UP, entry.started_at
+            )
             self._absent.pop(entry.worker, None)
         for name, listed_target in self._targets.items():
             if name not in listed and name not in self._absent:
                 self._absent[name] = now
-                self._targets[name] = Listed(listed_target.target, False, listed_target.since)
+                self._targets[name] = ListedTarget(listed_target.target, False, listed_target.started_at)
         self._drop_absent()
 
     def _drop_absent(self) -> None:
@@ -182,14 +184,14 @@
 
     def sent(self, attempt: Attempt) -> None:
         """Notes that an attempt is sent."""
-        if not self.machine.known:
+        if not self.machine.known_ledger:
             return
         listed = self._targets.get(attempt.worker)
-        since = listed.since if listed is not None else 0
+        since = listed.started_at if listed is not None else 0
         self._sent[attempt] = since, 0
         request = attempt.job.arrival
         usual_time = int(self._usual_times.get(request.job_class, 0.0))
-        self.machine.signals.sent(attempt.worker, since, request.job_class, usual_time, request.slots)
+        self.machine.signals.attempt_sent(attempt.worker, since, request.job_class, usual_time, request.slots)
 
     def started(self, attempt: Attempt) -> None:
         """Notes that a worker has started an attempt."""
@@ -205,10 +207,12 @@
             return
         end = _END_BY_OUTCOME.get(outcome_of(ending, attempt.written)) if attempt.written else None
         request = attempt.job.arrival
-        elapsed = self._loop.now() - started if end is End.DONE and started else 0
+        elapsed = self._loop.now() - started if end is AttemptEnd.DONE and started else 0
         if elapsed:
             before = self._usual_times.get(request.job_class, float(elapsed))
             self._usual_times[request.job_class] = before + (elapsed - before) / _AVERAGED_JOBS
         free_slots = report.free_slots if report is not None else None
         worker, name = attempt.worker, request.job_class
-        self.machine.signals.ended(worker, worker_started, name, request.slots, end, elapsed, free_slots)
+        self.machine.signals.attempt_ended(
+            worker, worker_started, name, request.slots, end, elapsed, free_slots
+        )
--- a/ironbarrow/lab/capacity/counting.py
+++ b/ironbarrow/lab/capacity/counting.py
@@ -8,7 +8,7 @@
 from ironbarrow.fleet.codec import Codec
 from ironbarrow.fleet.ledgers.messages import Append
 from ironbarrow.fleet.members.messages import Ack, Ask, Cards, Ping, Sync
-from ironbarrow.fleet.rollout.commands import Observed
+from ironbarrow.fleet.rollout.commands import DispatcherReport
 from ironbarrow.fleet.starvation.tables import Elsewhere, Waits
 from ironbarrow.lab.fleet.net import SimulatedNet
 
@@ -55,7 +55,7 @@
         return sum(len(window.rows) for window in message.windows)
     if isinstance(message, Elsewhere):
         return len(message.rows)
-    if isinstance(message, Observed):
+    if isinstance(message, DispatcherReport):
         return len(message.counts) + len(message.loads)
     return 0
 
--- a/ironbarrow/lab/capacity/rollouts.py
+++ b/ironbarrow/lab/capacity/rollouts.py
@@ -4,8 +4,8 @@
 
 from ironbarrow.fleet.ledgers import LedgerMachine
 from ironbarrow.fleet.members import MemberMachine
-from ironbarrow.fleet.rollout.commands import Answer, Command, Observed
-from ironbarrow.fleet.rollout.signals import End
+from ironbarrow.fleet.rollout.commands import AgentStatus, Command, DispatcherReport
+from ironbarrow.fleet.rollout.signals import AttemptEnd
 from ironbarrow.lab.capacity.counting import Sent, metered
 from ironbarrow.lab.fleet.field import KINDS, RolloutField, targets_of
 from ironbarrow.runtime.clock import MS
@@ -55,14 +55,14 @@
     for _ in range(seconds):
         for machine in field.machines.values():
             for worker in workers:
-                machine.signals.sent(worker, 0, _CLASS, _WORK, 1.0)
-                machine.signals.ended(worker, 0, _CLASS, 1.0, End.DONE, _WORK, 3.0)
+                machine.signals.attempt_sent(worker, 0, _CLASS, _WORK, 1.0)
+                machine.signals.attempt_ended(worker, 0, _CLASS, 1.0, AttemptEnd.DONE, _WORK, 3.0)
         field.run(1)
     return RolloutCount(
         members,
         workers_used,
         seconds,
-        traffic.of_kinds(Observed),
-        traffic.of_kinds(Command, Answer),
+        traffic.of_kinds(DispatcherReport),
+        traffic.of_kinds(Command, AgentStatus),
         traffic.of_kinds(*LedgerMachine.handles),
     )
--- a/ironbarrow/lab/fleet/agents.py
+++ b/ironbarrow/lab/fleet/agents.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from ironbarrow.fleet.api import NEVER, Action, Incarnation, Message, Send
-from ironbarrow.fleet.rollout.commands import Agent, Answer, Command, Phase
+from ironbarrow.fleet.rollout.commands import Agent, AgentStatus, Command, Phase
 from ironbarrow.runtime.clock import MS, SECOND
 
 _LOOK = 250 * MS
@@ -50,7 +50,7 @@
     def received(self, now: int, sender: Incarnation, command: Command) -> list[Action]:
         if command.target != self.agent.target:
             return []
-        begins, answer = self.agent.take(command)
+        begins, answer = self.agent.handle(command)
         if not answer.refused:
             self._commander = sender
         if begins:
@@ -93,5 +93,5 @@
             agent.crashes += 1
             self._begin_at = now + _AGAIN
 
-    def _answer(self) -> Answer:
-        return self.agent.answer()
+    def _answer(self) -> AgentStatus:
+        return self.agent.status()
--- a/ironbarrow/lab/fleet/field.py
+++ b/ironbarrow/lab/fleet/field.py
@@ -14,16 +14,23 @@
 from ironbarrow.fleet.ledgers import LedgerMachine
 from ironbarrow.fleet.members import MemberMachine
 from ironbarrow.fleet.node import Node
-from ironbarrow.fleet.rollout.commands import AGENT, Agent, Answer, Command, Observed, StarvationSeen
-from ironbarrow.fleet.rollout.coordinator import Listed, RolloutChanged, Rollouts
+from ironbarrow.fleet.rollout.commands import (
+    AGENT_PREFIX,
+    Agent,
+    AgentStatus,
+    Command,
+    DispatcherReport,
+    StarvationReport,
+)
+from ironbarrow.fleet.rollout.coordinator import ListedTarget, RolloutChanged, RolloutMachine
 from ironbarrow.fleet.rollout.plan import Floor, Target, parse
-from ironbarrow.fleet.rollout.records import LEDGER
+from ironbarrow.fleet.rollout.records import LEDGER_PREFIX
 from ironbarrow.lab.fleet.agents import AgentMachine
 from ironbarrow.lab.fleet.net import Seat, SimulatedNet
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS, SECOND
 
-KINDS = (Command, Answer, Observed, StarvationSeen)
+KINDS = (Command, AgentStatus, DispatcherReport, StarvationReport)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -115,7 +122,7 @@
         self.classes: dict[str, str | None] = {"map": None, "decode": "fast"}
         self.boxes = {target.name: FieldBox(self, target) for target in targets}
         self.agents = {target.name: Agent(target.name, "1.0") for target in targets}
-        self.machines: dict[str, Rollouts] = {}
+        self.machines: dict[str, RolloutMachine] = {}
         self.news: list[RolloutChanged] = []
         self.floors: list[Floor] = []  # of the plan that was started
         self.broken = 0  # floors that held until a target was drained, by the machines' own state
@@ -127,8 +134,8 @@
         for name in self.names:
             self.net.start(name)
         for target in targets:
-            self.net.add(AGENT + target.name, target.site, self._agent)
-            self.net.start(AGENT + target.name)
+            self.net.add(AGENT_PREFIX + target.name, target.site, self._agent)
+            self.net.start(AGENT_PREFIX + target.name)
         self._push()
         self.run(3)  # the members have met
 
@@ -138,13 +145,13 @@
         members = MemberMachine(card, MemberRules(), seeds, self.clock.now())
         ledgers = self.ledgers[seat.name] = WatchedLedgers(node.incarnation, members, LedgerRules())
         ledgers.field = self
-        machine = Rollouts(members, ledgers, lambda now: now, None, self.classes)
+        machine = RolloutMachine(members, ledgers, lambda now: now, None, self.classes)
         self.machines[seat.name] = machine
-        machine.workers(self.clock.now(), self._list())
+        machine.update_targets(self.clock.now(), self._list())
         node.add([members, ledgers, machine])
 
     def _agent(self, seat: Seat, node: Node) -> None:
-        name = seat.name.removeprefix(AGENT)
+        name = seat.name.removeprefix(AGENT_PREFIX)
         node.add([AgentMachine(self.agents[name], self.boxes[name])])
 
     def _heard(self, seat: Seat, news: FleetEvent) -> None:
@@ -152,15 +159,15 @@
         if isinstance(news, RolloutChanged):
             self.news.append(news)
         elif node is not None:
-            if isinstance(news, Committed) and news.ledger.startswith(LEDGER):
+            if isinstance(news, Committed) and news.ledger.startswith(LEDGER_PREFIX):
                 self.on_write(seat.name, self.numbers.get((seat.name, news.seq), 0), True)
             if seat.node is node:
-                node.carry_out(self.machines[seat.name].told(self.clock.now(), news))
+                node.carry_out(self.machines[seat.name].on_event(self.clock.now(), news))
 
     # The list of targets
 
-    def _list(self) -> list[Listed]:
-        return [Listed(box.target, box.in_use(), box.started_at) for box in self.boxes.values()]
+    def _list(self) -> list[ListedTarget]:
+        return [ListedTarget(box.target, box.in_use(), box.started_at) for box in self.boxes.values()]
 
     def changed(self, target: Target) -> None:
         """A target has changed: what is in use is looked at, and the list goes out a little later."""
@@ -169,7 +176,7 @@
     def _push(self) -> None:
         for name, machine in self.machines.items():
             if self.net.seats[name].node is not None:
-                machine.workers(self.clock.now(), self._list())
+                machine.update_targets(self.clock.now(), self._list())
 
     # What is done to it
 
@@ -195,15 +202,15 @@
     def leader(self) -> str | None:
         """Who leads; of several that believe so the one of the highest epoch."""
         leads = [
-            (machine.lead.epoch, name)
+            (machine.led.epoch, name)
             for name, machine in self.machines.items()
-            if machine.lead is not None and self.net.seats[name].node is not None
+            if machine.led is not None and self.net.seats[name].node is not None
         ]
         return max(leads)[1] if leads else None
 
     def stage(self) -> str:
         name = self.leader()
-        lead = self.machines[name].lead if name is not None else None
+        lead = self.machines[name].led if name is not None else None
         return lead.state.stage.name if lead is not None else "none"
 
     # The judgement
@@ -218,7 +225,7 @@
         """Floors that do not hold now, by the machines' own state."""
         found = 0
         for floor in self.floors:
-            used = [b for b in self.boxes.values() if b.in_use() and floor.counts(b.target, self.classes)]
+            used = [b for b in self.boxes.values() if b.in_use() and floor.includes(b.target, self.classes)]
             found += sum(box.target.slots for box in used) < floor.slots
         return found
 
--- a/ironbarrow/lab/fleet/rollouts.py
+++ b/ironbarrow/lab/fleet/rollouts.py
@@ -18,11 +18,11 @@
 from ironbarrow.fleet.ledgers import LedgerMachine
 from ironbarrow.fleet.members import MemberMachine
 from ironbarrow.fleet.node import Node
-from ironbarrow.fleet.rollout.commands import AGENT, Agent, StarvationSeen
-from ironbarrow.fleet.rollout.coordinator import Listed, RolloutChanged, Rollouts
+from ironbarrow.fleet.rollout.commands import AGENT_PREFIX, Agent, StarvationReport
+from ironbarrow.fleet.rollout.coordinator import ListedTarget, RolloutChanged, RolloutMachine
 from ironbarrow.fleet.rollout.plan import Target
 from ironbarrow.fleet.rollout.records import Stage
-from ironbarrow.fleet.rollout.signals import End, Signals
+from ironbarrow.fleet.rollout.signals import AttemptEnd, Signals
 from ironbarrow.lab.fleet.agents import AgentMachine
 from ironbarrow.lab.fleet.field import KINDS
 from ironbarrow.lab.fleet.net import Seat, SimulatedNet
@@ -41,13 +41,13 @@
 _LEAK = 0.08  # chance of a job to leave its slots taken, where a runtime leaks
 OLD, NEW = "1.0", "2.0"
 _ENDS = {
-    Ending.DONE: End.DONE,
-    Ending.FAILED: End.FAILED,
-    Ending.ERROR_ANSWER: End.FAILED,
-    Ending.TIMED_OUT: End.FAILED,
-    Ending.LOST: End.RESET,
-    Ending.RESET: End.RESET,
-    Ending.CLOSED: End.RESET,
+    Ending.DONE: AttemptEnd.DONE,
+    Ending.FAILED: AttemptEnd.FAILED,
+    Ending.ERROR_ANSWER: AttemptEnd.FAILED,
+    Ending.TIMED_OUT: AttemptEnd.FAILED,
+    Ending.LOST: AttemptEnd.RESET,
+    Ending.RESET: AttemptEnd.RESET,
+    Ending.CLOSED: AttemptEnd.RESET,
 }
 
 
@@ -132,7 +132,7 @@
             since = way.worker.started_at // MS * MS
             usual = self._needs[attempt.job.payload.id].usual
             self._noted[attempt] = (attempt.worker, since, job.job_class, job.slots, 0)
-            self.signals.sent(attempt.worker, since, job.job_class, int(usual), job.slots)
+            self.signals.attempt_sent(attempt.worker, since, job.job_class, int(usual), job.slots)
 
     def _told(self, attempt: Attempt, way: _Way, state: str, report: Report | None) -> None:
         noted = self._noted.get(attempt)
@@ -148,7 +148,7 @@
             worker, since, job_class, slots, started = noted
             elapsed = self._clock.now() - started if started else 0
             free = report.free_slots if report is not None else None
-            self.signals.ended(worker, since, job_class, slots, _ENDS.get(ending), elapsed, free)
+            self.signals.attempt_ended(worker, since, job_class, slots, _ENDS.get(ending), elapsed, free)
         super()._end(attempt, ending, report, result)
 
 
@@ -242,7 +242,7 @@
         self.bad = bad or Runtime()
         self.plan, self._start_at = plan, start_at
         self.signals = [Signals(zone_of(world, n)) for n in range(world.dispatchers.count)]
-        self.machines: dict[str, Rollouts] = {}
+        self.machines: dict[str, RolloutMachine] = {}
         self.boxes: dict[str, WorkerBox] = {}
         self.agents: dict[str, Agent] = {}
         self.changes: list[tuple[int, RolloutChanged]] = []
@@ -262,8 +262,8 @@
         for target in self._targets.values():
             self.boxes[target.name] = WorkerBox(self, target)
             self.agents[target.name] = Agent(target.name, OLD)
-            self.net.add(AGENT + target.name, target.site, self._agent)
-            self.net.start(AGENT + target.name)
+            self.net.add(AGENT_PREFIX + target.name, target.site, self._agent)
+            self.net.start(AGENT_PREFIX + target.name)
         self.clock.call_at(self.clock.now() + _SYNC, self._sync)
         if plan is not None:
             self.clock.call_at(self.clock.now() + start_at, self._begin, plan)
@@ -286,14 +286,14 @@
         )
         ledgers = LedgerMachine(node.incarnation, members, LedgerRules())
         settings = self.dispatchers[number].settings
-        machine = Rollouts(members, ledgers, lambda now: now, settings)
+        machine = RolloutMachine(members, ledgers, lambda now: now, settings)
         machine.signals = self.signals[number]
         self.machines[seat.name] = machine
-        machine.workers(self.clock.now(), self._listed(number))
+        machine.update_targets(self.clock.now(), self._listed(number))
         node.add([members, ledgers, machine])
 
     def _agent(self, seat: Seat, node: Node) -> None:
-        name = seat.name.removeprefix(AGENT)
+        name = seat.name.removeprefix(AGENT_PREFIX)
         node.add([AgentMachine(self.agents[name], self.boxes[name])])
 
     def _news(self, seat: Seat, news: FleetEvent) -> None:
@@ -303,21 +303,23 @@
             if news.stage in (Stage.STOPPED, Stage.BACK):
                 self._note_pause()
         elif node is not None:
-            node.carry_out(self.machines[seat.name].told(self.clock.now(), news))
+            node.carry_out(self.machines[seat.name].on_event(self.clock.now(), news))
 
     def _note_pause(self) -> None:
         if self._had_at_pause < 0:
             had = sum(any(r == NEW for _, r in box.starts) for box in self.boxes.values())
             self._had_at_pause = had / len(self.boxes)
 
-    def _listed(self, number: int) -> list[Listed]:
+    def _listed(self, number: int) -> list[ListedTarget]:
         """The targets as a dispatcher's list has them; what is not listed is not in use."""
         known = {entry.name: entry for entry in self.dispatchers[number].known().entries}
-        found: dict[str, Listed] = {n: Listed(target, up=False) for n, target in self._targets.items()}
+        found: dict[str, ListedTarget] = {
+            n: ListedTarget(target, up=False) for n, target in self._targets.items()
+        }
         for entry in known.values():
             stem = entry.name.partition("~")[0]
             if stem in found:
-                found[stem] = Listed(self._targets[stem], entry.status == "up", entry.since)
+                found[stem] = ListedTarget(self._targets[stem], entry.status == "up", entry.since)
         return list(found.values())
 
     def _sync(self) -> None:
@@ -329,17 +331,17 @@
             elif not runs and seat.node is not None:
                 self.net.crash(name)
             if runs:
-                self.machines[name].workers(self.clock.now(), self._listed(number))
+                self.machines[name].update_targets(self.clock.now(), self._listed(number))
         if self.bad.starves and not self._verdict_given:
             since = [at for box in self.boxes.values() for at, runtime in box.starts if runtime == NEW]
             if since and self.clock.now() > min(since) + 12 * SECOND:
                 self._verdict_given = True
-                seen = StarvationSeen("farm3", "d1", min(since) + 2 * SECOND)
-                self._order("d1", lambda machine, now: machine.starvation(now, seen))
+                seen = StarvationReport("farm3", "d1", min(since) + 2 * SECOND)
+                self._order("d1", lambda machine, now: machine.report_starvation(now, seen))
         if not self.workload.ended:
             self.clock.call_at(self.clock.now() + _SYNC, self._sync)
 
-    def _order(self, name: str, what: Callable[[Rollouts, int], Any]) -> None:
+    def _order(self, name: str, what: Callable[[RolloutMachine, int], Any]) -> None:
         self.net.order(name, lambda node, now: node.carry_out(what(self.machines[name], now)))
 
     def _begin(self, plan: str) -> None:
@@ -361,7 +363,7 @@
         return result, Outcome(
             last.stage.name if last else "NONE",
             stop.rule if stop else "",
-            stop.figures if stop else "",
+            stop.details if stop else "",
             self._had_at_pause,
             (min(ups) + START_TIME - begun) / SECOND if ups else -1.0,
             when(Stage.HELD),
--- a/ironbarrow/lab/live/rollouts.py
+++ b/ironbarrow/lab/live/rollouts.py
@@ -13,7 +13,7 @@
 from ironbarrow.fleet.file import LinkRules
 from ironbarrow.fleet.links import Links
 from ironbarrow.fleet.node import Node
-from ironbarrow.fleet.rollout.commands import AGENT, Agent, Answer, Command
+from ironbarrow.fleet.rollout.commands import AGENT_PREFIX, Agent, AgentStatus, Command
 from ironbarrow.lab.fleet.agents import AgentMachine
 from ironbarrow.lab.live.run import LiveRun
 from ironbarrow.lab.model.spec import World
@@ -66,10 +66,10 @@
     """An agent on the loop, with links of its own. It answers to whoever commands."""
 
     def __init__(self, loop: Loop, name: str, listen: Address, box: LiveBox, peers: dict[str, str]) -> None:
-        incarnation = Incarnation(AGENT + name, loop.now())
+        incarnation = Incarnation(AGENT_PREFIX + name, loop.now())
         self.agent = Agent(name, "1.0")
         self._loop, self._closed = loop, False
-        kinds: tuple[type[Message], ...] = (Command, Answer)
+        kinds: tuple[type[Message], ...] = (Command, AgentStatus)
         self._node = Node(incarnation, self._send, self._told)
         self._node.add([AgentMachine(self.agent, box)])
         listener = sockets.listen(listen)
@@ -141,7 +141,7 @@
             return None
         if not self.seats:
             self._place_agents()
-        routes = [f'"{AGENT}{n}" = "{s.address[0]}:{s.address[1]}"' for n, s in self.seats.items()]
+        routes = [f'"{AGENT_PREFIX}{n}" = "{s.address[0]}:{s.address[1]}"' for n, s in self.seats.items()]
         rules = ["", "[rollout]", 'meet = "1500 ms"']
         if number == self.leads:
             path = self._folder / "plan.toml"
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -280,19 +280,21 @@
 
 
 def test_a_dispatcher_that_tells_all_it_ever_saw_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    broken = mutant(signals, ("        self._entries = {}\n        self._mine = ", "        self._mine = "))
+    broken = mutant(
+        signals, ("        self._entries = {}\n        self._own_slots = ", "        self._own_slots = ")
+    )
     taken: list[int] = []
     for seconds in (4, 8, 16):
         told = broken.Signals("a")
         for second in range(seconds):
-            told.sent(f"worker-{second}", 0, "map", 1, 1.0)
-            observed = told.take(0.0)
+            told.attempt_sent(f"worker-{second}", 0, "map", 1, 1.0)
+            observed = told.take_report(0.0)
         taken.append(len(observed.counts))
     assert taken == [4, 8, 16]
     told = signals.Signals("a")
     for second in range(16):
-        told.sent(f"worker-{second}", 0, "map", 1, 1.0)
-        observed = told.take(0.0)
+        told.attempt_sent(f"worker-{second}", 0, "map", 1, 1.0)
+        observed = told.take_report(0.0)
     assert len(observed.counts) == 1
 
 
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -9,7 +9,7 @@
 
 from ironbarrow.fleet.invariants import INVARIANTS, InvariantError
 from ironbarrow.fleet.rollout.commands import Agent, Command, Phase
-from ironbarrow.fleet.rollout.coordinator import Rollouts
+from ironbarrow.fleet.rollout.coordinator import RolloutMachine
 from ironbarrow.fleet.rollout.plan import PlanError, parse
 from ironbarrow.fleet.rollout.sequential import Block, Comparison, log_block
 from ironbarrow.lab.fleet.field import RolloutField, targets_of
@@ -85,7 +85,7 @@
     with pytest.raises(PlanError, match=r"^plan\.toml: ") as error:
         machine.start(field.clock.now(), PLAN.replace(old, new, 1).encode(), "plan.toml")
     assert expected in str(error.value)
-    assert machine.lead is None and not field.writes and not field.ledgers["m0"].writers
+    assert machine.led is None and not field.writes and not field.ledgers["m0"].writers
 
 
 def test_a_second_rollout_waits_for_the_first() -> None:
@@ -205,7 +205,7 @@
     agent, begun = Agent("a0", "1.0"), []
     orders = [(0, 1), (0, 1), (2, 1), (2, 5), (2, 5), (1, 6), (2, 6), (3, 0), (2, 7), (3, 6), (3, 7)]
     for epoch, number in orders:
-        begins, answer = agent.take(Command("r1", epoch, number, "a0", f"r{number}"))
+        begins, answer = agent.handle(Command("r1", epoch, number, "a0", f"r{number}"))
         if begins:
             begun.append((epoch, number))
         assert answer.refused == (epoch < agent.epoch)
@@ -293,34 +293,34 @@
     assert losses or not field.broken
     assert losses or max(field.replaced("2.0").values()) == 1
     for name, agent in field.agents.items():
-        assert len(set(agent.done)) == len(agent.done), name
+        assert len(set(agent.begun)) == len(agent.begun), name
 
 
 def test_each_invariant_catches_its_mutant(monkeypatch: pytest.MonkeyPatch) -> None:
     with monkeypatch.context() as patch:  # no look at the floors: as many as may be out are taken
-        patch.setattr(Rollouts, "_above_floors", lambda *_: True)
+        patch.setattr(RolloutMachine, "_above_floors", lambda *_: True)
         field = RolloutField(targets_of(3, 4), seed=1)
         field.start("m0", PLAN.replace("slots = 8", "slots = 12").replace("most_out = 2", "most_out = 4"))
         with pytest.raises(InvariantError, match="floor kept"):
             field.run(60)
     with monkeypatch.context() as patch:  # what was done is ordered again
-        patch.setattr(Rollouts, "_is_back", staticmethod(lambda lead, target: True))
+        patch.setattr(RolloutMachine, "_was_rolled_back", staticmethod(lambda lead, target: True))
         field = RolloutField(targets_of(3, 4), seed=1)
         field.start("m0", PLAN)
         with pytest.raises(InvariantError, match="a step once"):
             field.run(60)
     with monkeypatch.context() as patch:  # every site at once
         patch.setattr(
-            Rollouts,
+            RolloutMachine,
             "_wave_targets",
-            lambda self, plan, sites, wave: [x.target for x in self.listed.values()],
+            lambda self, plan, sites, wave: [x.target for x in self.targets.values()],
         )
         field = RolloutField(targets_of(3, 4), seed=1)
         field.start("m0", PLAN)
         with pytest.raises(InvariantError, match="one site at a time"):
             field.run(60)
     agent = Agent("a0", "1.0")
-    agent.take(Command("r1", 1, 5, "a0", "2.0"))
+    agent.handle(Command("r1", 1, 5, "a0", "2.0"))
     agent.number = 0  # it has forgotten what it had done
     with pytest.raises(InvariantError, match="a step once"):
-        agent.take(Command("r1", 1, 5, "a0", "2.0"))
+        agent.handle(Command("r1", 1, 5, "a0", "2.0"))
