--- a/ironbarrow/admin/operations.py
+++ b/ironbarrow/admin/operations.py
@@ -27,12 +27,10 @@
         self._file = BanFile(folder, name)
         self._bans.set_banned(self._file.read())
         self.stopping = False
-        self.announce_ready: Callable[[], bool] = lambda: (
-            True
-        )  # announces to the old process that this one can serve
-        self.pending_jobs: Callable[[], int] = lambda: (
-            0
-        )  # jobs of the old process that this one has still to answer
+        # announces to the old process that this one can serve
+        self.announce_ready: Callable[[], bool] = lambda: True
+        # number of jobs of the old process that this one has still to answer
+        self.pending_jobs: Callable[[], int] = lambda: 0
         loop.call_at(loop.now() + _FILE_CHECK_INTERVAL, self._check_file)
 
     def apply_bans(self, update: api.WorkerList) -> api.WorkerList:
--- a/ironbarrow/handover/pending.py
+++ b/ironbarrow/handover/pending.py
@@ -133,9 +133,8 @@
             return
         never_ran = end is AttemptEnd.NEVER_RAN and not pending.record.may_have_run
         if not pending.safe and not never_ran:
-            pending.answer(
-                Answer(Verdict.FAILED)
-            )  # danger: after a refusal the client may send it again, though it may have run
+            # Danger: after a refusal the client may send the job again, though it may have run.
+            pending.answer(Answer(Verdict.FAILED))
         elif end is AttemptEnd.EXPIRED or pending.record.attempts >= self._max_attempts:
             pending.answer(Answer(Verdict.REFUSED, retry_after=self._retry_after))
         else:
