--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door: calls, figures, bans, callers that stall, and what outlasts the process."""
+"""The operators' HTTP server: requests, metrics, stalled connections, and how bans are stored."""
 
 import errno
 import fcntl
@@ -25,8 +25,8 @@
     return f"{method} /ops/{path} HTTP/1.1\\r\\nHost: o\\r\\n\\r\\n"
 
 
-def change(what: str, worker: str) -> str:
-    return post(worker, f"/ops/workers/{what}")
+def change(action: str, worker: str) -> str:
+    return post(worker, f"/ops/workers/{action}")
 
 
 def stage(**config: Any) -> Stage:
@@ -35,15 +35,15 @@
 
 CALLS = {
     "ready": f"o1 send {call('readiness')}\no1 expect HTTP/1.1 200 .*ready\no1 ended",
-    "unknown call": f"o1 send {call('other')}\no1 expect HTTP/1.1 404\no1 ended",
+    "unknown path": f"o1 send {call('other')}\no1 expect HTTP/1.1 404\no1 ended",
     "wrong method": f"o1 send {call('stats', 'POST')}\no1 expect HTTP/1.1 4",
     "unknown worker": f"o1 send {change('down', 'p9')}\no1 expect HTTP/1.1 404 .*was ever on the list",
     "no id": f"o1 send {change('down', '')}\no1 expect HTTP/1.1 400",
-    "two lines": f"o1 send {change('up', 'p1 p2')}\no1 expect HTTP/1.1 404",
+    "two ids": f"o1 send {change('up', 'p1 p2')}\no1 expect HTTP/1.1 404",
     "too long": f"o1 send {change('down', 'x' * 2000)}\no1 expect HTTP/1.1 400",
     "far too long": f"o1 send {change('down', 'x' * 5000)}\no1 expect HTTP/1.1 413",
-    "no HTTP": "o1 send hello\\r\\n\\r\\n\no1 expect HTTP/1.1 400",
-    "half a call": "o1 send GET /ops/sta\no1 expect HTTP/1.1 408\no1 ended",
+    "not HTTP": "o1 send hello\\r\\n\\r\\n\no1 expect HTTP/1.1 400",
+    "incomplete request": "o1 send GET /ops/sta\no1 expect HTTP/1.1 408\no1 ended",
     "not ready once it stops": f"""
         c1 send {job()}
         p1 expect in$
@@ -55,7 +55,7 @@
         c1 expect HTTP/1.1 200
         exits
         """,
-    "figures": f"""
+    "metrics": f"""
         c1 send {job()}
         p1 expect in$
         o1 send {call("stats")}
@@ -66,7 +66,7 @@
         o2 send {call("stats")}
         o2 expect "map",outcome="served"}} 1.*app_in_flight 0\\napp_workers_known 2\\napp_workers_excluded 0
         """,
-    "a banned worker gets nothing more, whatever the list says, until the call back": f"""
+    "a banned worker gets no job until its ban is lifted": f"""
         o1 send {change("down", "p1")}
         o1 expect HTTP/1.1 200
         o2 send {change("down", "p1")}
@@ -87,38 +87,38 @@
 
 
 @pytest.mark.parametrize("name", CALLS)
-def test_calls_of_operators(name: str) -> None:
+def test_operator_requests(name: str) -> None:
     stage().play(CALLS[name])
 
 
-def test_callers_that_stall_are_never_in_the_way_of_the_next() -> None:
-    played = stage()
+def test_stalled_connections_do_not_block_the_next_request() -> None:
+    scenario = stage()
     stalled = "\n".join(
         f"o{n} send {'GET /ops' if n % 2 else ''}" for n in range(100, 100 + 4 * server.MAX_CONNECTIONS)
     )
-    played.play(f"{stalled}\no1 send {call('stats')}\no1 expect HTTP/1.1 200 .*app_in_flight")
+    scenario.play(f"{stalled}\no1 send {call('stats')}\no1 expect HTTP/1.1 200 .*app_in_flight")
 
 
-def test_without_an_address_there_is_no_door() -> None:
+def test_without_an_address_there_is_no_admin_server() -> None:
     assert Stage().dispatcher.admin is None
 
 
 @given(st.lists(st.tuples(st.sampled_from(["a", 'b"\n']), st.sampled_from([*OUTCOMES, "attempt"]))))
 @settings(max_examples=50, deadline=None)
-def test_figures_are_the_counts_of_what_was_told(events: list[tuple[str, str]]) -> None:
+def test_metrics_count_the_recorded_events(events: list[tuple[str, str]]) -> None:
     figures = Figures(("a", 'b"\n'))
-    for name, what in events:
-        if what == "attempt":
+    for name, action in events:
+        if action == "attempt":
             figures.attempt_written(name)
         else:
-            figures.job_ended(name, what)
-    shown = dict(line.rsplit(" ", 1) for line in figures.text(in_flight=3).splitlines())
+            figures.job_ended(name, action)
+    metrics = dict(line.rsplit(" ", 1) for line in figures.text(in_flight=3).splitlines())
     for name, label in (("a", "a"), ('b"\n', 'b\\"\\n')):
         for outcome in OUTCOMES:
             key = f'app_requests{{class="{label}",outcome="{outcome}"}}'
-            assert int(shown.pop(key)) == events.count((name, outcome))
-        assert int(shown.pop(f'app_attempts{{class="{label}"}}')) == events.count((name, "attempt"))
-    assert shown == {"app_in_flight": "3"}
+            assert int(metrics.pop(key)) == events.count((name, outcome))
+        assert int(metrics.pop(f'app_attempts{{class="{label}"}}')) == events.count((name, "attempt"))
+    assert metrics == {"app_in_flight": "3"}
 
 
 UP, DRAINING, GONE = api.WorkerState.UP, api.WorkerState.DRAINING, api.WorkerState.GONE
@@ -134,26 +134,30 @@
     )
 )
 @settings(max_examples=200, deadline=None)
-def test_the_stricter_of_ban_and_list_is_told_after_any_history(steps: list[tuple[Any, Any]]) -> None:
-    bans, told, listed, banned, ever = Bans(), {}, {}, set(), set()
-    for what, who in steps:
-        if what in ("ban", "lift"):
-            banned = banned | {who} if what == "ban" else banned - {who}
-            news = bans.set_banned(frozenset(banned))
+def test_the_stricter_of_ban_and_list_applies_after_any_history(steps: list[tuple[Any, Any]]) -> None:
+    bans, reported, listed, banned, ever_listed = Bans(), {}, {}, set(), set()
+    for action, subject in steps:
+        if action in ("ban", "lift"):
+            banned = banned | {subject} if action == "ban" else banned - {subject}
+            update = bans.set_banned(frozenset(banned))
         else:
-            if what == "whole":
-                listed, entries, kind = dict.fromkeys(who, UP), [(w, UP) for w in who], api.ListKind.FULL
+            if action == "whole":
+                listed, entries, kind = (
+                    dict.fromkeys(subject, UP),
+                    [(w, UP) for w in subject],
+                    api.ListKind.FULL,
+                )
             else:
-                listed[who], entries, kind = what, [(who, what)], api.ListKind.CHANGES
-            ever |= {w for w, _ in entries}
-            made = tuple(api.WorkerEntry(w, state=s) for w, s in entries)
-            news = bans.apply_to_list(api.WorkerList(kind, made))
-            told = {} if kind is api.ListKind.FULL else told
-        told |= {entry.worker: entry.state for entry in news.entries} if news else {}
+                listed[subject], entries, kind = action, [(subject, action)], api.ListKind.CHANGES
+            ever_listed |= {w for w, _ in entries}
+            entries_listed = tuple(api.WorkerEntry(w, state=s) for w, s in entries)
+            update = bans.apply_to_list(api.WorkerList(kind, entries_listed))
+            reported = {} if kind is api.ListKind.FULL else reported
+        reported |= {entry.worker: entry.state for entry in update.entries} if update else {}
         for worker, state in listed.items():
             expected = DRAINING if state is UP and worker in banned else state
-            assert told[worker] is expected
-        assert all(bans.knows(w) is (w in ever) for w in "abc")
+            assert reported[worker] is expected
+        assert all(bans.knows(w) is (w in ever_listed) for w in "abc")
 
 
 def test_bans_outlast_the_process_and_are_shared_with_the_next_one(tmp_path: Path) -> None:
@@ -178,7 +182,7 @@
         assert not old.flush()
         assert new.read() == {"p0"}
     new.set_banned("p2", True)
-    assert old.read() == {"p1", "p2"}  # both what is written and what is not
+    assert old.read() == {"p1", "p2"}  # the stored change and the pending one
     assert old.flush()
     assert new.read() == BanFile(tmp_path, "n1").read() == {"p1", "p2"}
 
@@ -186,88 +190,84 @@
 @pytest.mark.parametrize(
     "text", ["", "{", "[]", '{"version": 2}', '{"version": 1, "banned": ["p1"], "crc": 1}', '{"version":1}']
 )
-def test_a_torn_or_foreign_file_is_passed_over_and_replaced_by_the_next_change(
-    tmp_path: Path, text: str
-) -> None:
+def test_an_invalid_file_is_ignored_and_replaced_by_the_next_change(tmp_path: Path, text: str) -> None:
     BanFile(tmp_path, "n1").set_banned("p0", True)
     (path,) = tmp_path.glob("*.json")
     path.write_text(text)
-    kept = BanFile(tmp_path, "n1")
-    assert kept.read() == frozenset()
-    kept.set_banned("p1", True)
+    ban_file = BanFile(tmp_path, "n1")
+    assert ban_file.read() == frozenset()
+    ban_file.set_banned("p1", True)
     assert json.loads(path.read_text())["banned"] == ["p1"]
 
 
 def failing(monkeypatch: pytest.MonkeyPatch, call: str, *errors: int) -> list[int]:
-    """Lets a call of ``os`` fail with these errors, in turn; those that are still to come."""
-    real, left = getattr(os, call), list(errors)
+    """Makes a function of ``os`` fail with these errors in turn; returns those that are still to come."""
+    real, errors_left = getattr(os, call), list(errors)
 
-    def call_or_fail(*args: Any, **more: Any) -> Any:
-        if left:
-            number = left.pop(0)
+    def fail_or_call(*args: Any, **kwargs: Any) -> Any:
+        if errors_left:
+            number = errors_left.pop(0)
             raise OSError(number, os.strerror(number))
-        return real(*args, **more)
+        return real(*args, **kwargs)
 
-    monkeypatch.setattr(os, call, call_or_fail)
-    return left
+    monkeypatch.setattr(os, call, fail_or_call)
+    return errors_left
 
 
 @pytest.mark.parametrize("call", ["open", "write", "fsync", "replace"])
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
-def test_a_yes_to_an_operator_is_stored(
+def test_a_ban_is_stored_before_it_is_answered_with_200(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, error: int
 ) -> None:
-    """Guards against a ban that was said yes to and is forgotten by the next process (bcef66)."""
-    played = stage(folder=tmp_path)
-    left = failing(monkeypatch, call, error)
+    """Guards against a ban that is answered with 200 and lost with the process (bcef66)."""
+    scenario = stage(folder=tmp_path)
+    errors_left = failing(monkeypatch, call, error)
     for line in (f"o1 send {change('down', 'p1')}", "o1 expect HTTP/1.1 500 .*not stored yet"):
-        played.step(line)
-    assert left == []
-    played.step(f"c1 send {job()}")
-    played.step("p2 expect in$")  # it is in force all the same
+        scenario.step(line)
+    assert errors_left == []
+    scenario.step(f"c1 send {job()}")
+    scenario.step("p2 expect in$")  # the ban applies although it is not stored
     for line in (f"o2 send {change('down', 'p1')}", "o2 expect HTTP/1.1 200"):
-        played.step(line)
+        scenario.step(line)
     assert BanFile(tmp_path, "n1").read() == {"p1"}
-    played.close()
+    scenario.close()
     assert not [path for path in tmp_path.iterdir() if path.suffix not in (".json", ".lock")]
 
 
-def test_a_file_that_can_not_be_read_for_a_moment_keeps_its_bans(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Guards against a failed read that makes a process forget bans, and wipe them (bcef66)."""
+def test_bans_survive_a_temporary_read_error(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a failed read after which the next change overwrites the stored bans (bcef66)."""
     BanFile(tmp_path, "n1").set_banned("p1", True)
-    left = failing(monkeypatch, "stat", errno.EIO, errno.EIO)
-    kept = BanFile(tmp_path, "n1")
-    assert kept.read() == frozenset()
-    kept.set_banned("p2", True)
-    assert left == [] and not kept.is_stored
-    assert kept.has_changed()
-    assert kept.read() == {"p1", "p2"}
-    assert kept.flush()
+    errors_left = failing(monkeypatch, "stat", errno.EIO, errno.EIO)
+    ban_file = BanFile(tmp_path, "n1")
+    assert ban_file.read() == frozenset()
+    ban_file.set_banned("p2", True)
+    assert errors_left == [] and not ban_file.is_stored
+    assert ban_file.has_changed()
+    assert ban_file.read() == {"p1", "p2"}
+    assert ban_file.flush()
     assert BanFile(tmp_path, "n1").read() == {"p1", "p2"}
 
 
-def test_a_write_that_a_kill_cut_off_leaves_the_file_whole(
+def test_a_write_cut_off_by_a_kill_leaves_the_old_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a torn file that hides the bans before it (bcef66)."""
+    """Guards against a partly written file in place of the stored bans (bcef66)."""
     BanFile(tmp_path, "n1").set_banned("p1", True)
     real = os.write
 
-    def torn(file: int, data: bytes) -> int:
+    def write_half(file: int, data: bytes) -> int:
         real(file, data[: len(data) // 2])
-        raise KeyboardInterrupt  # the process ends here
+        raise KeyboardInterrupt  # as if the process were killed here
 
-    monkeypatch.setattr(os, "write", torn)
+    monkeypatch.setattr(os, "write", write_half)
     with pytest.raises(KeyboardInterrupt):
         BanFile(tmp_path, "n1").set_banned("p2", True)
     monkeypatch.undo()
     assert BanFile(tmp_path, "n1").read() == {"p1"}
 
 
-def test_where_nothing_can_be_written_bans_hold_in_the_process(tmp_path: Path) -> None:
+def test_without_a_writable_folder_bans_apply_to_the_process(tmp_path: Path) -> None:
     for folder in (None, tmp_path / "missing"):
-        kept = BanFile(folder, "n1")
-        assert kept.set_banned("p1", True) == {"p1"}
-        assert kept.set_banned("p2", True) == {"p1", "p2"}
+        ban_file = BanFile(folder, "n1")
+        assert ban_file.set_banned("p1", True) == {"p1"}
+        assert ban_file.set_banned("p2", True) == {"p1", "p2"}
