--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Replacing the process: two dispatchers at one address in one thread, and what passes between them."""
+"""Hand-over between two dispatcher processes, here two dispatchers in one thread."""
 
 import errno
 import itertools
@@ -34,11 +34,11 @@
 
     def step(self, line: str) -> None:
         if line == "new":
-            # of its own address here, so that the scenario says who hears what
+            # it has an address of its own here, so that the scenario says which process is addressed
             self.new = Dispatcher(self.config, listen(("127.0.0.1", 0)))
-            assert self.new._operations.is_ready()  # whoever has seen this may stop the old one at once
+            assert self.new._operations.is_ready()  # once this is seen the old one may be stopped at once
         elif line == "again":
-            # the new one is replaced in its turn; it is the old one from here on
+            # the new one is replaced in turn: from here on it is the old one
             self.until("old one gone", lambda: self.dispatcher.loop.stopped)
             assert self.new is not None
             self.dispatcher.close()
@@ -82,15 +82,15 @@
         n1 send {call_back("returned")}
         n1 expect HTTP/1.1 204
         p2 expect X-Request-ID: j1.*Idempotency-Key: 6d18-fb"""
-PLAYS = {
-    "a call-back that reaches the new process ends the old one's job": f"""
+SCENARIOS = {
+    "a call-back to the new process ends the old one's job": f"""
         {BOOKED}
         new
         n1 send {call_back("done", result="out")}
         n1 expect HTTP/1.1 204
         c1 expect HTTP/1.1 200 .*out$
         """,
-    "a booking that is out outlives the old process": f"""
+    "a running booking survives the end of the old process": f"""
         {BOOKED}
         new
         stop
@@ -108,14 +108,14 @@
         n1 expect HTTP/1.1 204
         c1 expect HTTP/1.1 500
         """,
-    "a booking that never ran is taken anew by the new process": f"""
+    "a booking that never ran is started again by the new process": f"""
         {BOOKED}
         new
         stop
         exits
         {RETURNED}
         """,
-    "what still comes to the old process is served": f"""
+    "a job that still arrives at the old process is served": f"""
         new
         stop
         c1 send {job("j1")}
@@ -125,7 +125,7 @@
         c1 expect HTTP/1.1 200 .*out$
         exits
         """,
-    "two upgrades in a row: what is kept passes on with its attempts": f"""
+    "two hand-overs in a row: a pending job keeps its attempts": f"""
         {BOOKED}
         new
         stop
@@ -138,7 +138,7 @@
         n1 send {call_back("done", source="p2", result="out")}
         c1 expect HTTP/1.1 200 .*out$
         """,
-    "what was taken anew passes on as well": f"""
+    "a job started again is handed over as well": f"""
         {BOOKED}
         new
         stop
@@ -153,7 +153,7 @@
         n1 send {call_back("done", source="p2", result="out")}
         c1 expect HTTP/1.1 200 .*out$
         """,
-    "the new process dies: the old one goes on": f"""
+    "the new process dies: the old one continues": f"""
         {BOOKED}
         new
         new dies
@@ -165,11 +165,11 @@
 }
 
 
-# What crosses a hand-over while calls fail, each one a way to run a booking twice
+# Events during a hand-over with failing calls, each of which could run a booking twice
 
-COPIES = {
-    # the 204 to the first one was lost, so the worker tells it again
-    "a copy of the call-back that ended the attempt before": f"""
+REPEATED_CALL_BACKS = {
+    # the 204 to the first call-back was lost, so the worker repeats it
+    "a repeated call-back of the attempt before": f"""
         {BOOKED}
         new
         stop
@@ -186,8 +186,8 @@
         """,
 }
 
-# Who is told of the start of a booking that its worker then hands back
-STARTS = {
+# The process that is told of the start of a booking that its worker then returns
+REPORTED_STARTS = {
     "the new process": f"""{BOOKED}
         new
         stop
@@ -203,17 +203,17 @@
 }
 
 
-@pytest.mark.parametrize("name", COPIES)
+@pytest.mark.parametrize("name", REPEATED_CALL_BACKS)
 def test_a_booking_handed_over_is_not_run_twice(tmp_path: Path, name: str) -> None:
-    """Guards against a booking sent again on a call-back that is no proof of its last attempt (bcef66)."""
-    Pair(tmp_path).play(COPIES[name])
+    """Guards against a booking sent again because of a call-back for an earlier attempt (bcef66)."""
+    Pair(tmp_path).play(REPEATED_CALL_BACKS[name])
 
 
-@pytest.mark.parametrize("name", STARTS)
-def test_a_booking_that_has_started_is_not_sent_again_when_handed_back(tmp_path: Path, name: str) -> None:
-    """Guards against a hand-over that forgets a start (bcef66)."""
+@pytest.mark.parametrize("name", REPORTED_STARTS)
+def test_a_booking_that_has_started_is_not_sent_again_when_returned(tmp_path: Path, name: str) -> None:
+    """Guards against a hand-over that loses a reported start: the booking would run twice (bcef66)."""
     pair = Pair(tmp_path)
-    for line in STARTS[name].splitlines():
+    for line in REPORTED_STARTS[name].splitlines():
         pair.step(line.strip())
     pair.step(f"n2 send {call_back('returned')}")
     pair.step("c1 expect HTTP/1.1 500")
@@ -221,23 +221,23 @@
     pair.close()
 
 
-@pytest.mark.parametrize("name", PLAYS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_an_old_process_and_its_successor(tmp_path: Path, name: str) -> None:
-    Pair(tmp_path).play(PLAYS[name])
+    Pair(tmp_path).play(SCENARIOS[name])
     assert not list(tmp_path.glob("ironbarrow-*.[0-9]*"))
 
 
-def test_without_a_folder_it_serves_and_says_what_will_not_last(tmp_path: Path) -> None:
+def test_without_a_folder_it_serves_without_hand_over(tmp_path: Path) -> None:
     for folder in (None, tmp_path / "missing"):
-        played = Stage(admin=("127.0.0.1", 0), folder=folder)
-        assert played.dispatcher._upgrade is None
-        played.play(f"c1 send {job()}\np1 expect X-Request-ID: j1")
+        scenario = Stage(admin=("127.0.0.1", 0), folder=folder)
+        assert scenario.dispatcher._upgrade is None
+        scenario.play(f"c1 send {job()}\np1 expect X-Request-ID: j1")
 
 
 RECORD = Record("j1", "map", "POST", "/map", b"\x00in", "text/x", 1_000, 1, "p1")
 
 
-def test_a_job_comes_out_of_its_message_as_it_went_in() -> None:
+def test_a_job_message_decodes_to_the_encoded_job() -> None:
     assert records.parse(records.job_message(RECORD))["job"] == RECORD
 
 
@@ -253,53 +253,57 @@
         {"job": {"more": 1}},
     ],
 )
-def test_what_is_no_message_of_this_version_is_refused(change: dict[str, Any]) -> None:
-    found = json.loads(records.job_message(RECORD))
-    inner = change.get("job")
-    found |= change if not isinstance(inner, dict) or "id" in inner else {"job": found["job"] | inner}
+def test_an_invalid_message_raises_a_record_error(change: dict[str, Any]) -> None:
+    message = json.loads(records.job_message(RECORD))
+    job_change = change.get("job")
+    message |= (
+        change
+        if not isinstance(job_change, dict) or "id" in job_change
+        else {"job": message["job"] | job_change}
+    )
     with pytest.raises(records.RecordError):
-        records.parse(json.dumps(found).encode())
+        records.parse(json.dumps(message).encode())
 
 
 @pytest.mark.parametrize("safe", [True, False])
 @pytest.mark.parametrize("attempts", [1, 3])
 @pytest.mark.parametrize("may_have_run", [True, False])
 @pytest.mark.parametrize("state", ["done", "returned", "failed", "lost", None])
-def test_a_kept_job_ends_once_and_as_the_rules_allow(
+def test_a_pending_job_ends_once_and_as_the_rules_allow(
     safe: bool, attempts: int, may_have_run: bool, state: str | None
 ) -> None:
-    ends: list[Answer | Record] = []
+    results: list[Answer | Record] = []
     fields = {name: getattr(RECORD, name) for name in Record.__slots__}
     record = Record(**fields | {"attempts": attempts, "may_have_run": may_have_run})
     pending = PendingJobs(3, 200)
-    pending.add(PendingJob(record, safe, 1_000, ends.append, ends.append), 0)
+    pending.add(PendingJob(record, safe, 1_000, results.append, results.append), 0)
     assert not pending.on_call_back("j1", "p2", "done", b"", 1)
     assert pending.on_call_back("j1", "p1", "started", b"", 1)
     for _ in range(2):
         if state is not None:
             pending.on_call_back("j1", "p1", state, b"out", 2)
         pending.expire(1_000)
-    (end,) = ends
+    (result,) = results
     if state == "done":
-        assert end == Answer(Verdict.SERVED, b"out")
-    elif isinstance(end, Record):
+        assert result == Answer(Verdict.SERVED, b"out")
+    elif isinstance(result, Record):
         assert attempts < 3 and state is not None and (safe or (state == "returned" and not may_have_run))
-    elif end.verdict is Verdict.REFUSED:
+    elif result.verdict is Verdict.REFUSED:
         assert safe or (state == "returned" and not may_have_run)
     else:
         assert not safe
 
 
-def test_a_call_back_that_comes_before_its_job_counts() -> None:
-    ends: list[Any] = []
+def test_a_call_back_that_arrives_before_its_job_ends_it() -> None:
+    results: list[Any] = []
     pending = PendingJobs(3, 0)
     assert not pending.on_call_back("j1", "p1", "done", b"out", 0)
-    pending.add(PendingJob(RECORD, False, 1_000, ends.append, ends.append), 1)
-    assert ends == [Answer(Verdict.SERVED, b"out")]
+    pending.add(PendingJob(RECORD, False, 1_000, results.append, results.append), 1)
+    assert results == [Answer(Verdict.SERVED, b"out")]
 
 
 class FailingSocket:
-    """A channel's socket whose calls fail with the errors in ``errors``, in turn, and then go well."""
+    """A channel's socket whose calls fail with ``errors`` in turn, and then succeed."""
 
     def __init__(self, sock: socket.socket, *errors: int) -> None:
         self._sock, self.errors = sock, list(errors)
@@ -318,37 +322,37 @@
 
     def _fail(self) -> None:
         if self.errors:
-            raise OSError(self.errors.pop(0), "for a moment")
+            raise OSError(self.errors.pop(0), "temporary error of the test")
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._sock, name)
 
 
-def test_a_message_between_processes_outlasts_sends_that_fail(tmp_path: Path) -> None:
-    """Guards against a call-back that one process has answered and the other never hears of (bcef66)."""
+def test_a_message_between_processes_survives_failed_sends(tmp_path: Path) -> None:
+    """Guards against a call-back that one process confirms and never forwards to the other (bcef66)."""
     pair = Pair(tmp_path)
     for line in [line.strip() for line in BOOKED.splitlines()]:
         pair.step(line)
     for line in ("new", "stop", "exits"):
         pair.step(line)
-    again = Dispatcher(pair.config, listen(("127.0.0.1", 0)))
-    channel = again._upgrade._channel
+    successor = Dispatcher(pair.config, listen(("127.0.0.1", 0)))
+    channel = successor._upgrade._channel
     channel._sock = FailingSocket(channel._sock, errno.ENOBUFS, errno.ENOMEM, errno.ENOBUFS)
-    again._upgrade.on_unmatched_call_back({"id": "j1", "from": "p1", "state": "done", "result": "out"})
+    successor._upgrade.on_unmatched_call_back({"id": "j1", "from": "p1", "state": "done", "result": "out"})
 
     def is_sent() -> bool:
-        again.loop.turn(wait=False)
+        successor.loop.turn(wait=False)
         return not channel._queue
 
-    pair.until("sent after all", is_sent)
+    pair.until("sent at last", is_sent)
     assert not channel._sock.errors
     pair.step("c1 expect HTTP/1.1 200 .*out$")
-    again.close()
+    successor.close()
     pair.close()
 
 
-class WithoutDescriptors:
-    """A channel's socket that loses the descriptors of the first ``lost`` messages that bring one."""
+class SocketLosingDescriptors:
+    """A channel's socket that drops the descriptors of the first ``lost`` messages with one."""
 
     def __init__(self, sock: socket.socket, lost: int) -> None:
         self._sock, self.lost = sock, lost
@@ -366,8 +370,8 @@
         return getattr(self._sock, name)
 
 
-def booked_beside_a_new_process(folder: Path) -> tuple[Pair, Any]:
-    """An old process with a booking at p1, and the channel of the new process beside it."""
+def booking_with_a_new_process(folder: Path) -> tuple[Pair, Any]:
+    """Returns an old process with a booking at p1, and the channel of the new process beside it."""
     pair = Pair(folder)
     for line in [line.strip() for line in BOOKED.splitlines()]:
         pair.step(line)
@@ -377,12 +381,12 @@
 
 
 @pytest.mark.parametrize("state", ["done", "returned"])
-def test_a_job_that_comes_without_its_connection_stays_with_the_old_process(
+def test_a_job_that_arrives_without_its_connection_stays_with_the_old_process(
     tmp_path: Path, state: str
 ) -> None:
-    """Guards against a job that neither process has, where the new one lacked a descriptor (bcef66)."""
-    pair, channel = booked_beside_a_new_process(tmp_path)
-    channel._sock = WithoutDescriptors(channel._sock, 2)
+    """Guards against a job that neither process has because the new one had no free descriptor (bcef66)."""
+    pair, channel = booking_with_a_new_process(tmp_path)
+    channel._sock = SocketLosingDescriptors(channel._sock, 2)
     for line in ("stop", "wait 100", f"n1 send {call_back(state, result='out')}", "n1 expect 204"):
         pair.step(line)
     if state == "returned":
@@ -395,24 +399,24 @@
     pair.close()
 
 
-def test_the_channel_outlasts_reads_that_fail(tmp_path: Path) -> None:
-    """Guards against a process that is deaf to its neighbour after one failed read (bcef66)."""
-    pair, channel = booked_beside_a_new_process(tmp_path)
+def test_the_channel_survives_failed_reads(tmp_path: Path) -> None:
+    """Guards against a process that reads no more messages after one failed read (bcef66)."""
+    pair, channel = booking_with_a_new_process(tmp_path)
     channel._sock = FailingSocket(channel._sock, errno.ENOMEM, errno.EIO)
     for line in ("stop", "exits", f"n1 send {call_back('done', result='out')}", "c1 expect 200 .*out$"):
         pair.step(line)
     pair.close()
 
 
-def test_descriptors_of_a_foreign_message_are_closed(tmp_path: Path) -> None:
-    played = Stage(admin=("127.0.0.1", 0), folder=tmp_path)
-    here, there = socket.socketpair()
+def test_descriptors_of_an_invalid_message_are_closed(tmp_path: Path) -> None:
+    scenario = Stage(admin=("127.0.0.1", 0), folder=tmp_path)
+    own_end, sent_end = socket.socketpair()
     sender = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
-    sender.connect(played.dispatcher._upgrade._channel.path)
-    socket.send_fds(sender, [b"{"], [there.fileno()])
-    there.close()
-    played.pass_time(0.05)
-    assert here.recv(1) == b""
-    here.close()
+    sender.connect(scenario.dispatcher._upgrade._channel.path)
+    socket.send_fds(sender, [b"{"], [sent_end.fileno()])
+    sent_end.close()
+    scenario.pass_time(0.05)
+    assert own_end.recv(1) == b""
+    own_end.close()
     sender.close()
-    played.close()
+    scenario.close()
