--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,7 +1,7 @@
-"""The order of the end: what comes in each of its moments, and signals in each of the program's.
+"""Stopping a dispatcher: requests that arrive at any point of it, and signals at any point of the program.
 
-Danger: what was taken and not answered at the end is lost. Each moment is forced: what comes in it is sent
-while the loop stands still, or by the program itself in the very place.
+Danger: a request that was accepted but not answered at the exit is lost. The tests force each point in time:
+the request is sent while the event loop does not run, or the program itself sends the signal there.
 """
 
 import os
@@ -26,10 +26,10 @@
 from tests.test_config import ROOT, UNUSED, logged, written
 
 ACCEPTED = answer(202)
-READY = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
+READY_REQUEST = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
 
 
-def paced(**times: int) -> Stage:
+def stage_with_pace(**times: int) -> Stage:
     stage = Stage()
     stage.dispatcher.pace = replace(stage.dispatcher.pace, **{name: ms * MS for name, ms in times.items()})
     return stage
@@ -48,28 +48,28 @@
         """
 
 
-# each ends with the program's end; "closing" is the moment in which idle connections are closed
-MOMENTS = {
-    "a request in the buffer of a resting connection": f"""
-        c1 send {READY}
+# Each case ends with the program's exit; at "closing" idle connections are closed.
+CASES = {
+    "a request in the buffer of an idle connection": f"""
+        c1 send {READY_REQUEST}
         c1 expect 200 OK
         c1 send {job()}
         closing
         {served("j1")}""",
-    "a request on a connection that is accepted and not read": f"""
+    "a request on an accepted connection that was not read yet": f"""
         c1 silent 20
         c1 send {job()}
         closing
         {served("j1")}""",
-    "a request on a connection in the listener's queue": f"""
+    "a request on a connection in the listen queue": f"""
         connects c1
         c1 send {job()}
         closing
         {served("j1")}""",
-    # danger: read after the own side has ended and sent on, it would have no answer; unread, the client sends
-    # it once more elsewhere
-    "a request on a resting connection right after the closing": f"""
-        c1 send {READY}
+    # Danger: a request read after this side was shut down could not be answered. Left unread, the client
+    # sends it again to another dispatcher.
+    "a request on an idle connection right after closing": f"""
+        c1 send {READY_REQUEST}
         c1 expect 200 OK
         closing
         c1 send {job()}
@@ -77,29 +77,29 @@
         p1 silent 20
         p2 silent 20
         c1 close""",
-    "half a request, and the rest": f"""
+    "an incomplete request, and the rest": f"""
         c1 send {job()[:60]}
         wait 20
         closing
         wait 20
         c1 send {job()[60:]}
         {served("j1")}""",
-    "half a request in the buffer of a resting connection, and the rest": f"""
-        c1 send {READY}
+    "an incomplete request in the buffer of an idle connection, and the rest": f"""
+        c1 send {READY_REQUEST}
         c1 expect 200 OK
         c1 send {job()[:60]}
         closing
         wait 20
         c1 send {job()[60:]}
         {served("j1")}""",
-    "half a request, and never the rest": f"""
+    "an incomplete request that is never completed": f"""
         c1 send {job()[:60]}
         wait 20
         closing
         c1 expect ^HTTP/1.1 408
         c1 ended
         c1 close""",
-    # danger: the kernel has taken both, and the answer to the first must not end the second's connection
+    # Danger: the kernel has accepted both, so the answer to the first must not close the connection.
     "two requests at once": f"""
         c1 send {job("j1")}{job("j2")}
         closing
@@ -109,29 +109,29 @@
         c9 expect HTTP/1.1 204
         c1 expect HTTP/1.1 200 .*first
         {served("j2", caller="c8")}""",
-    "a connection that says nothing, accepted": """
+    "a silent connection, accepted": """
         c1 silent 20
         closing
         c1 ended
         c1 close""",
-    "a connection that says nothing, in the queue": """
+    "a silent connection in the listen queue": """
         connects c1
         closing
         c1 ended
         c1 close""",
-    "a client that is gone": f"""
-        c1 send {READY}
+    "a client that has disconnected": f"""
+        c1 send {READY_REQUEST}
         c1 expect 200 OK
         c1 close
         closing""",
-    "a call-back on a connection of its own, after the closing": f"""
+    "a call-back on a new connection after closing": f"""
         c1 send {job()}
         wait 20
         closing
         wait 50
         {served("j1")}""",
-    "a call-back on a connection that rested": f"""
-        c9 send {READY}
+    "a call-back after its idle connection was closed": f"""
+        c9 send {READY_REQUEST}
         c9 expect 200 OK
         c1 send {job()}
         p1 expect : j1
@@ -145,8 +145,8 @@
         c1 expect 200 .*out$
         c1 close
         c9 close""",
-    "a call-back in the buffer of a connection that rested": f"""
-        c9 send {READY}
+    "a call-back in the buffer of an idle connection": f"""
+        c9 send {READY_REQUEST}
         c9 expect 200 OK
         c1 send {job()}
         p1 expect : j1
@@ -158,7 +158,7 @@
         c1 expect 200 .*out$
         c1 close
         c9 close""",
-    "a second order to stop": f"""
+    "a second stop signal": f"""
         c1 send {job()}
         wait 20
         closing
@@ -174,18 +174,18 @@
 }
 
 
-@pytest.mark.parametrize("name", MOMENTS)
-def test_what_was_taken_before_the_closing_is_answered_before_the_end(name: str) -> None:
-    stage = paced(still_coming=60_000, last_answer=120_000)
+@pytest.mark.parametrize("name", CASES)
+def test_a_request_accepted_before_closing_is_answered_before_exit(name: str) -> None:
+    stage = stage_with_pace(still_coming=60_000, last_answer=120_000)
     try:
         stage.step("stop")
-        for line in MOMENTS[name].strip().splitlines():
-            word, _, peer = line.strip().partition(" ")
-            if not word:
+        for line in CASES[name].strip().splitlines():
+            command, _, peer = line.strip().partition(" ")
+            if not command:
                 continue
-            if word == "closing":
+            if command == "closing":
                 stage.dispatcher._close_idle()
-            elif word == "connects":  # the loop stands still
+            elif command == "connects":  # while the loop does not run
                 stage.peers[peer] = Peer(stage.address)
                 stage.peers[peer].connect()
             else:
@@ -196,8 +196,8 @@
         stage.close()
 
 
-def test_stopping_finishes_what_was_taken_and_serves_what_still_comes() -> None:
-    paced(still_coming=500, last_answer=60_000).play(
+def test_stopping_finishes_accepted_jobs_and_serves_late_ones() -> None:
+    stage_with_pace(still_coming=500, last_answer=60_000).play(
         f"""
         c1 send {job()}
         p1 expect in$
@@ -222,60 +222,61 @@
     )
 
 
-def test_a_job_that_comes_while_stopping_is_answered_before_the_end() -> None:
-    # danger: killed with it unanswered, the dispatcher loses a job that it took after the order to stop
-    stage = paced(last_answer=600)
-    idle = f"c1 send {READY}\nc1 expect 200\nstop\nwait 50\nc1 silent 50\n"
+def test_a_job_that_arrives_while_stopping_is_answered_before_exit() -> None:
+    # Danger: a dispatcher killed before it answers loses a job that it accepted after the stop signal.
+    stage = stage_with_pace(last_answer=600)
+    idle = f"c1 send {READY_REQUEST}\nc1 expect 200\nstop\nwait 50\nc1 silent 50\n"
     booking = f"c1 send {job(path='book/x', ms=25000)}\np1 expect in$\np1 send {ACCEPTED}\n"
     stage.play(f"{idle}{booking}c1 expect ^HTTP/1.1 500")
 
 
-def test_who_connects_before_the_last_look_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage = paced(still_coming=0)
-    real = Clients.busy
-    sent = iter((f"c1 send {job()}",))
+def test_a_client_that_connects_before_the_last_check_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
+    stage = stage_with_pace(still_coming=0)
+    original = Clients.busy
+    steps_left = iter((f"c1 send {job()}",))
 
     def busy(self: Clients) -> bool:
-        for step in sent:
+        for step in steps_left:
             stage.step(step)
-        assert real.fget is not None
-        return bool(real.fget(self))
+        assert original.fget is not None
+        return bool(original.fget(self))
 
     monkeypatch.setattr(Clients, "busy", property(busy))
     stage.play(f"stop\n{served('j1').strip()}\nexits")
 
 
-def test_who_connects_after_the_last_look_is_refused_and_not_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
-    # danger: taken in by the kernel and then reset, the request has no answer; refused, it goes elsewhere
-    stage = paced(still_coming=0)
+def test_a_client_that_connects_after_the_last_check_is_refused_not_reset(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Danger: a connection accepted by the kernel and then reset gets no answer; if it is refused, the client
+    # goes to another dispatcher.
+    stage = stage_with_pace(still_coming=0)
     loop = stage.dispatcher.loop
-    found: list[int] = []
+    results: list[int] = []
 
     def connect() -> None:
-        with socket.socket() as late:
-            found.append(late.connect_ex(stage.address))
+        with socket.socket() as late_client:
+            results.append(late_client.connect_ex(stage.address))
 
-    real = loop.stop
-    monkeypatch.setattr(loop, "stop", lambda: (connect(), real()))
+    original = loop.stop
+    monkeypatch.setattr(loop, "stop", lambda: (connect(), original()))
     stage.play("stop\nexits")
-    assert found == [111]
+    assert results == [111]
 
 
-@pytest.mark.parametrize("part", ["the hand-over", "the closing", "the log"])
-def test_a_part_that_fails_does_not_keep_the_program_from_its_end(
-    part: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    # danger: a second order to stop changes nothing, and SIGKILL finds what it may
-    stage = paced(still_coming=20)
+@pytest.mark.parametrize("part", ["hand-over", "closing", "log"])
+def test_a_failing_part_does_not_prevent_the_exit(part: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    # Danger: a second stop signal changes nothing, so SIGKILL would end whatever is still open.
+    stage = stage_with_pace(still_coming=20)
 
-    def fail(*args: Any, **more: Any) -> bool:
+    def fail(*args: Any, **kwargs: Any) -> bool:
         raise BrokenPipeError
 
-    if part == "the hand-over":
+    if part == "hand-over":
         stage.dispatcher._upgrade = SimpleNamespace(
             hand_over=fail, jobs_pending=0, jobs_handed_over=0, close=lambda: None
         )
-    elif part == "the closing":
+    elif part == "closing":
         monkeypatch.setattr(Clients, "close_idle", fail)
     else:
         monkeypatch.setattr("ironbarrow.daemon.dispatcher.log", SimpleNamespace(info=fail, error=fail))
@@ -294,12 +295,12 @@
         ((500, 60_000), 1500, 3200),
     ],
 )
-def test_the_pace_of_the_end_follows_the_longest_deadline(
+def test_the_pace_of_stopping_follows_the_longest_deadline(
     deadlines: tuple[int, ...], still_coming: int, last_answer: int
 ) -> None:
-    # danger: with short deadlines SIGKILL comes sooner, and what came just before it would have no answer
-    made = SETTINGS["requestClasses"][0]
-    classes = [{**made, "name": str(ms), "promise": ms * MS, "giveUp": ms * MS} for ms in deadlines]
+    # Danger: with short deadlines SIGKILL comes sooner, and requests just before it would get no answer.
+    base_class = SETTINGS["requestClasses"][0]
+    classes = [{**base_class, "name": str(ms), "promise": ms * MS, "giveUp": ms * MS} for ms in deadlines]
     pace = Pace.of(read_settings({**SETTINGS, "requestClasses": classes}))
     assert (pace.still_coming, pace.last_answer) == (still_coming * MS, last_answer * MS)
     killed = min(max(deadlines), 3000) * MS + 700 * MS
@@ -310,7 +311,7 @@
 
 # The program, with real signals
 
-SHORT = {
+SHORT_DEADLINES = {
     **UNUSED,
     "settings": {
         **SETTINGS,
@@ -321,13 +322,17 @@
 
 
 @contextmanager
-def program(tmp_path: Path, before: str = "", **more: Any) -> Iterator["subprocess.Popen[str]"]:
-    """``serve`` after some lines that make a signal come in a certain moment."""
+def serve_process(tmp_path: Path, before: str = "", **kwargs: Any) -> Iterator["subprocess.Popen[str]"]:
+    """Runs ``serve`` after ``before``: lines of Python that send a signal at a certain point."""
     process = subprocess.Popen(
         [sys.executable, "-c", "import os, signal\n" + before + _SERVE],
         cwd=ROOT,
-        env={"PATH": os.environ["PATH"], "BALANCER_DISCOVERY": "127.0.0.1:1", **written(tmp_path, SHORT)},
-        **{"stderr": subprocess.PIPE, "text": True, **more},
+        env={
+            "PATH": os.environ["PATH"],
+            "BALANCER_DISCOVERY": "127.0.0.1:1",
+            **written(tmp_path, SHORT_DEADLINES),
+        },
+        **{"stderr": subprocess.PIPE, "text": True, **kwargs},
     )
     try:
         yield process
@@ -338,16 +343,16 @@
             process.stderr.close()
 
 
-def rest(process: "subprocess.Popen[str]") -> str:
-    """What is still logged, to the end, which has to be an orderly one."""
+def log_until_exit(process: "subprocess.Popen[str]") -> str:
+    """Returns the rest of the log; checks that the process exits in good order."""
     assert process.stderr is not None
-    seen = process.stderr.read()
-    assert (process.wait(60), "Traceback" in seen, "Exception ignored" in seen) == (0, False, False), seen
-    assert '"stopped"' in seen
-    return seen
+    text = process.stderr.read()
+    assert (process.wait(60), "Traceback" in text, "Exception ignored" in text) == (0, False, False), text
+    assert '"stopped"' in text
+    return text
 
 
-_AT_START = """
+_SIGNAL_DURING_START = """
 from ironbarrow import config
 from ironbarrow.daemon import dispatcher
 where = {where}
@@ -362,30 +367,30 @@
 
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGINT"])
 @pytest.mark.parametrize(("where", "name"), [("config", "load"), ("dispatcher", "listen")])
-def test_an_order_to_stop_during_the_start_waits_for_the_service(
+def test_a_stop_signal_during_start_takes_effect_once_it_serves(
     where: str, name: str, number: str, tmp_path: Path
 ) -> None:
-    # danger: ended by Python's own handling, it would reset what its listener has taken in
-    before = _AT_START.format(where=where, name=name, number=number)
-    with program(tmp_path, before) as process:
+    # Danger: ended by Python's default handler, the process would reset connections that its listener holds.
+    before = _SIGNAL_DURING_START.format(where=where, name=name, number=number)
+    with serve_process(tmp_path, before) as process:
         host, port = logged(process, '"serving"').split('"address": "')[1].split('"')[0].split(":")
         with socket.create_connection((host, int(port)), 20) as client:
-            client.sendall(READY.replace("\\r\\n", "\r\n").encode())
+            client.sendall(READY_REQUEST.replace("\\r\\n", "\r\n").encode())
             assert client.recv(100).startswith(b"HTTP/1.1 503 ")
-        assert '"stopping"' in rest(process)
+        assert '"stopping"' in log_until_exit(process)
 
 
-def test_further_signals_while_it_ends_change_nothing(tmp_path: Path) -> None:
-    with program(tmp_path) as process:
+def test_further_signals_while_stopping_change_nothing(tmp_path: Path) -> None:
+    with serve_process(tmp_path) as process:
         logged(process, '"serving"')
         process.send_signal(signal.SIGTERM)
         logged(process, '"stopping"')
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGINT):
             process.send_signal(number)
-        assert '"reloaded"' in rest(process)
+        assert '"reloaded"' in log_until_exit(process)
 
 
-_IN_RELOAD = """
+_SIGNAL_DURING_RELOAD = """
 from ironbarrow import config
 real = config.load
 def load(*args, replaced=False):
@@ -397,50 +402,50 @@
 """
 
 
-def test_an_order_to_stop_during_a_reload_waits_for_its_end(tmp_path: Path) -> None:
-    with program(tmp_path, _IN_RELOAD) as process:
+def test_a_stop_signal_during_a_reload_waits_for_its_end(tmp_path: Path) -> None:
+    with serve_process(tmp_path, _SIGNAL_DURING_RELOAD) as process:
         logged(process, '"serving"')
         process.send_signal(signal.SIGHUP)
-        seen = rest(process)
-        assert seen.index('"reloaded"') < seen.index('"stopping"')
+        text = log_until_exit(process)
+        assert text.index('"reloaded"') < text.index('"stopping"')
 
 
-_AFTER = "".join(f"os.kill(os.getpid(), signal.{name}); " for name in ("SIGTERM", "SIGINT", "SIGHUP"))
-_LATE = {
+_SEND_SIGNALS = "".join(f"os.kill(os.getpid(), signal.{name}); " for name in ("SIGTERM", "SIGINT", "SIGHUP"))
+_LATE_SIGNALS = {
     "the loop is closed": f"""
 from ironbarrow.runtime import loop
 real = loop.Loop.close
 def close(self):
     real(self)
-    {_AFTER}
+    {_SEND_SIGNALS}
 loop.Loop.close = close
 """,
-    "Python has taken its handlers away": f"""
+    "Python has removed its handlers": f"""
 class Last:
     def __del__(self, os=os, signal=signal):
-        {_AFTER}
+        {_SEND_SIGNALS}
 last = Last()
 """,
     "the exit begins": f"""
 import atexit
 def leave():
-    {_AFTER}
+    {_SEND_SIGNALS}
 atexit.register(leave)
 """,
 }
 
 
-@pytest.mark.parametrize("moment", _LATE)
-def test_a_signal_in_the_last_instants_does_not_change_the_end(moment: str, tmp_path: Path) -> None:
-    # danger: a descriptor's number that is closed, or handlers that Python has taken away
-    with program(tmp_path, _LATE[moment]) as process:
+@pytest.mark.parametrize("moment", _LATE_SIGNALS)
+def test_a_signal_during_exit_does_not_change_the_exit_status(moment: str, tmp_path: Path) -> None:
+    # Danger: the signal may be written to a closed descriptor, or find its handler already removed by Python.
+    with serve_process(tmp_path, _LATE_SIGNALS[moment]) as process:
         logged(process, '"serving"')
         process.send_signal(signal.SIGTERM)
-        rest(process)
+        log_until_exit(process)
 
 
-def test_a_log_whose_reader_is_gone_does_not_change_the_end(tmp_path: Path) -> None:
-    with program(tmp_path) as process:
+def test_a_log_without_a_reader_does_not_change_the_exit_status(tmp_path: Path) -> None:
+    with serve_process(tmp_path) as process:
         logged(process, '"serving"')
         assert process.stderr is not None
         process.stderr.close()
@@ -450,7 +455,7 @@
 
 
 @pytest.mark.parametrize("deadline_ms", [50, 300, 600, 1000, 2000, 3000, 60_000])
-def test_the_end_comes_after_the_last_answer_and_before_the_earliest_kill(deadline_ms: int) -> None:
+def test_the_exit_comes_after_the_last_answer_and_before_the_earliest_kill(deadline_ms: int) -> None:
     classes = tuple(replace(cls, deadline=deadline_ms * MS) for cls in read_settings(SETTINGS).classes)
     pace = Pace.of(replace(read_settings(SETTINGS), classes=classes))
     earliest_kill = min(deadline_ms, 3000) * MS + 700 * MS
@@ -459,25 +464,27 @@
 
 @pytest.mark.parametrize("deadline_ms", [600, 1000, 3000])
 @pytest.mark.parametrize("answered", [False, True])
-def test_who_keeps_a_connection_open_does_not_hold_up_the_end(deadline_ms: int, answered: bool) -> None:
-    """Guards against a process that SIGKILL finds with connections open under short deadlines (bcef66)."""
+def test_a_client_that_keeps_its_connection_open_does_not_delay_the_exit(
+    deadline_ms: int, answered: bool
+) -> None:
+    """Guards against open connections that delay the exit until SIGKILL, with short deadlines (bcef66)."""
     classes = tuple(
         replace(cls, aim=deadline_ms * MS // 2, deadline=deadline_ms * MS)
         for cls in read_settings(SETTINGS).classes
     )
     stage = Stage(settings=replace(read_settings(SETTINGS), classes=classes))
-    stage.step(f"c1 send {READY}")
+    stage.step(f"c1 send {READY_REQUEST}")
     stage.step("c1 expect 200 OK")
     loop = stage.dispatcher.loop
-    told_at = loop.now()
+    stopped_at = loop.now()
     stage.step("stop")
     if answered:
-        # its answer comes at the last moment, and it does not close either
+        # its answer comes at the last moment, and this client does not close its connection either
         stage.pass_time(min(deadline_ms, 500) / 2000)
         stage.step(f"c2 send {job(ms=9000)}")
         stage.step("p1 expect in$")
         stage.step("c2 expect HTTP/1.1 50")
     stage.step("exits")
-    took = loop.now() - told_at
+    duration = loop.now() - stopped_at
     stage.close()
-    assert took < (deadline_ms + 700) * MS  # the earliest SIGKILL
+    assert duration < (deadline_ms + 700) * MS  # the earliest SIGKILL
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from tests.test_config import ROOT
-from tests.test_shutdown import program
+from tests.test_shutdown import serve_process
 
 PACKAGES = ("ironbarrow", "heathway")
 _CHECKED_HASH = 0b11  # PEP 552
@@ -24,7 +24,7 @@
 
 
 def test_serve_takes_in_no_library_that_it_has_no_use_for(tmp_path: Path) -> None:
-    with program(tmp_path, _MODULES, stdout=subprocess.PIPE) as process:
+    with serve_process(tmp_path, _MODULES, stdout=subprocess.PIPE) as process:
         modules = json.loads(process.communicate(timeout=60)[0])
         assert process.returncode == 0
     assert {"structlog", "h11", "heathway.logic"} <= set(modules)
