--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts: plans, the sequential tests against their stated rates, the coordinator lost at every write."""
+"""Rollouts: plans, rates of false alarms of the sequential tests, loss of the coordinator at every write."""
 
 import math
 import random
@@ -40,7 +40,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _fatal() -> Any:
+def _fatal_invariants() -> Any:
     INVARIANTS.fatal = True
     yield
     INVARIANTS.fatal = False
@@ -79,7 +79,9 @@
         ("[rules]", "[rules", "Expected ']'"),
     ],
 )
-def test_a_wrong_plan_is_named_and_changes_nothing(old: str, new: str, expected: str) -> None:
+def test_an_invalid_plan_is_rejected_with_its_key_and_changes_nothing(
+    old: str, new: str, expected: str
+) -> None:
     field = RolloutField(targets_of(3, 4), seed=1, members=3)
     machine = field.machines["m0"]
     with pytest.raises(PlanError, match=r"^plan\.toml: ") as error:
@@ -88,7 +90,7 @@
     assert machine.led is None and not field.writes and not field.ledgers["m0"].writers
 
 
-def test_a_second_rollout_waits_for_the_first() -> None:
+def test_a_second_rollout_is_rejected_while_one_runs() -> None:
     field = RolloutField(targets_of(3, 4), seed=1, members=3)
     field.start("m0", PLAN)
     field.run(1)
@@ -99,7 +101,7 @@
     assert [*field.ledgers["m0"].writers] == ["rollout/r1"] and not field.ledgers["m1"].writers
 
 
-def test_hours_when_nothing_starts() -> None:
+def test_no_step_starts_in_quiet_hours() -> None:
     plan = parse(PLAN.replace("most_out", 'quiet = ["22:00-06:00", "12:00-12:30"]\nmost_out').encode(), "p")
     hour = 3600 * SECOND
     free = [h for h in range(24) if plan.may_start(19_000 * 24 * hour + h * hour)]
@@ -109,38 +111,40 @@
 # Sequential tests
 
 
-def feed(
-    test: Comparison, draws: np.random.Generator, rates: list[tuple[float, float]], machines: int, jobs: float
+def blocks_until_detected(
+    test: Comparison, rng: np.random.Generator, rates: list[tuple[float, float]], machines: int, jobs: float
 ) -> int | None:
-    """Blocks with these failure rates (new, old); after how many the evidence passed 100, or None."""
+    """Adds blocks with these failure rates (new, old) until the evidence exceeds 100.
+
+    Returns the number of blocks, None if it never does."""
     for number, (new, old) in enumerate(rates, 1):
         block = Block()
         for machine in range(machines):
-            n = int(draws.poisson(jobs))
-            block.new[f"n{machine}"] = (n, int(draws.binomial(n, new)))
-        m = int(draws.poisson(6 * jobs))
-        block.old = (m, int(draws.binomial(m, old)))
+            n = int(rng.poisson(jobs))
+            block.new[f"n{machine}"] = (n, int(rng.binomial(n, new)))
+        m = int(rng.poisson(6 * jobs))
+        block.old = (m, int(rng.binomial(m, old)))
         test.add(block)
         if test.log_all >= math.log(100):
             return number
     return None
 
 
-def test_the_test_of_two_proportions_keeps_its_rate() -> None:
-    # base rates that move from block to block, looked at after each: at most one in a hundred ever passes
-    passed, certain = 0, 0
+def test_proportions_keep_the_stated_rate_of_false_alarms() -> None:
+    # with base rates that change from block to block, evaluated after each: at most 1 in 100 runs detects
+    detected, detected_without_worst = 0, 0
     for seed in range(300):
-        draws = np.random.default_rng(seed)
-        base = draws.choice([0.0, 0.01, 0.05, 0.3]) * draws.uniform(0, 2, 60)
+        rng = np.random.default_rng(seed)
+        base = rng.choice([0.0, 0.01, 0.05, 0.3]) * rng.uniform(0, 2, 60)
         test = Comparison(0.0)
-        passed += feed(test, draws, [(p, p) for p in base], machines=3, jobs=2.0) is not None
-        certain += test.log_e >= math.log(100)
-    assert passed / 300 <= 0.01 and certain <= passed
+        detected += blocks_until_detected(test, rng, [(p, p) for p in base], machines=3, jobs=2.0) is not None
+        detected_without_worst += test.log_e >= math.log(100)
+    assert detected / 300 <= 0.01 and detected_without_worst <= detected
 
 
 @pytest.mark.parametrize("worse_by", [0.0, 0.01])
-def test_a_block_is_worth_no_more_than_one_on_the_average(worse_by: float) -> None:
-    # exactly, over all outcomes: for the guesses that matter and for any true rate
+def test_the_mean_value_of_a_block_is_at_most_one(worse_by: float) -> None:
+    # exactly, over all outcomes, for guesses in use and several true rates
     for p, q in ((0.05, 0.01), (0.5, 0.02), (0.92, 0.3)):
         for rate in (0.001, 0.02, 0.2, 0.6, 0.9):
             for n, m in ((1, 1), (3, 5), (6, 2)):
@@ -153,60 +157,62 @@
                 assert mean <= 1 + 1e-9, (p, q, rate, n, m)
 
 
-def test_pairs_keep_their_rate_and_find_twice_as_slow() -> None:
-    passed, found = 0, []
+def test_pairs_keep_their_rate_and_detect_a_runtime_twice_as_slow() -> None:
+    detected, detection_blocks = 0, []
     for seed in range(120):
-        draws = np.random.default_rng(seed)
-        for odds, results in ((0.57, None), (0.71, found))[: 2 if seed < 40 else 1]:
+        rng = np.random.default_rng(seed)
+        for odds, results in ((0.57, None), (0.71, detection_blocks))[: 2 if seed < 40 else 1]:
             test = Comparison(0.57, pairs=True)
             blocks = 0
             for blocks in range(1, 101):  # noqa: B007
                 block = Block()
                 for machine in range(3):
-                    n = int(draws.poisson(2))
-                    block.new[f"n{machine}"] = (n, int(draws.binomial(n, odds)))
+                    n = int(rng.poisson(2))
+                    block.new[f"n{machine}"] = (n, int(rng.binomial(n, odds)))
                 test.add(block)
                 if (test.log_all if results is None else test.log_e) >= math.log(100):
                     break
             else:
                 blocks = 1000
             if results is None:
-                passed += blocks <= 100
+                detected += blocks <= 100
             else:
                 results.append(blocks)
-    assert passed / 120 <= 0.01
-    assert np.quantile(found, 0.9) <= 90  # of 2 s each
+    assert detected / 120 <= 0.01
+    assert np.quantile(detection_blocks, 0.9) <= 90  # blocks of 2 s
 
 
-def test_one_in_ten_failing_is_found_also_when_it_begins_late() -> None:
-    for late in (0, 15):
-        needed = []
+def test_a_failure_rate_of_ten_percent_is_detected_also_if_it_begins_late() -> None:
+    for begin_block in (0, 15):
+        blocks_needed = []
         for seed in range(60):
-            draws = np.random.default_rng(seed)
-            rates = [(0.01, 0.01)] * late + [(0.1, 0.01)] * 80
-            needed.append(feed(Comparison(0.003), draws, rates, machines=3, jobs=4.0) or 1000)
-        assert np.quantile(needed, 0.95) <= late + 30, needed
+            rng = np.random.default_rng(seed)
+            rates = [(0.01, 0.01)] * begin_block + [(0.1, 0.01)] * 80
+            blocks_needed.append(
+                blocks_until_detected(Comparison(0.003), rng, rates, machines=3, jobs=4.0) or 1000
+            )
+        assert np.quantile(blocks_needed, 0.95) <= begin_block + 30, blocks_needed
 
 
-def test_a_sick_machine_is_not_its_runtime() -> None:
+def test_a_sick_machine_is_not_blamed_on_its_runtime() -> None:
     test = Comparison(0.003)
     for _ in range(30):
         test.add(Block(new={"sick": (5, 4), "a": (5, 0), "b": (5, 0)}, old=(30, 0)))
     assert test.log_all > 50 and test.log_e < 0.5
-    alone = Comparison(0.003)
-    alone.add(Block(new={"sick": (5, 5)}, old=(30, 0)))
-    assert alone.log_all > 5 and alone.log_e <= 0
+    single_machine = Comparison(0.003)
+    single_machine.add(Block(new={"sick": (5, 5)}, old=(30, 0)))
+    assert single_machine.log_all > 5 and single_machine.log_e <= 0
 
 
 # Agents
 
 
-def test_an_agent_refuses_older_epochs_and_does_a_number_once() -> None:
+def test_an_agent_refuses_older_epochs_and_runs_each_number_once() -> None:
     agent, begun = Agent("a0", "1.0"), []
-    orders = [(0, 1), (0, 1), (2, 1), (2, 5), (2, 5), (1, 6), (2, 6), (3, 0), (2, 7), (3, 6), (3, 7)]
-    for epoch, number in orders:
-        begins, answer = agent.handle(Command("r1", epoch, number, "a0", f"r{number}"))
-        if begins:
+    commands = [(0, 1), (0, 1), (2, 1), (2, 5), (2, 5), (1, 6), (2, 6), (3, 0), (2, 7), (3, 6), (3, 7)]
+    for epoch, number in commands:
+        accepted, answer = agent.handle(Command("r1", epoch, number, "a0", f"r{number}"))
+        if accepted:
             begun.append((epoch, number))
         assert answer.refused == (epoch < agent.epoch)
     assert (
@@ -217,69 +223,71 @@
 # The coordinator
 
 
-def judge(field: RolloutField, *, ends: str = "DONE") -> None:
-    """What must hold at the end of any run: each target replaced once, and the rollout ended."""
-    assert field.stage() == ends
+def assert_finished(field: RolloutField, *, expected_stage: str = "DONE") -> None:
+    """Checks the end of a run: the rollout has ended, and each target was replaced exactly once."""
+    assert field.stage() == expected_stage
     assert set(field.replaced("2.0").values()) == {1}
 
 
 def count_writes() -> int:
     field = RolloutField(targets_of(2, 2), seed=1, members=4)
-    field.start("m0", SMALL)
+    field.start("m0", SMALL_PLAN)
     field.run(60)
-    judge(field)
+    assert_finished(field)
     return field.writes
 
 
-SMALL = PLAN.replace("slots = 8", "slots = 4").replace("slots = 16", "slots = 4")
-SMALL = SMALL.replace('"b", "c"]', '"b"]').replace('"3 s"', '"1 s"')
+SMALL_PLAN = PLAN.replace("slots = 8", "slots = 4").replace("slots = 16", "slots = 4")
+SMALL_PLAN = SMALL_PLAN.replace('"b", "c"]', '"b"]').replace('"3 s"', '"1 s"')
 
 
-@pytest.mark.parametrize("counts", [False, True], ids=["before", "after"])
-def test_a_coordinator_lost_at_any_write_skips_and_doubles_nothing(counts: bool) -> None:
-    # killed as it writes, or once the entry counts and it has not heard so
-    for at in range(2, count_writes() + 1):
+@pytest.mark.parametrize("after_commit", [False, True], ids=["before", "after"])
+def test_a_coordinator_lost_at_any_write_neither_skips_nor_repeats_a_step(after_commit: bool) -> None:
+    # killed as it writes, or when the entry is committed but it has not learned of that
+    for write_number in range(2, count_writes() + 1):
         field = RolloutField(targets_of(2, 2), seed=1, members=4)
 
-        def kill(writer: str, number: int, counted: bool, field: Any = field, at: int = at) -> None:
-            if number == at and counted == counts:
+        def kill(
+            writer: str, number: int, committed: bool, field: Any = field, write_number: int = write_number
+        ) -> None:
+            if number == write_number and committed == after_commit:
                 field.crash(writer, down=8 * SECOND)
 
         field.on_write = kill
-        field.start("m0", SMALL)
+        field.start("m0", SMALL_PLAN)
         field.run(45)
-        judge(field)
+        assert_finished(field)
 
 
 def random_load(seed: int, seconds: int = 50, *, losses: bool = False) -> RolloutField:
-    """Members crash and are paused, sites are cut, agents are started anew, messages are lost and doubled,
-    targets are lost and come back; what must never be ends the run."""
+    """Runs a rollout with random faults: members crash and are paused, sites are cut off, agents restart,
+    messages are lost and duplicated, targets are lost and come back. A broken invariant raises an error."""
     field = RolloutField(targets_of(3, 6), seed=seed)
-    draws = random.Random(seed)
+    rng = random.Random(seed)
     field.net.usual.lost, field.net.usual.doubled, field.net.usual.jitter = 0.05, 0.1, 400 * MS
     field.start("m0", PLAN)
     for _ in range(seconds):
         field.run(1)
-        what = draws.random()
+        draw = rng.random()
         names = [name for name in field.machines if field.net.seats[name].node is not None]
-        if what < 0.06 and len(names) > 3:
-            leader = field.leader()
-            field.crash(leader if leader and draws.random() < 0.6 else draws.choice(names), 5 * SECOND)
-        elif what < 0.09:
-            name = draws.choice([n for n in field.net.seats if n.startswith("agent:")])
+        if draw < 0.06 and len(names) > 3:
+            coordinator = field.leader()
+            field.crash(coordinator if coordinator and rng.random() < 0.6 else rng.choice(names), 5 * SECOND)
+        elif draw < 0.09:
+            name = rng.choice([n for n in field.net.seats if n.startswith("agent:")])
             field.net.start(name)
-        elif what < 0.13:
-            one, other = draws.sample(["a", "b", "c"], 2)
-            field.net.cut_sites(one, other)
-        elif what < 0.22:
+        elif draw < 0.13:
+            site, other_site = rng.sample(["a", "b", "c"], 2)
+            field.net.cut_sites(site, other_site)
+        elif draw < 0.22:
             field.net.mend()
-        elif what < 0.26 and losses:
-            box = draws.choice(list(field.boxes.values()))
+        elif draw < 0.26 and losses:
+            box = rng.choice(list(field.boxes.values()))
             box.lost = not box.lost
             box.serving = box.serving and not box.lost
             field.changed(box.target)
-        elif what < 0.28:
-            name = draws.choice(names)
+        elif draw < 0.28:
+            name = rng.choice(names)
             field.net.pause(name)
             field.clock.call_at(field.clock.now() + 4 * SECOND, field.net.resume, name)
     return field
@@ -287,7 +295,7 @@
 
 @pytest.mark.parametrize(("seed", "losses"), [(0, False), (1, False), (2, True)])
 def test_random_load(seed: int, losses: bool) -> None:
-    # a loss that the coordinator has not been told of may break a floor; nothing else does
+    # only a loss that the coordinator does not know yet may break a floor
     field = random_load(seed, losses=losses)
     assert INVARIANTS.checked["floor kept"] and INVARIANTS.checked["a step once"]
     assert losses or not field.broken
@@ -297,19 +305,19 @@
 
 
 def test_each_invariant_catches_its_mutant(monkeypatch: pytest.MonkeyPatch) -> None:
-    with monkeypatch.context() as patch:  # no look at the floors: as many as may be out are taken
+    with monkeypatch.context() as patch:  # floors not checked: as many targets as may be out are taken
         patch.setattr(RolloutMachine, "_above_floors", lambda *_: True)
         field = RolloutField(targets_of(3, 4), seed=1)
         field.start("m0", PLAN.replace("slots = 8", "slots = 12").replace("most_out = 2", "most_out = 4"))
         with pytest.raises(InvariantError, match="floor kept"):
             field.run(60)
-    with monkeypatch.context() as patch:  # what was done is ordered again
+    with monkeypatch.context() as patch:  # steps that are done are started again
         patch.setattr(RolloutMachine, "_was_rolled_back", staticmethod(lambda lead, target: True))
         field = RolloutField(targets_of(3, 4), seed=1)
         field.start("m0", PLAN)
         with pytest.raises(InvariantError, match="a step once"):
             field.run(60)
-    with monkeypatch.context() as patch:  # every site at once
+    with monkeypatch.context() as patch:  # all sites at once
         patch.setattr(
             RolloutMachine,
             "_wave_targets",
@@ -321,6 +329,6 @@
             field.run(60)
     agent = Agent("a0", "1.0")
     agent.handle(Command("r1", 1, 5, "a0", "2.0"))
-    agent.number = 0  # it has forgotten what it had done
+    agent.number = 0  # it has lost the number of its last step
     with pytest.raises(InvariantError, match="a step once"):
         agent.handle(Command("r1", 1, 5, "a0", "2.0"))
