--- a/ironbarrow/admin/server.py
+++ b/ironbarrow/admin/server.py
@@ -113,7 +113,9 @@
                     return
                 if not connection.can_answer():
                     return
-                response = _Response(error.status, str(error) or "request not complete within 1 s")
+                response = _Response(
+                    error.status, str(error) or "the call did not come whole within a second"
+                )
             self._reading.pop(connection, None)
             data = connection.response_bytes(
                 response.status, [_CONTENT_TYPE, ("Connection", "close")], response.text.encode()
@@ -136,10 +138,10 @@
             "/ops/workers/up": ("POST", lambda r: self._change_ban(r, self._operations.worker_up)),
         }
         if path not in routes:
-            return _Response(404, "no such path; there are " + ", ".join(routes) + "\n")
+            return _Response(404, "no such call; there are " + ", ".join(routes) + "\n")
         method, handler = routes[path]
         if request.method != method:
-            return _Response(405, f"{path} expects {method}\n")
+            return _Response(405, f"{path} is called by {method}\n")
         return handler(request)
 
     def _readiness(self, _: Message) -> _Response:
