--- a/ironbarrow/admin/server.py
+++ b/ironbarrow/admin/server.py
@@ -85,7 +85,7 @@
                 if connection is None:
                     break
                 self._open_count += 1
-                connection.used_at = self._loop.now()
+                connection.last_used_at = self._loop.now()
                 self._loop.spawn(self._serve(connection))
 
     def _evict_silent(self) -> bool:
@@ -93,7 +93,7 @@
 
         A connection with bytes to read is served."""
         for connection, task in self._reading.items():
-            if connection.is_silent():
+            if connection.is_idle():
                 task.cancel()
                 return True
         return False
@@ -105,7 +105,7 @@
         try:
             try:
                 request = yield from connection.read_message(
-                    connection.used_at + _REQUEST_TIMEOUT, _MAX_BODY_BYTES
+                    connection.last_used_at + _REQUEST_TIMEOUT, _MAX_BODY_BYTES
                 )
                 response = self._answer(request)
             except ConnectionEndedError as error:
--- a/ironbarrow/fleet/rollout/coordinator.py
+++ b/ironbarrow/fleet/rollout/coordinator.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from heathway import api, warming
+from heathway import api, slow_start
 from ironbarrow.fleet.api import (
     NEVER,
     Action,
@@ -511,7 +511,7 @@
             out = pending is not None and (pending.command_sent or not pending.answered or pending.begun)
             fraction = 1.0 if listed.up and not out else 0.0
             if fraction and listed.started_at and self._settings is not None:
-                fraction = warming.capacity(self._settings, listed.started_at, unix_time)
+                fraction = slow_start.guaranteed_capacity(self._settings, listed.started_at, unix_time)
             found[name] = TargetCapacity(listed.target, fraction, listed.started_at if fraction < 1 else 0)
         return found
 
--- a/ironbarrow/fleet/rollout/sizing.py
+++ b/ironbarrow/fleet/rollout/sizing.py
@@ -2,14 +2,14 @@
 
 Danger: the load of a worker taken out moves to the others, and each started worker is cold. If the warm
 workers can't carry the load, all dispatchers turn to the cold ones at once, and a cold worker that is sent a
-multiple of its capacity collapses. ``heathway.warming`` divides a cold worker's budget among the dispatchers;
-here the batch is kept so small that the load left for cold workers fits into their budgets.
+multiple of its capacity collapses. ``heathway.slow_start`` divides a cold worker's budget among the
+dispatchers; here the batch is kept so small that the load left for cold workers fits into their budgets.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from heathway import api, warming
+from heathway import api, slow_start
 from ironbarrow.fleet.rollout.plan import Floor, Target
 
 WARM_UTILIZATION = 0.9  # part of the warm workers' slots that can be in use before jobs have to wait
@@ -29,8 +29,13 @@
 
     These are the jobs that fit into its budget, divided by the budget's window. ``size``: its slots; ``age``:
     since its start, ns; ``mean_duration``: of a job, ns."""
-    budget = settings.fall_multiple * warming.capacity(settings, 0, age) * settings.fall_window * size
-    return warming.jobs_within(budget, mean_duration) * mean_duration / settings.fall_window
+    budget = (
+        settings.fall_multiple
+        * slow_start.guaranteed_capacity(settings, 0, age)
+        * settings.fall_window
+        * size
+    )
+    return slow_start.jobs_within(budget, mean_duration) * mean_duration / settings.fall_window
 
 
 def sustainable_load(
--- a/ironbarrow/handover/upgrade.py
+++ b/ironbarrow/handover/upgrade.py
@@ -32,7 +32,7 @@
 class Front(Protocol):
     """Serves the clients' connections."""
 
-    asking: dict[Job, tuple[Connection, Task]]
+    awaiting_answer: dict[Job, tuple[Connection, Task]]
 
     def adopt(self, sock: socket.socket, start_job: _StartJob) -> Task:
         """Answers a client whose request another process has read. Cancelling the task closes the
@@ -154,7 +154,7 @@
     # The old process
 
     def _hand_over_jobs(self) -> None:
-        for job, (connection, task) in list(self._front.asking.items()):
+        for job, (connection, task) in list(self._front.awaiting_answer.items()):
             record = self._make_record(job) if not connection.has_unread else None
             if record is None or not self._send_job(record, connection.sock):
                 continue
--- a/ironbarrow/lab/capacity/costs.py
+++ b/ironbarrow/lab/capacity/costs.py
@@ -11,8 +11,8 @@
 from heathway.logic import Dispatcher
 from heathway.state import Worker
 from ironbarrow.core.host import Host
-from ironbarrow.discovery.client import Discovery as Client
-from ironbarrow.discovery.client import _Objects
+from ironbarrow.discovery.client import DiscoveryClient as Client
+from ironbarrow.discovery.client import _ObjectSplitter
 from ironbarrow.fleet.api import job_ledger
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.records import Stage, put
@@ -77,7 +77,7 @@
         self.host = Host(self._loop, fleet_settings(dispatchers), 0)
         self.host.invoker = IdleInvoker()
         self._client = Client(self._loop, ("127.0.0.1", 9), self.host.workers_listed)
-        self._objects = _Objects()
+        self._objects = _ObjectSplitter()
 
     @staticmethod
     def _failed(error: Exception) -> None:
@@ -86,7 +86,7 @@
     def read(self, line: bytes) -> None:
         """Takes in one line."""
         for text in self._objects.feed(line):
-            self._client._take(self._client._source, json.loads(text))
+            self._client._apply(self._client._source, json.loads(text))
 
     def close(self) -> None:
         """Lets go of its descriptors."""
@@ -130,7 +130,7 @@
     """Turns with room, then turns in which all workers are full and jobs wait."""
     now = 1_700_000_000 * SECOND
     dispatcher = CountingDispatcher(fleet_settings(230), 0)
-    dispatcher._service[TASK.name].mean = float(_RUNS)
+    dispatcher._service_time[TASK.name].mean = float(_RUNS)
     dispatcher.handle(now, [whole_list(size)])
     placed: list[float] = []
     for number in range(1, _TURNS + 1):
@@ -140,7 +140,7 @@
         placed.append(1000 * (time.process_time() - began))
         dispatcher.handle(now + MS, _ends(actions))
     for worker in dispatcher._workers.values():
-        worker.size, worker.others, worker.told_at = 2.4, 24.0, now
+        worker.size, worker.peer_slots, worker.load_observed_at = 2.4, 24.0, now
     # of sessions that are known: others would not be let in
     waiting = [replace(_arrived(n), job=_TURNS + n) for n in range(_TURNS - _HELD, _TURNS)]
     dispatcher.handle(now, waiting)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,12 +17,12 @@
 from ironbarrow.handover.pending import PendingJob, PendingJobs
 from ironbarrow.handover.records import Record
 from ironbarrow.runtime.sockets import listen
-from tests.scenario import Stage, answer, call_back, job
+from tests.scenario import Harness, answer, call_back, job
 
 ACCEPTED = answer(202)
 
 
-class Pair(Stage):
+class Pair(Harness):
     """An old process and, once it is started, the one that replaces it.
 
     ``new`` starts it; ``c*`` then still talk to the old one and ``n*`` to the new one.
@@ -39,7 +39,7 @@
             assert self.new._operations.is_ready()  # once this is seen the old one may be stopped at once
         elif line == "again":
             # the new one is replaced in turn: from here on it is the old one
-            self.until("old one gone", lambda: self.dispatcher.loop.stopped)
+            self.run_until("old one gone", lambda: self.dispatcher.loop.stopped)
             assert self.new is not None
             self.dispatcher.close()
             self.dispatcher, self.address = self.new, self.new.listener.getsockname()
@@ -58,15 +58,15 @@
             else:
                 super().step(line)
 
-    def pass_time(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         for part in itertools.repeat(seconds / 4, 4):
-            super().pass_time(part)
+            super().run_for(part)
             if self.new is not None:
                 for _ in range(4):
                     self.new.loop.call_at(self.new.loop.now(), lambda: None)
                     self.new.loop.turn()
                 for peer in self.peers.values():
-                    peer.look()
+                    peer.receive()
 
     def close(self) -> None:
         super().close()
@@ -206,7 +206,7 @@
 @pytest.mark.parametrize("name", REPEATED_CALL_BACKS)
 def test_a_booking_handed_over_is_not_run_twice(tmp_path: Path, name: str) -> None:
     """Guards against a booking sent again because of a call-back for an earlier attempt (bcef66)."""
-    Pair(tmp_path).play(REPEATED_CALL_BACKS[name])
+    Pair(tmp_path).run(REPEATED_CALL_BACKS[name])
 
 
 @pytest.mark.parametrize("name", REPORTED_STARTS)
@@ -223,15 +223,15 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_an_old_process_and_its_successor(tmp_path: Path, name: str) -> None:
-    Pair(tmp_path).play(SCENARIOS[name])
+    Pair(tmp_path).run(SCENARIOS[name])
     assert not list(tmp_path.glob("ironbarrow-*.[0-9]*"))
 
 
 def test_without_a_folder_it_serves_without_hand_over(tmp_path: Path) -> None:
     for folder in (None, tmp_path / "missing"):
-        scenario = Stage(admin=("127.0.0.1", 0), folder=folder)
+        scenario = Harness(admin=("127.0.0.1", 0), folder=folder)
         assert scenario.dispatcher._upgrade is None
-        scenario.play(f"c1 send {job()}\np1 expect X-Request-ID: j1")
+        scenario.run(f"c1 send {job()}\np1 expect X-Request-ID: j1")
 
 
 RECORD = Record("j1", "map", "POST", "/map", b"\x00in", "text/x", 1_000, 1, "p1")
@@ -344,7 +344,7 @@
         successor.loop.turn(wait=False)
         return not channel._queue
 
-    pair.until("sent at last", is_sent)
+    pair.run_until("sent at last", is_sent)
     assert not channel._sock.errors
     pair.step("c1 expect HTTP/1.1 200 .*out$")
     successor.close()
@@ -409,13 +409,13 @@
 
 
 def test_descriptors_of_an_invalid_message_are_closed(tmp_path: Path) -> None:
-    scenario = Stage(admin=("127.0.0.1", 0), folder=tmp_path)
+    scenario = Harness(admin=("127.0.0.1", 0), folder=tmp_path)
     own_end, sent_end = socket.socketpair()
     sender = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     sender.connect(scenario.dispatcher._upgrade._channel.path)
     socket.send_fds(sender, [b"{"], [sent_end.fileno()])
     sent_end.close()
-    scenario.pass_time(0.05)
+    scenario.run_for(0.05)
     assert own_end.recv(1) == b""
     own_end.close()
     sender.close()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -20,17 +20,17 @@
 
 from heathway.settings import read_settings
 from ironbarrow.daemon.dispatcher import Pace
-from ironbarrow.fronts.clients import Clients
+from ironbarrow.fronts.server import HttpServer
 from ironbarrow.runtime.loop import MS, SECOND
-from tests.scenario import SETTINGS, Peer, Stage, answer, call_back, job
+from tests.scenario import SETTINGS, Harness, Peer, answer, call_back, job
 from tests.test_config import ROOT, UNUSED, logged, written
 
 ACCEPTED = answer(202)
 READY_REQUEST = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
 
 
-def stage_with_pace(**times: int) -> Stage:
-    stage = Stage()
+def stage_with_pace(**times: int) -> Harness:
+    stage = Harness()
     stage.dispatcher.pace = replace(stage.dispatcher.pace, **{name: ms * MS for name, ms in times.items()})
     return stage
 
@@ -197,7 +197,7 @@
 
 
 def test_stopping_finishes_accepted_jobs_and_serves_late_ones() -> None:
-    stage_with_pace(still_coming=500, last_answer=60_000).play(
+    stage_with_pace(still_coming=500, last_answer=60_000).run(
         f"""
         c1 send {job()}
         p1 expect in$
@@ -227,22 +227,22 @@
     stage = stage_with_pace(last_answer=600)
     idle = f"c1 send {READY_REQUEST}\nc1 expect 200\nstop\nwait 50\nc1 silent 50\n"
     booking = f"c1 send {job(path='book/x', ms=25000)}\np1 expect in$\np1 send {ACCEPTED}\n"
-    stage.play(f"{idle}{booking}c1 expect ^HTTP/1.1 500")
+    stage.run(f"{idle}{booking}c1 expect ^HTTP/1.1 500")
 
 
 def test_a_client_that_connects_before_the_last_check_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     stage = stage_with_pace(still_coming=0)
-    original = Clients.busy
+    original = HttpServer.has_connections
     steps_left = iter((f"c1 send {job()}",))
 
-    def busy(self: Clients) -> bool:
+    def busy(self: HttpServer) -> bool:
         for step in steps_left:
             stage.step(step)
         assert original.fget is not None
         return bool(original.fget(self))
 
-    monkeypatch.setattr(Clients, "busy", property(busy))
-    stage.play(f"stop\n{served('j1').strip()}\nexits")
+    monkeypatch.setattr(HttpServer, "has_connections", property(busy))
+    stage.run(f"stop\n{served('j1').strip()}\nexits")
 
 
 def test_a_client_that_connects_after_the_last_check_is_refused_not_reset(
@@ -260,7 +260,7 @@
 
     original = loop.stop
     monkeypatch.setattr(loop, "stop", lambda: (connect(), original()))
-    stage.play("stop\nexits")
+    stage.run("stop\nexits")
     assert results == [111]
 
 
@@ -277,11 +277,11 @@
             hand_over=fail, jobs_pending=0, jobs_handed_over=0, close=lambda: None
         )
     elif part == "closing":
-        monkeypatch.setattr(Clients, "close_idle", fail)
+        monkeypatch.setattr(HttpServer, "close_idle", fail)
     else:
         monkeypatch.setattr("ironbarrow.daemon.dispatcher.log", SimpleNamespace(info=fail, error=fail))
     stage.dispatcher.loop.soon(stage.dispatcher.stop)
-    stage.play("exits")
+    stage.run("exits")
 
 
 @pytest.mark.parametrize(
@@ -472,7 +472,7 @@
         replace(cls, aim=deadline_ms * MS // 2, deadline=deadline_ms * MS)
         for cls in read_settings(SETTINGS).classes
     )
-    stage = Stage(settings=replace(read_settings(SETTINGS), classes=classes))
+    stage = Harness(settings=replace(read_settings(SETTINGS), classes=classes))
     stage.step(f"c1 send {READY_REQUEST}")
     stage.step("c1 expect 200 OK")
     loop = stage.dispatcher.loop
@@ -480,7 +480,7 @@
     stage.step("stop")
     if answered:
         # its answer comes at the last moment, and this client does not close its connection either
-        stage.pass_time(min(deadline_ms, 500) / 2000)
+        stage.run_for(min(deadline_ms, 500) / 2000)
         stage.step(f"c2 send {job(ms=9000)}")
         stage.step("p1 expect in$")
         stage.step("c2 expect HTTP/1.1 50")
