--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -150,7 +150,7 @@
     result = run.run()
     return {
         "starts": run.starts("2.0"),
-        "numbers": {n: seat.agent.done for n, seat in run.seats.items()},
+        "numbers": {n: seat.agent.begun for n, seat in run.seats.items()},
         "ends": sum(len(instance.ended_at) for instance in run.instances),
         "stops": run.stops,
         "cut off": result.notes["fleet"]["frames"].get("cut off", 0),
