--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -146,14 +146,14 @@
         if config.fleet is not None:
             self._join_fleet(config, config.fleet)
         if config.admin is not None:
-            from ironbarrow.admin.door import Door
+            from ironbarrow.admin.server import AdminServer
 
             if self.fleet is None:
                 # in a fleet, the other members take over the jobs that a process leaves
                 self._open_hand_over(config)
             admin = config.admin
             self.admin_listener = retry_transient(lambda: listen(admin))
-            Door(self.loop, self.admin_listener, self._operations)
+            AdminServer(self.loop, self.admin_listener, self._operations)
 
     def _join_fleet(self, config: Config, path: Path) -> None:
         """Makes this process a member of the fleet that the file at ``path`` describes; from here on its
@@ -191,8 +191,8 @@
         except OSError as error:
             log.warning("hand-over to a new process is off", folder=str(config.folder), error=str(error))
             return
-        self._operations.announced = self._upgrade.announce
-        self._operations.kept = lambda: self._upgrade.owed
+        self._operations.announce_ready = self._upgrade.announce
+        self._operations.pending_jobs = lambda: self._upgrade.jobs_pending
 
     def _on_call_back(self, raw: Any) -> None:
         if self.invoker.called_back(raw):
@@ -200,11 +200,11 @@
         if self.fleet is not None:
             self.fleet.on_unmatched_call_back(raw)
         elif self._upgrade is not None:
-            self._upgrade.stray(raw)
+            self._upgrade.on_unmatched_call_back(raw)
 
     def _on_worker_list(self, worker_list: api.WorkerList) -> None:
         self.host.update_workers(
-            worker_list if self._operations is None else self._operations.listed(worker_list)
+            worker_list if self._operations is None else self._operations.apply_bans(worker_list)
         )
 
     def run(self) -> None:
@@ -370,7 +370,9 @@
 
     def _finish_when_done(self) -> None:
         # danger: the listener stays open to the end, because workers' call-backs arrive through it
-        other_owed = self._upgrade.owed + self._upgrade.handed_over if self._upgrade is not None else 0
+        other_owed = (
+            self._upgrade.jobs_pending + self._upgrade.jobs_handed_over if self._upgrade is not None else 0
+        )
         other_owed += self.fleet.adapter.owed if self.fleet is not None else 0
         # danger: a connection whose peer never closes its side would delay the end until SIGKILL
         has_open_connections = self.server.has_connections and self.loop.now() < self._connections_until
