--- a/ironbarrow/routing/router.py
+++ b/ironbarrow/routing/router.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from heathway import api
-from ironbarrow.routing.buckets import Adaptive, Gate, Rates, RetryBudget
 from ironbarrow.routing.file import Limits
+from ironbarrow.routing.limiters import Adaptive, Gate, Rates, RetryBudget
 from ironbarrow.routing.request import Request
 from ironbarrow.routing.table import CompiledRoute, Table, joined
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -15,11 +15,11 @@
 from heathway.settings import read_settings
 from ironbarrow.cli.main import app
 from ironbarrow.config import ConfigError
-from ironbarrow.routing.buckets import SECOND, Rates, RetryBudget
 from ironbarrow.routing.check import FUNCTIONS, NAMES, check
 from ironbarrow.routing.evaluate import compiled, evaluate
 from ironbarrow.routing.file import RoutesError, load, schema
 from ironbarrow.routing.grammar import DEEPEST, ExpressionError, Type, parse
+from ironbarrow.routing.limiters import SECOND, Rates, RetryBudget
 from ironbarrow.routing.request import PathError, Request, make_request, split_path
 from ironbarrow.routing.router import Router, Ticket, Turned
 from ironbarrow.routing.table import Table
