--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -579,7 +579,7 @@
         assert done.exit_code == code, done.output
         return done.output
 
-    assert "good: 2 routes, 3 limits" in run("check", str(path), *known)
+    assert "valid: 2 routes, 3 limits" in run("check", str(path), *known)
     assert json.loads(run("check", str(path), *known, "--json"))["findings"] == []
     assert "timeout = 8000000000   #" in run("show", str(path), *known)
     told = json.loads(run("explain", str(path), "/map/7", *known, "-H", "X-Farm: Hof", "--json"))
