--- a/ironbarrow/cli/scale.py
+++ b/ironbarrow/cli/scale.py
@@ -1,4 +1,4 @@
-"""``ironbarrow lab scale``: a fleet of a part of the expected size on loopback, measured."""
+"""``ironbarrow lab scale``: measures a fleet of a fraction of the expected size on loopback."""
 
 import json
 from importlib.util import find_spec
@@ -18,20 +18,28 @@
 def scale(
     sizes: Annotated[
         list[str] | None,
-        typer.Option("--size", help="1-8, 1-4, 1-2 or whole; may be given again.", show_default="1-8"),
+        typer.Option(
+            "--size",
+            help="Fraction of the expected size: 1-8, 1-4, 1-2 or whole; repeatable.",
+            show_default="1-8",
+        ),
     ] = None,
     dispatchers: Annotated[
-        int, typer.Option(help="Another number of dispatchers than the size has; 0: its own.", min=0, max=250)
+        int,
+        typer.Option(
+            help="Number of dispatchers, in place of the size's own; 0: the size's own.", min=0, max=250
+        ),
     ] = 0,
     out: Annotated[Path, typer.Option(help="Folder for the results.")] = RESULTS,
     tables: Annotated[
-        bool, typer.Option("--tables", help="Print the tables of the results there; play nothing.")
+        bool, typer.Option("--tables", help="Print tables of the existing results; run nothing.")
     ] = False,
     as_json: Annotated[bool, typer.Option("--json", help="Print JSON instead of tables.")] = False,
 ) -> None:
-    """Play a fleet of a part of the expected size: real processes beside hollow dispatchers and workers.
+    """Run a fleet of a fraction of the expected size: a few real processes beside many hollow ones.
 
-    Calm, then one fault of each kind. A run that was late is repeated at the next smaller size.
+    Many hollow dispatchers or workers share one process. Runs without faults first, then with one fault of
+    each kind. A run whose load generator fell behind its schedule is repeated at the next smaller size.
     """
     if find_spec("msgspec") is None:
         _fail("a scale run needs the packages of requirements-lab.txt: msgspec is missing")
@@ -41,35 +49,40 @@
     if tables:
         paths = sorted(path for name in SIZES for path in out.glob(f"scale-{name}*.json"))
         if not paths:
-            _fail(f"{out}: no results there")
-        _show([read(path) for path in paths], as_json)
+            _fail(f"{out}: no results found")
+        _print_results([read(path) for path in paths], as_json)
         return
     unknown = [name for name in sizes or () if name not in SIZES]
     if unknown:
         _fail(f"--size: expected some of {', '.join(SIZES)}, got {unknown[0]!r}")
-    _show(_play_all(sizes or ["1-8"], dispatchers, out), as_json)
+    _print_results(_run_sizes(sizes or ["1-8"], dispatchers, out), as_json)
 
 
-def _play_all(names: list[str], dispatchers: int, out: Path) -> list[Any]:
-    """The results by size; after a late run, the next smaller size is played too."""
+def _run_sizes(names: list[str], dispatchers: int, out: Path) -> list[Any]:
+    """Runs the sizes and returns their results; after a late run, the next smaller size runs too."""
     from ironbarrow.lab.scale.result import write
     from ironbarrow.lab.scale.target import SIZES
 
-    smaller = dict(zip(list(SIZES)[1:], SIZES, strict=False))
-    waiting, results = list(dict.fromkeys(names)), {}
-    while waiting:
-        name = waiting.pop(0)
-        result = results[name] = _play(name, dispatchers)
+    smaller_size = dict(zip(list(SIZES)[1:], SIZES, strict=False))
+    pending, results = list(dict.fromkeys(names)), {}
+    while pending:
+        name = pending.pop(0)
+        result = results[name] = _run_size(name, dispatchers)
         write(result, out / f"scale-{result.size}.json")
         if result.stopped:
             break
-        next_one = smaller.get(name)
-        if result.late and next_one is not None and next_one not in results and next_one not in waiting:
-            waiting.insert(0, next_one)
+        next_smaller = smaller_size.get(name)
+        if (
+            result.late
+            and next_smaller is not None
+            and next_smaller not in results
+            and next_smaller not in pending
+        ):
+            pending.insert(0, next_smaller)
     return list(results.values())
 
 
-def _play(name: str, dispatchers: int) -> Any:
+def _run_size(name: str, dispatchers: int) -> Any:
     from ironbarrow.lab.scale.children import ChildError
     from ironbarrow.lab.scale.limits import LimitError
     from ironbarrow.lab.scale.live import ScaleRun, StartError
@@ -83,10 +96,10 @@
     except (ChildError, LimitError, StartError) as error:
         _fail(f"{name}: {error}", 1)
     except OSError as error:
-        _fail(f"{name}: no sockets or processes for a run: {error}", 1)
+        _fail(f"{name}: can't open sockets or start processes: {error}", 1)
 
 
-def _show(results: list[Any], as_json: bool) -> None:
+def _print_results(results: list[Any], as_json: bool) -> None:
     import msgspec
 
     from ironbarrow.lab.scale.result import tables
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -557,7 +557,7 @@
         made.stopped = stopped
         return made
 
-    monkeypatch.setattr(command, "_play", run)
+    monkeypatch.setattr(command, "_run_size", run)
     CliRunner().invoke(main.app, ["lab", "scale", "--size", "1-4", "--out", str(tmp_path)])
     assert [path.name for path in sorted(tmp_path.iterdir())] == sorted(f"scale-{n}.json" for n in played)
     return played
