--- a/ironbarrow/fleet/members/machine.py
+++ b/ironbarrow/fleet/members/machine.py
@@ -1,10 +1,10 @@
-"""The member machine: it wires the parts of one member together and runs them. No input or output.
+"""The member machine: connects the components of one member and drives them. It does no I/O itself.
 
-Each member probes one other in every period (``failure_detector``). Who can't be reached is suspected, which
-everybody hears, itself too (``suspicion``): it refutes that by a higher version of its card
-(``local_member``). What nobody refutes in time is a death. All that is heard is merged (``merge``) and
-travels on with other messages (``dissemination``); now and then two members compare a part of their tables
-(``sync``).
+Each member probes one other member per period (``failure_detector``). A member that cannot be reached becomes
+SUSPECT, and the suspicion is disseminated to all members, the suspect included (``suspicion``). The suspect
+refutes it by raising the version of its card (``local_member``); a suspicion that is not refuted in time
+becomes DEAD. Received rumours are merged into the table (``merge``) and piggybacked on later messages
+(``dissemination``); from time to time two members compare a partition of their tables (``sync``).
 """
 
 import random
@@ -17,24 +17,36 @@
 from ironbarrow.fleet.members.context import MemberContext
 from ironbarrow.fleet.members.dissemination import Dissemination
 from ironbarrow.fleet.members.failure_detector import FailureDetector
+from ironbarrow.fleet.members.known_state import latest_known_state
 from ironbarrow.fleet.members.local_health import LocalHealth
 from ironbarrow.fleet.members.local_member import LocalMember
 from ironbarrow.fleet.members.merge import RumourMerger
-from ironbarrow.fleet.members.messages import RANK, Ack, Ask, Cards, Ping, Rumour, Sync, Want
+from ironbarrow.fleet.members.messages import (
+    RANK_BY_HEALTH,
+    Ack,
+    CardRequest,
+    Ping,
+    PingRequest,
+    Rumour,
+    RumourBatch,
+    Sync,
+)
 from ironbarrow.fleet.members.probe_schedule import ProbeSchedule
 from ironbarrow.fleet.members.suspicion import Suspicions
 from ironbarrow.fleet.members.sync import Synchronizer
 from ironbarrow.fleet.members.table import MembershipTable
 from ironbarrow.fleet.members.transitions import Transitions
 from ironbarrow.fleet.members.validation import health_from_rank
-from ironbarrow.fleet.members.views import seen_state
 
 
 class MemberMachine:
-    """The membership of one member. ``seeds``: names that it knows from its file, none of them its own;
-    ``known``: cards of others that an earlier incarnation of it held alive."""
+    """The membership protocol of one member.
 
-    handles: tuple[type[Message], ...] = (Ping, Ack, Ask, Sync, Cards, Want)
+    ``seeds``: names of the configured seeds, without its own; ``known_cards``: cards of the members that an
+    earlier incarnation of this member knew as alive.
+    """
+
+    handles: tuple[type[Message], ...] = (Ping, Ack, PingRequest, Sync, RumourBatch, CardRequest)
 
     def __init__(
         self,
@@ -42,7 +54,7 @@
         rules: MemberRules,
         seeds: Iterable[str] = (),
         now: int = 0,
-        known: Iterable[Card] = (),
+        known_cards: Iterable[Card] = (),
     ) -> None:
         self.rules = rules
         self.seeds = tuple(sorted(seeds))
@@ -58,83 +70,85 @@
         self._synchronizer = Synchronizer(
             context, self._dissemination, transitions, self._merger, self.seeds, now
         )
-        for card in known:
-            self._merger.merge(now, Rumour(card.incarnation, card.version, RANK[Health.ALIVE], card=card))
+        for card in known_cards:
+            self._merger.merge(
+                now, Rumour(card.incarnation, card.version, RANK_BY_HEALTH[Health.ALIVE], card=card)
+            )
 
-    # Questions
+    # Queries
 
     @property
     def me(self) -> Card:
-        """The present card of this member."""
+        """The current card of this member."""
         return self._table.own_card
 
     @property
     def dropped(self) -> Counter[str]:
-        """What was received and not used, by cause."""
+        """Counts of ignored messages and rumours, by cause."""
         return self._context.dropped
 
     @property
     def local_health(self) -> LocalHealth:
-        """How slow this member itself seems to be."""
+        """The score of how slow this member itself seems to be."""
         return self._context.local_health
 
     @property
-    def refuted(self) -> int:
-        """Suspicions of this member that it has refuted."""
-        return self._local_member.refuted
+    def refutations(self) -> int:
+        """How many suspicions of itself this member has refuted."""
+        return self._local_member.refutations
 
     def alive(self) -> Sequence[Member]:
-        """The members that are ALIVE or SUSPECT and this one, in order of name."""
+        """All ALIVE and SUSPECT members and this one, sorted by name."""
         return self._table.alive()
 
     def health(self, incarnation: Incarnation) -> Health | None:
-        """What an incarnation is held for; None if nothing is known of it."""
+        """The known health of an incarnation; None if it is unknown."""
         return self._table.health(incarnation)
 
     def card(self, name: str) -> Card | None:
-        """The newest card of a name, dead or alive."""
+        """The newest card of a member, dead or alive; None if it is unknown."""
         return self._table.card(name)
 
     def known(self) -> Sequence[Member]:
-        """All others, also the dead and those that left, in order of name."""
+        """All other members, including DEAD and LEFT ones, sorted by name."""
         return self._table.known()
 
-    def sites_out_of_sight(self) -> list[str]:
-        """Other sites of which no known member is ALIVE and at least one neither that nor LEFT."""
-        return self._table.sites_out_of_sight()
+    def unreachable_sites(self) -> list[str]:
+        """Other sites without any ALIVE member, except sites whose members have all LEFT; sorted."""
+        return self._table.unreachable_sites()
 
-    # Orders
+    # Commands
 
     def announce_ledgers(self, ledgers: tuple[LedgerLocation, ...]) -> list[Action]:
-        """Tells all others where the ledgers are that this member writes."""
+        """Publishes where the ledgers are that this member writes."""
         self._local_member.set_ledgers(ledgers)
         self._dissemination.gossip()
         return self._context.outbox.drain()
 
-    def fronts(self, front: str) -> list[Action]:
-        """Tells all others that clients and workers reach this member at another address now."""
+    def announce_front(self, front: str) -> list[Action]:
+        """Publishes a new address (``host:port``) for clients and workers."""
         self._local_member.set_front(front)
         self._dissemination.gossip()
         return self._context.outbox.drain()
 
     def leave(self, now: int) -> list[Action]:
-        """Leaves in good order: this member is LEFT to all others, and probes nobody any more."""
+        """Leaves gracefully: announces this member as LEFT and stops probing."""
         self._context.leaving = True
         self._detector.cancel_probes()
         self._dissemination.announce_leaving()
         return self._context.outbox.drain()
 
-    def doubted(self, now: int, name: str) -> list[Action]:
-        """Probes a member at once: a connection to it broke or was refused."""
-        self._notice_stop(now)
+    def connection_lost(self, now: int, name: str) -> list[Action]:
+        """Probes a member at once, because a connection to it broke or was refused."""
+        self._compensate_for_pause(now)
         self._detector.on_connection_lost(now, name)
         return self._context.outbox.drain()
 
     # Messages
 
     def received(self, now: int, sender: Incarnation, message: Any) -> list[Action]:
-        """Takes in a message of another member."""
-        self._notice_stop(now)
+        """Handles a message from another member."""
+        self._compensate_for_pause(now)
         if sender.name == self._table.own_name:
             self._local_member.on_rumour(sender, self.me.version, Health.ALIVE)
         elif self._note_sender(now, sender):
@@ -144,12 +158,12 @@
         return self._context.outbox.drain()
 
     def _note_sender(self, now: int, sender: Incarnation) -> bool:
-        """Notes that a member is heard; False if it had left."""
-        self._detector.heard(now)
+        """Records that a message has arrived; False if its sender has LEFT."""
+        self._detector.note_message(now)
         entry = self._table.of_incarnation(sender)
         if entry is None:
             return True
-        entry.last_heard_at = now
+        entry.last_message_at = now
         return entry.health is not Health.LEFT
 
     def _dispatch(self, now: int, sender: Incarnation, message: Any) -> None:
@@ -157,40 +171,44 @@
             self._on_ping(now, sender, message)
         elif isinstance(message, Ack):
             self._on_ack(now, sender, message)
-        elif isinstance(message, Ask):
-            self._merger.merge_all(now, message.news)
-            self._detector.relays.on_request(now, sender, message)
+        elif isinstance(message, PingRequest):
+            self._merger.merge_all(now, message.piggybacked)
+            self._detector.relayed_probes.on_request(now, sender, message)
         elif isinstance(message, Sync):
             self._synchronizer.on_sync(now, sender, message)
-        elif isinstance(message, Cards):
-            self._synchronizer.on_cards(now, message)
-        elif isinstance(message, Want):
-            self._synchronizer.on_want(now, sender, message)
+        elif isinstance(message, RumourBatch):
+            self._synchronizer.on_rumour_batch(now, message)
+        elif isinstance(message, CardRequest):
+            self._synchronizer.on_card_request(now, sender, message)
 
     def _on_ping(self, now: int, sender: Incarnation, ping: Ping) -> None:
-        self._local_member.on_rumour(self.me.incarnation, ping.seen, health_from_rank(ping.seen_health))
-        self._merger.merge_all(now, ping.news)
-        seen = seen_state(self._table, sender)
-        first = [self.me.incarnation.name] if ping.seen < self.me.version else []
+        self._local_member.on_rumour(
+            self.me.incarnation, ping.known_version, health_from_rank(ping.known_health)
+        )
+        self._merger.merge_all(now, ping.piggybacked)
+        known_state = latest_known_state(self._table, sender)
+        first = [self.me.incarnation.name] if ping.known_version < self.me.version else []
         entry = self._table.get(sender.name)
         if entry is not None and entry.incarnation.start > sender.start:
-            first.append(sender.name)  # it is told that it has been replaced
+            first.append(sender.name)  # tells the sender that a later incarnation has replaced it
         rumours = self._dissemination.select(to=sender.name, first=first)
-        self._context.outbox.send(sender, Ack(ping.number, self.me.version, *seen, rumours))
+        self._context.outbox.send(sender, Ack(ping.number, self.me.version, *known_state, rumours))
 
     def _on_ack(self, now: int, sender: Incarnation, ack: Ack) -> None:
-        self._merger.merge_all(now, ack.news)
-        if ack.about is None:
-            self._local_member.on_rumour(self.me.incarnation, ack.seen, health_from_rank(ack.seen_health))
-            if ack.seen < self.me.version and not self._context.leaving:
-                self._synchronizer.send_cards(sender, [self._dissemination.own_rumour()], synced=False)
+        self._merger.merge_all(now, ack.piggybacked)
+        if ack.relayed_target is None:
+            self._local_member.on_rumour(
+                self.me.incarnation, ack.known_version, health_from_rank(ack.known_health)
+            )
+            if ack.known_version < self.me.version and not self._context.leaving:
+                self._synchronizer.send_rumours(sender, [self._dissemination.own_rumour()], from_sync=False)
         self._detector.on_ack(now, sender, ack)
 
     # Time
 
     def ticked(self, now: int) -> list[Action]:
-        """Does what is due."""
-        self._notice_stop(now)
+        """Runs all due timers."""
+        self._compensate_for_pause(now)
         self._detector.tick_probes(now)
         self._suspicions.tick(now)
         self._detector.tick_period(now)
@@ -199,22 +217,28 @@
         return self._context.outbox.drain()
 
     def next_at(self) -> int:
-        """When ``ticked`` is due next, ns; NEVER if nothing is planned."""
+        """When ``ticked`` is due next, ns; NEVER if no timer is set."""
         return min(self._timers_due_at(), self._dissemination.next_at())
 
     def _timers_due_at(self) -> int:
-        """When something but gossip is due: that is put off and taken up without the time being known."""
+        """When the next timer other than gossip is due, ns.
+
+        Gossip is left out because calls without the time can start it: it would look overdue after those.
+        """
         return min(self._detector.next_at(), self._suspicions.next_at(), self._synchronizer.next_at())
 
-    def _notice_stop(self, now: int) -> None:
-        """Postpones all time-outs if this process was stopped: it finds them past before it has read what
-        came meanwhile. It was away, not the others, so that their times begin where it came back."""
-        late = now - self._timers_due_at()
+    def _compensate_for_pause(self, now: int) -> None:
+        """Postpones all timeouts by the time for which this process was paused.
+
+        After a pause the timeouts have passed before the process has read the messages that arrived
+        meanwhile. Without this it would declare members dead although only it was stopped.
+        """
+        overdue = now - self._timers_due_at()
         self._context.now = now
-        if late < self.rules.timeout:
+        if overdue < self.rules.timeout:
             return
         self.local_health.degrade()
-        self._detector.postpone(now, late)
-        self._suspicions.postpone(late)
+        self._detector.postpone(now, overdue)
+        self._suspicions.postpone(overdue)
         self._dissemination.resume(now)
         self._synchronizer.resume(now)
