--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes and limits: the language, the files that must be refused, the limits at work."""
+"""Routes and limits: the expression language, invalid files, the limits, the commands and reloads."""
 
 import copy
 import json
@@ -25,8 +25,8 @@
 from ironbarrow.routing.table import RoutingTable
 from tests.scenario import SETTINGS, Harness, answer, call_back, job
 
-KNOWN = read_settings(SETTINGS)
-GOOD = """
+DISPATCHER_SETTINGS = read_settings(SETTINGS)
+VALID_FILE = """
 version = 1
 [limits.plain]
 timeout = "8 s"
@@ -56,20 +56,20 @@
 """
 
 
-def table(text: str, tmp_path: Path) -> RoutingTable:
+def make_table(text: str, tmp_path: Path) -> RoutingTable:
     path = tmp_path / "routes.toml"
     path.write_text(text)
-    return RoutingTable(load_routes(path), KNOWN)
+    return RoutingTable(load_routes(path), DISPATCHER_SETTINGS)
 
 
 def request(target: str = "/map/x", **headers: str) -> Request:
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
-    return make_request("POST", target, named, time_left=5 * SECOND)
+    named_headers = {name.replace("_", "-"): value for name, value in headers.items()}
+    return make_request("POST", target, named_headers, time_left=5 * SECOND)
 
 
 # Paths
 
-PATHS = {
+VALID_PATHS = {
     "/a/b?x=1&x=2&y=%20": ("/a/b", ("a", "b"), {"x": "1", "y": " "}),
     "/a/b/": ("/a/b", ("a", "b"), {}),
     "/%C3%A9": ("/é", ("é",), {}),
@@ -79,12 +79,12 @@
 }
 
 
-@pytest.mark.parametrize("target", PATHS)
-def test_paths_are_read_in_one_way(target: str) -> None:
-    assert split_path(target) == PATHS[target]
+@pytest.mark.parametrize("target", VALID_PATHS)
+def test_valid_paths_are_split_and_decoded_once(target: str) -> None:
+    assert split_path(target) == VALID_PATHS[target]
 
 
-AMBIGUOUS = [
+AMBIGUOUS_PATHS = [
     "",
     "a",
     "/a//b",
@@ -103,15 +103,15 @@
 ]
 
 
-@pytest.mark.parametrize("target", [*AMBIGUOUS, "/" + "a" * 3000])
-def test_paths_that_two_readers_could_take_for_different_ones_are_refused(target: str) -> None:
+@pytest.mark.parametrize("target", [*AMBIGUOUS_PATHS, "/" + "a" * 3000])
+def test_ambiguous_paths_are_rejected(target: str) -> None:
     with pytest.raises(PathError):
         split_path(target)
 
 
-# The language
+# The expression language
 
-VALUES = {
+EXPECTED_VALUES = {
     'part(0) == "map" and method == "POST"': True,
     'part(7) == ""': True,
     'header("x-a") in ["1", "2"]': True,
@@ -130,12 +130,12 @@
     'bucket(cookie("sid"), 10) < 10 and hash("a") == hash("a")': True,
     '"b" in split(header("x-list"), ",") and "map" in parts': True,
     'lower("AbC") == "abc" and contains(path, "ap/1") and ends_with(path, "12")': True,
-    'header("twice") == ""': True,  # two lines of one header: neither counts
+    'header("twice") == ""': True,  # a repeated header counts as absent
     "1 < 2 and 2.5 > 1.5 or false": True,
     'starts_with(path, "/ma") and zone == ""': True,
     "not (1 == 2)": True,
 }
-SAMPLE = make_request(
+SAMPLE_REQUEST = make_request(
     "POST",
     "/map/12?n=12&m=x",
     {"x-a": "2", "x-list": "a,b,c", "cookie": "a=b; sid=s1", "x-attrs": "w=1.5,slots=2", "twice": "1"},
@@ -144,13 +144,17 @@
 )
 
 
-@pytest.mark.parametrize("text", VALUES)
-def test_expressions_mean_what_they_say(text: str) -> None:
+@pytest.mark.parametrize("text", EXPECTED_VALUES)
+def test_expressions_have_the_expected_values(text: str) -> None:
     checked = check_expression(parse_expression(text), Type.BOOLEAN)
-    assert evaluate(checked, SAMPLE) == compile_expression(checked)(SAMPLE) == VALUES[text]
+    assert (
+        evaluate(checked, SAMPLE_REQUEST)
+        == compile_expression(checked)(SAMPLE_REQUEST)
+        == EXPECTED_VALUES[text]
+    )
 
 
-BAD = {
+INVALID_EXPRESSIONS = {
     "method == 1": "can't compare text == whole number",
     "1 == 1.0": "whole number == number",
     "time_left < 5": "duration < whole number",
@@ -193,19 +197,19 @@
 }
 
 
-@pytest.mark.parametrize("text", BAD, ids=lambda text: text[:40])
-def test_bad_expressions_are_refused_with_place_and_reason(text: str) -> None:
-    with pytest.raises(ExpressionError) as refused:
+@pytest.mark.parametrize("text", INVALID_EXPRESSIONS, ids=lambda text: text[:40])
+def test_invalid_expressions_are_rejected_with_position_and_reason(text: str) -> None:
+    with pytest.raises(ExpressionError) as rejected:
         check_expression(parse_expression(text), Type.BOOLEAN)
-    assert BAD[text] in str(refused.value)
-    assert refused.value.line >= 1 and refused.value.column >= 1
+    assert INVALID_EXPRESSIONS[text] in str(rejected.value)
+    assert rejected.value.line >= 1 and rejected.value.column >= 1
 
 
 def expressions() -> dict[Type, st.SearchStrategy[str]]:
     """Texts of well-typed expressions, by type."""
     words = st.text(alphabet="ab/é\\ 1.", max_size=6)
     quoted = words.map(lambda w: '"' + w.replace("\\", "\\\\") + '"')
-    made: dict[Type, Any] = {}
+    strategies: dict[Type, Any] = {}
     leaves = {
         Type.TEXT: st.one_of(quoted, st.sampled_from(["method", "path", "zone", 'header("x-a")', "part(1)"])),
         Type.INTEGER: st.one_of(st.integers(0, 2**63 - 1).map(str), quoted.map(lambda q: f"hash({q})")),
@@ -218,12 +222,20 @@
         Type.BOOLEAN: st.sampled_from(["true", "false", 'has_header("x-a")']),
     }
     for kind, leaf in leaves.items():
-        made[kind] = st.deferred(lambda kind=kind, leaf=leaf: st.one_of(leaf, grown(kind, made)))
-    return made
+        strategies[kind] = st.deferred(
+            lambda kind=kind, leaf=leaf: st.one_of(leaf, compound_expressions(kind, strategies))
+        )
+    return strategies
 
 
-def grown(kind: Type, of: dict[Type, Any]) -> st.SearchStrategy[str]:
-    t, i, n, b, ts = of[Type.TEXT], of[Type.INTEGER], of[Type.NUMBER], of[Type.BOOLEAN], of[Type.TEXTS]
+def compound_expressions(kind: Type, strategies: dict[Type, Any]) -> st.SearchStrategy[str]:
+    t, i, n, b, ts = (
+        strategies[Type.TEXT],
+        strategies[Type.INTEGER],
+        strategies[Type.NUMBER],
+        strategies[Type.BOOLEAN],
+        strategies[Type.TEXTS],
+    )
     if kind is Type.TEXT:
         return st.one_of(
             t.map(lambda a: f"lower({a})"),
@@ -243,7 +255,9 @@
             st.tuples(t, n).map(lambda v: f"number({v[0]}, {v[1]})"),
         )
     if kind in (Type.DURATION, Type.SIZE):
-        return st.tuples(of[kind], st.sampled_from("+-"), of[kind]).map(lambda v: f"({v[0]} {v[1]} {v[2]})")
+        return st.tuples(strategies[kind], st.sampled_from("+-"), strategies[kind]).map(
+            lambda v: f"({v[0]} {v[1]} {v[2]})"
+        )
     if kind is Type.TEXTS:
         return t.map(lambda a: f'split({a}, "a")')
     ordered = st.sampled_from([Type.INTEGER, Type.NUMBER, Type.DURATION, Type.SIZE])
@@ -253,18 +267,18 @@
         st.tuples(t, ts).map(lambda v: f"({v[0]} in {v[1]})"),
         st.tuples(t, t).map(lambda v: f"starts_with({v[0]}, {v[1]})"),
         t.map(lambda a: f'matches({a}, "^a+(b|/)*$")'),
-        ordered.flatmap(lambda k: st.tuples(of[k], st.sampled_from(["<", ">=", "=="]), of[k])).map(
-            lambda v: f"({v[0]} {v[1]} {v[2]})"
-        ),
+        ordered.flatmap(
+            lambda k: st.tuples(strategies[k], st.sampled_from(["<", ">=", "=="]), strategies[k])
+        ).map(lambda v: f"({v[0]} {v[1]} {v[2]})"),
     )
 
 
-def nodes(checked: Any) -> int:
-    return 1 + sum(nodes(part) for part in checked.operands)
+def node_count(checked: Any) -> int:
+    return 1 + sum(node_count(part) for part in checked.operands)
 
 
-EXPRESSIONS = expressions()
-REQUESTS = st.builds(
+RANDOM_EXPRESSIONS = expressions()
+RANDOM_REQUESTS = st.builds(
     Request,
     method=st.sampled_from(["POST", "GET"]),
     path=st.text(max_size=20),
@@ -275,32 +289,34 @@
 )
 
 
-@given(text=EXPRESSIONS[Type.BOOLEAN], seen=REQUESTS)
+@given(text=RANDOM_EXPRESSIONS[Type.BOOLEAN], random_request=RANDOM_REQUESTS)
 @settings(max_examples=400)
-def test_what_type_checks_never_raises_and_compiles_to_what_it_means(text: str, seen: Request) -> None:
+def test_well_typed_expressions_never_raise_and_compile_to_the_same_value(
+    text: str, random_request: Request
+) -> None:
     try:
         checked = check_expression(parse_expression(text), Type.BOOLEAN)
     except ExpressionError as error:
-        assert "deeper" in str(error) or "longer" in str(error)  # the only reasons for a well-typed one
+        assert "deeper" in str(error) or "longer" in str(error)  # the only errors of a well-typed expression
         return
-    meant = evaluate(checked, seen)
-    assert meant is compile_expression(checked)(seen)
-    assert isinstance(meant, bool)
-    assert checked.cost >= nodes(checked)  # each is visited at most once, and counts for one or more
+    value = evaluate(checked, random_request)
+    assert value is compile_expression(checked)(random_request)
+    assert isinstance(value, bool)
+    assert checked.cost >= node_count(checked)  # each node is evaluated at most once and costs at least 1
 
 
-def test_every_function_and_name_is_used_in_the_tables_above() -> None:
-    texts = " ".join(VALUES)
+def test_every_function_and_variable_has_an_example() -> None:
+    texts = " ".join(EXPECTED_VALUES)
     missing = [name for name in (*FUNCTIONS, *VARIABLES) if name not in texts]
     assert not missing
 
 
 # Files
 
-LIMIT = "[limits.plain]"
-WRONG: dict[str, tuple[str, str, str]] = {
+LIMITS_HEADER = "[limits.plain]"
+INVALID_FILES: dict[str, tuple[str, str, str]] = {
     "unknown key": ("version = 1", "version = 1\nvresion = 2", "vresion"),
-    "unknown key of a limit": (LIMIT, LIMIT + '\ntimout = "1 s"', "timout"),
+    "unknown key of a limit": (LIMITS_HEADER, LIMITS_HEADER + '\ntimout = "1 s"', "timout"),
     "newer version": ("version = 1", "version = 2", "at most 1"),
     "no version": ("version = 1", "", "version"),
     "not TOML": ("[limits.plain]", "[limits.plain", "TOML"),
@@ -310,111 +326,122 @@
     "two units": ('timeout = "8 s"', 'timeout = "8 s 5 ms"', "duration"),
     "negative time": ('timeout = "8 s"', 'timeout = "-8 s"', "duration"),
     "wrong unit": ('timeout = "8 s"', 'timeout = "8 KiB"', "duration"),
-    "past the client's time": ('timeout = "8 s"', 'timeout = "10 s"', "9984 ms, the class's giveUp"),
-    "past it by far": ('timeout = "8 s"', 'timeout = "3 h"', "giveUp"),
-    "under a tick": ('timeout = "8 s"', 'timeout = "1 ms"', "tick"),
+    "timeout past the deadline": ('timeout = "8 s"', 'timeout = "10 s"', "9984 ms, the class's giveUp"),
+    "timeout far past the deadline": ('timeout = "8 s"', 'timeout = "3 h"', "giveUp"),
+    "timeout under a tick": ('timeout = "8 s"', 'timeout = "1 ms"', "tick"),
     "four attempts": ("attempts = 2", "attempts = 4", "at most 3"),
     "no attempts": ("attempts = 2", "attempts = 0", "attempts"),
     "half an attempt": ("attempts = 2", "attempts = 1.5", "attempts"),
-    "two at once": (LIMIT, LIMIT + "\nat_once = 2", "concurrent attempts"),
+    "two at once": (LIMITS_HEADER, LIMITS_HEADER + "\nat_once = 2", "concurrent attempts"),
     "resend of a booking": ('resend = "never ran"', 'resend = "may have run"', "must not run twice"),
-    "resend of what": ('resend = "never ran"', 'resend = "always"', "resend"),
-    "wanted too late": (LIMIT, LIMIT + '\nwanted = "11 s"', "wanted"),
+    "unknown resend": ('resend = "never ran"', 'resend = "always"', "resend"),
+    "wanted past the deadline": (LIMITS_HEADER, LIMITS_HEADER + '\nwanted = "11 s"', "wanted"),
     "pause too long": ('pause = "20 ms"', 'pause = "25 s"', "don't fit"),
     "budget over the factor": ("share = 0.2", "share = 0.6", "multiply load by 1.6"),
-    "budget absurd": ("share = 0.2", "share = 20", "share"),
+    "budget over its maximum": ("share = 0.2", "share = 20", "share"),
     "budget negative": ("share = 0.2", "share = -1", "share"),
     "nested budgets": (
         "[limits.farm]",
         "[limits.farm]\nretry_budget = { share = 0.3 }",
         "multiply load by 1.56",
     ),
-    "nothing open": ("most_open = 4", "most_open = 0", "most_open"),
-    "nothing held": ("most_held = 2", "most_held = 0", "most_held"),
+    "no open jobs": ("most_open = 4", "most_open = 0", "most_open"),
+    "no held jobs": ("most_held = 2", "most_held = 0", "most_held"),
     "no rate": ("per_second = 5", "per_second = 0", "per_second"),
-    "next to no rate": ("per_second = 5", "per_second = 0.0000001", "at least one job per hour"),
+    "rate too low": ("per_second = 5", "per_second = 0.0000001", "at least one job per hour"),
     "no burst": ("burst = 3", "burst = 0", "burst"),
-    "rate of none": ('by = "tenant"', 'by = "moon"', "by"),
+    "rate by an unknown attribute": ('by = "tenant"', 'by = "moon"', "by"),
     "rate by a tenant that is not given": ("tenant = 'header(\"x-farm\")'\n", "", "by tenant"),
     "rate by a key that is not given": ('by = "tenant"', 'by = "key"', "by key"),
-    "no body": (LIMIT, LIMIT + '\nbody_size = "0 B"', "size"),
-    "body too large": (LIMIT, LIMIT + '\nbody_size = "1 MiB"', "64 KiB"),
-    "advice too late": (LIMIT, LIMIT + '\nretry_after = "1 min"', "at most 2000 ms"),
-    "adaptive upside down": (LIMIT, LIMIT + "\nadaptive = { least = 9, most = 3 }", "least"),
+    "no body": (LIMITS_HEADER, LIMITS_HEADER + '\nbody_size = "0 B"', "size"),
+    "body too large": (LIMITS_HEADER, LIMITS_HEADER + '\nbody_size = "1 MiB"', "64 KiB"),
+    "retry_after too long": (LIMITS_HEADER, LIMITS_HEADER + '\nretry_after = "1 min"', "at most 2000 ms"),
+    "adaptive least over most": (
+        LIMITS_HEADER,
+        LIMITS_HEADER + "\nadaptive = { least = 9, most = 3 }",
+        "least",
+    ),
     "adaptive and fixed": ("most_open = 4", "most_open = 4\nadaptive = { least = 1 }", "not both"),
     "unknown class": ('class = "map"', 'class = "mpa"', "unknown class 'mpa'; expected one of book, map"),
     "unknown limits": ('"plain", "farm"', '"plain", "frm"', "unknown limits 'frm'"),
-    "name twice": ('name = "maps"', 'name = "booking"', "is defined already"),
-    "strange name": ('name = "maps"', 'name = "ma ps"', "name"),
+    "duplicate name": ('name = "maps"', 'name = "booking"', "is defined already"),
+    "invalid name": ('name = "maps"', 'name = "ma ps"', "name"),
     "no class": ('class = "map"\n', "", "class"),
     "key of numbers": ("tenant = 'header(\"x-farm\")'", "tenant = '1'", "expected text, got whole number"),
     "when of text": ("body_size < 32KiB'", "body_size < 32KiB and path'", "expected boolean, got text"),
     "when of two types": ("body_size < 32KiB'", "body_size < 32'", "size < whole number"),
     "when without end": ("body_size < 32KiB'", "('", "unexpected end"),
     "backtracking": ("body_size < 32KiB'", r"""matches(path, "(a*)*\\1")'""", "linear time"),
-    "too dear": ("version = 1", "version = 1\ncost_limit = 5", "expected at most 5"),
+    "cost over the limit": ("version = 1", "version = 1\ncost_limit = 5", "expected at most 5"),
     "no routes": ("[[routes]]", "[[ruotes]]", "ruotes"),
     "answer 200": ("[[routes]]", "[no_match]\nanswer = 200\n[[routes]]", "answer"),
     "answer 503": ("[[routes]]", "[no_match]\nanswer = 503\n[[routes]]", "answer"),
-    "include of nothing": ("version = 1", 'version = 1\ninclude = ["gone.toml"]', "gone.toml: can't be read"),
+    "include of a missing file": (
+        "version = 1",
+        'version = 1\ninclude = ["gone.toml"]',
+        "gone.toml: can't be read",
+    ),
     "include of itself": ("version = 1", 'version = 1\ninclude = ["routes.toml"]', "no cycle"),
     "priority too high": ('class = "map"', 'class = "map"\npriority = 9', "priority"),
-    "timeout of nothing": ('timeout = "8 s"', 'timeout = ""', "duration"),
+    "empty timeout": ('timeout = "8 s"', 'timeout = ""', "duration"),
     "timeout in words": ('timeout = "8 s"', 'timeout = "soon"', "duration"),
     "a list for a time": ('timeout = "8 s"', "timeout = [8]", "duration"),
     "text for a number": ("attempts = 2", 'attempts = "2"', "attempts"),
     "limits that are no list": ('limits = ["bookings"]', 'limits = "bookings"', "limits"),
     "limits as a list": ("[limits.plain]", "[[limits.plain]]", "limits"),
     "load factor under one": ("version = 1", "version = 1\nload_factor = 0.5", "load_factor"),
-    "cost limit of nothing": ("version = 1", "version = 1\ncost_limit = 0", "cost_limit"),
-    "adaptive that never falls": (LIMIT, LIMIT + "\nadaptive = { backoff = 1.0 }", "backoff"),
-    "retry_after without unit": (LIMIT, LIMIT + '\nretry_after = "2"', "duration"),
+    "cost limit of 0": ("version = 1", "version = 1\ncost_limit = 0", "cost_limit"),
+    "adaptive that never falls": (LIMITS_HEADER, LIMITS_HEADER + "\nadaptive = { backoff = 1.0 }", "backoff"),
+    "retry_after without unit": (LIMITS_HEADER, LIMITS_HEADER + '\nretry_after = "2"', "duration"),
     "include that is no list": ("version = 1", 'version = 1\ninclude = "x.toml"', "include"),
     "a million keys": ("burst = 3", "burst = 3, keys = 2000000", "keys"),
 }
-# each expression that must fail, also as a route's condition
-WRONG |= {
+# each invalid expression, also as the condition of a route
+INVALID_FILES |= {
     f"when: {text[:40]!r} {n}": (
         "when = 'starts_with(path, \"/map/\") and body_size < 32KiB'",
         f"when = {json.dumps(text)}",
         reason,
     )
-    for n, (text, reason) in enumerate(BAD.items())
+    for n, (text, reason) in enumerate(INVALID_EXPRESSIONS.items())
     if "\n" not in text
 }
 
 
-def test_at_least_a_hundred_wrong_files_are_tried() -> None:
-    assert len(WRONG) >= 100
+def test_at_least_a_hundred_invalid_files_are_tested() -> None:
+    assert len(INVALID_FILES) >= 100
 
 
-@pytest.mark.parametrize("name", WRONG)
-def test_a_wrong_file_is_refused_and_the_running_one_stays(name: str, tmp_path: Path) -> None:
-    old, new, reason = WRONG[name]
-    assert old in GOOD
-    router = Router(table(GOOD, tmp_path))
+@pytest.mark.parametrize("name", INVALID_FILES)
+def test_an_invalid_file_is_rejected_and_the_running_routes_stay(name: str, tmp_path: Path) -> None:
+    old, new, reason = INVALID_FILES[name]
+    assert old in VALID_FILE
+    router = Router(make_table(VALID_FILE, tmp_path))
     assert isinstance(router.admit(request(x_farm="a"), SECOND), Ticket)
     before = router.counts(), [r.route for r in router.table.routes]
-    with pytest.raises(RoutesError) as refused:
-        router.replace_table(table(GOOD.replace(old, new, 1), tmp_path))
-    assert reason in str(refused.value) or reason.split(":")[-1].strip() in str(refused.value)
-    assert str(refused.value).startswith(str(tmp_path))
+    with pytest.raises(RoutesError) as rejected:
+        router.replace_table(make_table(VALID_FILE.replace(old, new, 1), tmp_path))
+    assert reason in str(rejected.value) or reason.split(":")[-1].strip() in str(rejected.value)
+    assert str(rejected.value).startswith(str(tmp_path))
     assert (router.counts(), [r.route for r in router.table.routes]) == before
 
 
-def test_includes_join_files_and_name_their_places(tmp_path: Path) -> None:
+def test_includes_are_combined_and_errors_name_the_included_file(tmp_path: Path) -> None:
     (tmp_path / "more.toml").write_text('version = 1\n[[routes]]\nname = "last"\nclass = "nope"\n')
     with pytest.raises(RoutesError, match=r"more\.toml: `routes\[0\]`: class: unknown class 'nope'"):
-        table(GOOD.replace("version = 1", 'version = 1\ninclude = ["more.toml"]'), tmp_path)
+        make_table(VALID_FILE.replace("version = 1", 'version = 1\ninclude = ["more.toml"]'), tmp_path)
     (tmp_path / "more.toml").write_text('version = 1\n[[routes]]\nname = "last"\nclass = "map"\n')
-    joined = table(GOOD.replace("version = 1", 'version = 1\ninclude = ["more.toml"]'), tmp_path)
+    joined = make_table(VALID_FILE.replace("version = 1", 'version = 1\ninclude = ["more.toml"]'), tmp_path)
     assert [r.route.name for r in joined.routes] == ["booking", "maps", "last"]
     assert joined.find(request("/else")).route.name == "last"  # type: ignore[union-attr]
 
 
-def test_the_file_beside_the_deployment_says_what_the_settings_say() -> None:
+def test_the_routes_file_of_the_deployment_matches_routing_by_path_and_cookie() -> None:
     names = ("coverage-map", "fault-decode", "service-booking")
-    site = replace(KNOWN, classes=tuple(replace(KNOWN.classes[0], name=name) for name in names))
+    site = replace(
+        DISPATCHER_SETTINGS,
+        classes=tuple(replace(DISPATCHER_SETTINGS.classes[0], name=name) for name in names),
+    )
     routes = RoutingTable(load_routes(Path(__file__).parents[1] / "deploy" / "routes.toml"), site)
     for name in names:
         found = routes.find(request(f"/{name}/7?x=1", cookie="a=b; sid=7f3a"))
@@ -423,7 +450,7 @@
     assert routes.find(request("/else")) is None and not routes.findings()
 
 
-def test_unreachable_and_overlapping_routes_are_named(tmp_path: Path) -> None:
+def test_unreachable_and_overlapping_routes_are_found(tmp_path: Path) -> None:
     more = """
 [[routes]]
 name = "shadowed"
@@ -438,11 +465,11 @@
 when = 'part(0) == "book" and method == "GET"'
 class = "map"
 """
-    found = {(f.kind, f.route, f.other) for f in table(GOOD + more, tmp_path).findings()}
+    found = {(f.kind, f.route, f.other) for f in make_table(VALID_FILE + more, tmp_path).findings()}
     assert ("unreachable", "shadowed", "booking") in found
     assert ("overlap", "also-book", "booking") in found
     assert ("unreachable", "get-book", "also-book") in found
-    assert not any(f[1] == "get-book" and f[2] == "booking" for f in found)  # GET and POST share nothing
+    assert not any(f[1] == "get-book" and f[2] == "booking" for f in found)  # GET and POST exclude each other
 
 
 def test_many_routes_are_indexed_by_path(tmp_path: Path) -> None:
@@ -450,29 +477,27 @@
         f'[[routes]]\nname = "r{n}"\nwhen = \'part(0) == "map" and part(1) == "f{n}"\'\nclass = "map"\n'
         for n in range(2000)
     )
-    many = table(text, tmp_path)
+    many = make_table(text, tmp_path)
     assert list(many.candidates(request("/map/f1234/x"))) == [1234]
     assert many.find(request("/map/f1999")).route.name == "r1999"  # type: ignore[union-attr]
-    assert many.worst_cost < 100  # not two thousand routes' worth
+    assert many.worst_cost < 100  # far less than the cost of all 2000 conditions
 
 
-# Limits at work
+# Limits
 
 
-def test_a_retry_budget_bounds_the_load_of_a_storm() -> None:
+def test_a_retry_budget_bounds_the_load_of_a_retry_storm() -> None:
     budget, now, retries = RetryBudget(0.2, 1.0), SECOND, 0
-    for _ in range(10_000):  # a hundred a second, every attempt fails
+    for _ in range(10_000):  # 100 per second, every attempt fails
         now += SECOND // 100
         budget.record_first_attempt(now)
         retries += budget.try_spend(now)
     assert retries <= 10_000 * 0.2 + 100 * 1.0 + budget.refill_cap + 21
     assert retries >= 10_000 * 0.2
-    stopped = copy.copy(budget)
-    assert stopped.try_spend(now - 5 * SECOND) in (
-        True,
-        False,
-    )  # a clock that goes back neither fills nor locks
-    assert stopped.tokens <= budget.tokens
+    copied = copy.copy(budget)
+    # a clock that goes backwards neither fills nor locks the budget
+    assert copied.try_spend(now - 5 * SECOND) in (True, False)
+    assert copied.tokens <= budget.tokens
 
 
 @given(
@@ -480,55 +505,55 @@
     rate=st.sampled_from([0.5, 2.0, 10.0]),
     burst=st.integers(1, 8),
 )
-def test_a_rate_lets_in_no_more_than_burst_and_rate(gaps: list[int], rate: float, burst: int) -> None:
-    rates, now, taken = RateLimiter(rate, burst, 10), SECOND, []
+def test_a_rate_limiter_admits_no_more_than_burst_and_rate(gaps: list[int], rate: float, burst: int) -> None:
+    limiter, now, admitted = RateLimiter(rate, burst, 10), SECOND, []
     for gap in gaps:
         now += gap
-        wait = rates.reserve("k", now)
+        wait = limiter.reserve("k", now)
         if not wait:
-            taken.append(now)
-        else:  # what it says is true: just before, nothing; then, one
-            probe = copy.deepcopy(rates)
-            assert probe.reserve("k", now + wait - 2) or wait <= 2
-            assert not copy.deepcopy(rates).reserve("k", now + wait + 1)
-    for first in range(len(taken)):
-        for last in range(first, len(taken)):
-            assert last - first + 1 <= burst + rate * (taken[last] - taken[first]) / SECOND + 1e-6
-
-
-def test_rates_of_a_million_keys_stay_bounded() -> None:
-    rates = RateLimiter(1.0, 5, 1000)
+            admitted.append(now)
+        else:  # the returned wait is exact: just before its end the limiter rejects, after it admits
+            copied = copy.deepcopy(limiter)
+            assert copied.reserve("k", now + wait - 2) or wait <= 2
+            assert not copy.deepcopy(limiter).reserve("k", now + wait + 1)
+    for first in range(len(admitted)):
+        for last in range(first, len(admitted)):
+            assert last - first + 1 <= burst + rate * (admitted[last] - admitted[first]) / SECOND + 1e-6
+
+
+def test_the_keys_of_a_rate_limiter_stay_bounded() -> None:
+    limiter = RateLimiter(1.0, 5, 1000)
     for n in range(100_000):
-        rates.reserve(str(n), SECOND + n * 10_000)
-    assert len(rates) == 1000
-    before = copy.deepcopy(rates)
-    assert rates.reserve("99999", 5) == before.reserve(
-        "99999", before._latest_time
-    )  # a clock that goes back stands still
-    assert rates.early_evictions == 99_000  # each of them might now have its burst again: the stated error
+        limiter.reserve(str(n), SECOND + n * 10_000)
+    assert len(limiter) == 1000
+    before = copy.deepcopy(limiter)
+    # a clock that goes backwards is treated as one that stands still
+    assert limiter.reserve("99999", 5) == before.reserve("99999", before._latest_time)
+    # each evicted key can have its burst again: the inaccuracy that the class documents
+    assert limiter.early_evictions == 99_000
 
 
-def test_limits_turn_away_count_and_go_on_over_a_reload(tmp_path: Path) -> None:
-    router, now = Router(table(GOOD, tmp_path)), 10 * SECOND
+def test_limits_reject_and_keep_their_counters_over_a_reload(tmp_path: Path) -> None:
+    router, now = Router(make_table(VALID_FILE, tmp_path)), 10 * SECOND
     tickets = [router.admit(request(x_farm="a"), now) for _ in range(5)]
     assert [type(t) for t in tickets[:3]] == [Ticket] * 3
-    over = tickets[3]
-    assert isinstance(over, Rejection) and (over.status, over.reason) == (429, "over its rate")
-    assert 0 < over.retry_after <= SECOND // 5 + 1
-    assert isinstance(router.admit(request(x_farm="b"), now), Ticket)  # another tenant, the fourth open
+    rejection = tickets[3]
+    assert isinstance(rejection, Rejection) and (rejection.status, rejection.reason) == (429, "over its rate")
+    assert 0 < rejection.retry_after <= SECOND // 5 + 1
+    assert isinstance(router.admit(request(x_farm="b"), now), Ticket)  # another tenant, the fourth open job
     full = router.admit(request(x_farm="c"), now)
     assert isinstance(full, Rejection) and full.reason == "too many open"
     assert router.counts()["farm"]["open"] == 4
-    router.replace_table(table(GOOD.replace("most_open = 4", "most_open = 5"), tmp_path))
-    assert router.counts()["farm"]["open"] == 4  # neither reset to full
+    router.replace_table(make_table(VALID_FILE.replace("most_open = 4", "most_open = 5"), tmp_path))
+    assert router.counts()["farm"]["open"] == 4  # the reload does not reset the counter
     again = router.admit(request(x_farm="a"), now)
     assert isinstance(again, Rejection) and again.reason == "over its rate"
     assert isinstance(router.admit(request(x_farm="d"), now), Ticket)
     for ticket in tickets[:3]:
         assert isinstance(ticket, Ticket)
         ticket.ended(now, in_time=True)
-        ticket.ended(now, in_time=True)  # only the first one counts
-    assert router.counts()["farm"]["open"] == 2  # nor locked: tickets of before leave through the same gate
+        ticket.ended(now, in_time=True)  # repeated calls have no effect
+    assert router.counts()["farm"]["open"] == 2  # tickets from before the reload still release their places
     held = [router.admit(request("/book/1"), now) for _ in range(3)]
     assert isinstance(held[2], Rejection) and held[2].reason == "too many held"
     assert isinstance(held[0], Ticket)
@@ -537,9 +562,9 @@
     assert isinstance(router.admit(request("/nothing"), now), Rejection)
 
 
-def test_less_important_routes_leave_room_in_a_gate(tmp_path: Path) -> None:
-    """Of four places a route of priority 4 may fill (4 + 1) / 9 of them: two."""
-    low = """
+def test_routes_of_low_priority_may_use_only_a_part_of_a_limit(tmp_path: Path) -> None:
+    """A route of priority 4 may use (4 + 1) / 9 of the limit of four open jobs: two."""
+    low_priority = """
 [[routes]]
 name = "low"
 when = 'part(0) == "low"'
@@ -548,9 +573,9 @@
 limits = ["farm"]
 tenant = 'part(1)'
 """
-    router = Router(table(GOOD + low, tmp_path))
-    taken = [type(router.admit(request(f"/low/{n}"), SECOND)) for n in range(4)]
-    assert taken == [Ticket, Ticket, Rejection, Rejection]
+    router = Router(make_table(VALID_FILE + low_priority, tmp_path))
+    admissions = [type(router.admit(request(f"/low/{n}"), SECOND)) for n in range(4)]
+    assert admissions == [Ticket, Ticket, Rejection, Rejection]
     assert [type(router.admit(request(x_farm=f"f{n}"), SECOND)) for n in range(3)] == [
         Ticket,
         Ticket,
@@ -558,7 +583,7 @@
     ]
 
 
-# The command line
+# The commands
 
 
 @pytest.fixture
@@ -568,44 +593,50 @@
     return path
 
 
-def test_the_command_line_checks_shows_explains_and_compares(tmp_path: Path, settings_file: Path) -> None:
+def test_the_config_commands_check_show_explain_and_compare(tmp_path: Path, settings_file: Path) -> None:
     path, other = tmp_path / "routes.toml", tmp_path / "other.toml"
-    path.write_text(GOOD)
-    other.write_text(GOOD.replace("most_open = 4", "most_open = 9"))
-    known = ["--settings", str(settings_file)]
+    path.write_text(VALID_FILE)
+    other.write_text(VALID_FILE.replace("most_open = 4", "most_open = 9"))
+    settings_options = ["--settings", str(settings_file)]
 
     def run(*words: str, code: int = 0) -> str:
-        done = CliRunner().invoke(app, ["config", *words])
-        assert done.exit_code == code, done.output
-        return done.output
-
-    assert "valid: 2 routes, 3 limits" in run("check", str(path), *known)
-    assert json.loads(run("check", str(path), *known, "--json"))["findings"] == []
-    assert "timeout = 8000000000   #" in run("show", str(path), *known)
-    told = json.loads(run("explain", str(path), "/map/7", *known, "-H", "X-Farm: Hof", "--json"))
-    assert (told["route"], told["tenant"], told["limits"]["attempts"]["value"]) == ("maps", "Hof", 2)
-    assert [line["result"] for line in told["looked_at"]] == [
+        result = CliRunner().invoke(app, ["config", *words])
+        assert result.exit_code == code, result.output
+        return result.output
+
+    assert "valid: 2 routes, 3 limits" in run("check", str(path), *settings_options)
+    assert json.loads(run("check", str(path), *settings_options, "--json"))["findings"] == []
+    assert "timeout = 8000000000   #" in run("show", str(path), *settings_options)
+    explained = json.loads(
+        run("explain", str(path), "/map/7", *settings_options, "-H", "X-Farm: Hof", "--json")
+    )
+    assert (explained["route"], explained["tenant"], explained["limits"]["attempts"]["value"]) == (
+        "maps",
+        "Hof",
+        2,
+    )
+    assert [line["result"] for line in explained["looked_at"]] == [
         "not looked at: the path does not begin with /book",
         "matches",
     ]
-    assert "answered with 400" in run("explain", str(path), "/map/../book", *known)
-    assert "answered with 404" in run("explain", str(path), "/else", *known)
-    assert run("diff", str(path), str(path), *known) == ""
-    assert "most_open" in run("diff", str(path), str(other), *known, code=1)
-    path.write_text(GOOD.replace("attempts = 2", "attempts = 9"))
-    refused = run("check", str(path), *known, code=2)
-    assert len(refused.strip().splitlines()) == 1 and "attempts" in refused
+    assert "answered with 400" in run("explain", str(path), "/map/../book", *settings_options)
+    assert "answered with 404" in run("explain", str(path), "/else", *settings_options)
+    assert run("diff", str(path), str(path), *settings_options) == ""
+    assert "most_open" in run("diff", str(path), str(other), *settings_options, code=1)
+    path.write_text(VALID_FILE.replace("attempts = 2", "attempts = 9"))
+    rejected = run("check", str(path), *settings_options, code=2)
+    assert len(rejected.strip().splitlines()) == 1 and "attempts" in rejected
 
 
-def test_the_schema_knows_every_key_of_a_good_file() -> None:
+def test_the_schema_has_every_key_of_a_valid_file() -> None:
     text = json.dumps(schema())
-    for key in (*tomllib.loads(GOOD), "timeout", "retry_budget", "no_match", "cost_limit"):
+    for key in (*tomllib.loads(VALID_FILE), "timeout", "retry_budget", "no_match", "cost_limit"):
         assert f'"{key}"' in text
 
 
-# On sockets
+# Dispatchers on sockets
 
-SERVED = """
+SERVED_FILE = """
 version = 1
 [limits.once]
 attempts = 1
@@ -635,39 +666,39 @@
 class = "book"
 limits = ["short"]
 """
-FULL = answer(503, "X-Not-Processed: 1\\r\\n")
-COOKIE = "Cookie: sid=1\\r\\n"
-ONCE = "X-Kind: once\\r\\n"
-PLAYS = {
+FULL_ANSWER = answer(503, "X-Not-Processed: 1\\r\\n")
+COOKIE_HEADER = "Cookie: sid=1\\r\\n"
+ONCE_HEADER = "X-Kind: once\\r\\n"
+SCENARIOS = {
     "a route gives a path its class": f"""
-        c1 send {job(path="uploads/7", more=COOKIE)}
+        c1 send {job(path="uploads/7", more=COOKIE_HEADER)}
         p1 expect POST /uploads/7 HTTP/1.1
         p1 send {answer(202)}
         c2 send {call_back("done", result="out")}
         c1 expect HTTP/1.1 200 .*out$
         """,
-    "what no route matches is answered as the file says": f"""
+    "a request without a matching route gets the configured answer": f"""
         c1 send {job(path="map/x")}
         c1 expect HTTP/1.1 404 .*no route
         """,
-    "an ambiguous path reaches no route": f"""
+    "an ambiguous path is rejected before routing": f"""
         c1 send {job(path="uploads/../few")}
         c1 expect HTTP/1.1 400 .*path
         """,
-    "one attempt alone": f"""
-        c1 send {job(path="uploads/7", more=ONCE)}
+    "a route with one attempt: no retry": f"""
+        c1 send {job(path="uploads/7", more=ONCE_HEADER)}
         p1 expect POST /uploads/7
-        p1 send {FULL}
+        p1 send {FULL_ANSWER}
         c1 expect HTTP/1.1 503
         p2 silent 60
         """,
-    "two attempts where the route does not say otherwise": f"""
+    "a route without a limit of attempts: the settings' number": f"""
         c1 send {job(path="uploads/7")}
         p1 expect POST /uploads/7
-        p1 send {FULL}
+        p1 send {FULL_ANSWER}
         p2 expect POST /uploads/7
         """,
-    "over a rate: 429 with advice, and the id is free again": f"""
+    "over a rate: 429 with Retry-After, and the id can be used again": f"""
         c1 send {job(path="few/1")}
         p1 expect POST /few/1
         c2 send {job("j2", path="few/1")}
@@ -675,7 +706,7 @@
         c2 send {job("j2", path="uploads/1")}
         p2 expect X-Request-ID: j2
         """,
-    "an attempt's time-out is the route's; a booking is not sent again": f"""
+    "the route's attempt timeout applies; a booking is not sent again": f"""
         c1 send {job(path="short/1", ms=20000)}
         p1 expect POST /short/1 .*X-Timeout-Ms: 1[0-9][0-9]\\r
         p1 send {answer(202)}
@@ -685,30 +716,33 @@
 }
 
 
-@pytest.mark.parametrize("name", PLAYS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_routes_on_sockets(name: str, tmp_path: Path) -> None:
     path = tmp_path / "routes.toml"
-    path.write_text(SERVED)
-    Harness(routes=path).run(PLAYS[name])
+    path.write_text(SERVED_FILE)
+    Harness(routes=path).run(SCENARIOS[name])
 
 
-def test_a_reload_takes_a_new_file_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_a_reload_applies_the_whole_file_or_nothing(tmp_path: Path) -> None:
     path = tmp_path / "routes.toml"
-    path.write_text(SERVED)
-    stage = Harness(routes=path)
+    path.write_text(SERVED_FILE)
+    harness = Harness(routes=path)
     try:
-        running = stage.dispatcher.clients.router
-        assert isinstance(running, Router)
-        before = running.table
-        for wrong in (SERVED.replace("attempts = 1", "attempts = 9"), 'include = ["gone.toml"]\n' + SERVED):
-            path.write_text(wrong)
+        running_router = harness.dispatcher.clients.router
+        assert isinstance(running_router, Router)
+        before = running_router.table
+        for invalid in (
+            SERVED_FILE.replace("attempts = 1", "attempts = 9"),
+            'include = ["gone.toml"]\n' + SERVED_FILE,
+        ):
+            path.write_text(invalid)
             with pytest.raises(ConfigError, match=r"routes\.toml|gone\.toml"):
-                stage.dispatcher.reload(replace(stage.config, discovery=("127.0.0.1", 1)))
-            assert stage.dispatcher.clients.router.table is before  # type: ignore[union-attr]
-            assert stage.dispatcher.discovery._source.address == stage.config.discovery
-        path.write_text(SERVED.replace('name = "few"', 'name = "fewer"'))
-        stage.dispatcher.reload(stage.config)
-        assert stage.dispatcher.clients.router is running
-        assert running.table.routes[0].route.name == "fewer"
+                harness.dispatcher.reload(replace(harness.config, discovery=("127.0.0.1", 1)))
+            assert harness.dispatcher.clients.router.table is before  # type: ignore[union-attr]
+            assert harness.dispatcher.discovery._source.address == harness.config.discovery
+        path.write_text(SERVED_FILE.replace('name = "few"', 'name = "fewer"'))
+        harness.dispatcher.reload(harness.config)
+        assert harness.dispatcher.clients.router is running_router
+        assert running_router.table.routes[0].route.name == "fewer"
     finally:
-        stage.close()
+        harness.close()
