--- a/ironbarrow/routing/file.py
+++ b/ironbarrow/routing/file.py
@@ -54,7 +54,7 @@
     """Limits that routes refer to by name. A value that is not given comes from the dispatcher's settings."""
 
     timeout: Duration | None = None  # per attempt
-    wanted: Duration | None = None  # the latest time of an answer at which it has its full worth
+    wanted: Duration | None = None  # an answer within this time has its full value
     attempts: Count | None = None
     at_once: Count = 1  # attempts of a job at the same time
     pause: Duration | None = None  # between attempts
