--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -19,7 +19,7 @@
 from ironbarrow.discovery.client import DiscoveryClient
 from ironbarrow.fronts.server import HttpServer
 from ironbarrow.runtime.loop import MS, SECOND, Loop
-from ironbarrow.runtime.retry import until_it_goes
+from ironbarrow.runtime.retry import retry_transient
 from ironbarrow.runtime.sockets import listen
 
 log = structlog.get_logger()
@@ -74,14 +74,14 @@
 
     def __init__(self, config: Config, listener: socket.socket | None = None) -> None:
         # danger: a start that fails for a moment's lack of something is a crash to whoever waits for it
-        self.loop = until_it_goes(lambda: Loop(_task_failed))
+        self.loop = retry_transient(lambda: Loop(_task_failed))
         self._stopping = False
         self._gone_at = 0  # ns, once it is told to stop
         self._signals = False  # they write to the loop
         self.pace = Pace.of(config.settings)
         self._config = config
-        self.listener = listener or until_it_goes(
-            lambda: listen(config.listen, shared=config.admin is not None)
+        self.listener = listener or retry_transient(
+            lambda: listen(config.listen, reuse_port=config.admin is not None)
         )
         self.host = Host(self.loop, config.settings, config.seed, traced=config.traced)
         self._operations: Any = None
@@ -96,7 +96,7 @@
             self.loop, config.discovery, self._listed, on_request=asks, seed=config.seed
         )
         if asks:
-            self.host.follow = self.discovery.subscribe
+            self.host.set_subscribed = self.discovery.subscribe
         spare = _descriptors(config.sockets) - _RESERVED - (_DOOR if config.admin is not None else 0)
         if config.fleet is not None:
             spare = _without_links(config, config.fleet, spare)
@@ -107,8 +107,8 @@
             config.reports,
             connect_timeout=config.connect_timeout,
             idle_limit=config.idle_limit,
-            most_idle=spare // 4,
-            most=spare - spare * 5 // 8 + _RESERVED // 2,
+            max_idle=spare // 4,
+            max_connections=spare - spare * 5 // 8 + _RESERVED // 2,
         )
         self.host.invoker = self.invoker
         self.clients = HttpServer(
@@ -135,7 +135,7 @@
                 # with a fleet, what a process leaves is taken over by the others
                 self._open_channel(config)
             admin = config.admin
-            self.admin = until_it_goes(lambda: listen(admin))
+            self.admin = retry_transient(lambda: listen(admin))
             Door(self.loop, self.admin, self._operations)
 
     def _join(self, config: Config, path: Path) -> None:
@@ -165,7 +165,7 @@
 
         try:
             folder = config.folder
-            self._upgrade = until_it_goes(
+            self._upgrade = retry_transient(
                 lambda: Upgrade(self.loop, self.host, self.clients, self.invoker, folder, config.name)
             )
         except OSError as error:
@@ -183,14 +183,14 @@
             self._upgrade.stray(raw)
 
     def _listed(self, news: api.WorkerList) -> None:
-        self.host.workers_listed(news if self._operations is None else self._operations.listed(news))
+        self.host.update_workers(news if self._operations is None else self._operations.listed(news))
 
     def run(self) -> None:
         """Serves until ``stop``, and then until all that was taken has its answer."""
         log.info("serving", address="{}:{}".format(*self.listener.getsockname()[:2]))
         self.loop.run()
         self.close()
-        log.info("stopped", events=self.host.events.totals())
+        log.info("stopped", events=self.host.event_log.totals())
 
     def stop_on_signals(self) -> None:
         """SIGTERM and SIGINT mean ``stop``. For programs that are nothing else; main thread only."""
@@ -207,7 +207,7 @@
         Danger: unhandled, the signal ends the program and all it has taken.
         """
         self._wake_on_signals()
-        signal.signal(signal.SIGHUP, lambda number, frame: self.loop.soon(self._reload, read))
+        signal.signal(signal.SIGHUP, lambda number, frame: self.loop.call_soon(self._reload, read))
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # one may wait from before
 
     def _wake_on_signals(self) -> None:
@@ -282,7 +282,7 @@
             self.admin.close()
 
     def _signalled(self, number: int, frame: FrameType | None) -> None:
-        self.loop.soon(self.stop)
+        self.loop.call_soon(self.stop)
 
     def stop(self) -> None:
         """Takes what still comes for a short while, finishes what was taken, then ends ``run``."""
@@ -298,11 +298,11 @@
             if self.fleet is not None:
                 self.loop.call_at(now + self.pace.leaving, self._leave)
             else:
-                self.host.end_by = now + self.pace.last_answer
+                self.host.answer_deadline = now + self.pace.last_answer
             self.loop.call_at(now + self.pace.still_coming, self._close_idle)
         if self._operations is not None:
             self._operations.stopping = True
-        log.info("stopping", owed=self.host.owed)
+        log.info("stopping", owed=self.host.unanswered)
 
     def _hands_over(self) -> bool:
         """Danger: a channel that fails must not keep the program from its end: a second order is none."""
@@ -331,7 +331,7 @@
         self.loop.stop()
 
     def _close_idle(self) -> None:
-        self.loop.soon(self._stop_when_done)  # danger: whatever fails here, the end has to come
+        self.loop.call_soon(self._stop_when_done)  # danger: whatever fails here, the end has to come
         self.clients.close_idle()
 
     def _stop_when_done(self) -> None:
@@ -340,7 +340,7 @@
         kept += self.fleet.adapter.owed if self.fleet is not None else 0
         # danger: one whose peer never closes its side would hold up the end beyond SIGKILL
         waited_for = self.clients.has_connections and self.loop.now() < self._gone_at
-        if self.host.owed or kept or waited_for:
+        if self.host.unanswered or kept or waited_for:
             self.loop.call_at(self.loop.now() + _DONE_CHECKED, self._stop_when_done)
         elif self.fleet is None:
             self._end()
--- a/ironbarrow/fleet/service.py
+++ b/ironbarrow/fleet/service.py
@@ -169,14 +169,14 @@
             # predecessor, and a later start helps. That is tried soon after the start only: two processes of
             # one name would replace each other's incarnations for ever.
             if self._loop.now() - self._started_at < _REPLACED_EARLY:
-                self._loop.soon(self.start_new_incarnation, event.by.start)
+                self._loop.call_soon(self.start_new_incarnation, event.by.start)
             else:
                 log.error("another process uses this name", name=self.name, incarnation=str(event.by))
 
     def _schedule_soon(self) -> None:
         if not self._schedule_pending and not self._closed:
             self._schedule_pending = True
-            self._loop.soon(self._schedule)
+            self._loop.call_soon(self._schedule)
 
     def _schedule(self) -> None:
         """Sets the timer for the machines' next time; called once in a turn of the loop, however many
--- a/ironbarrow/routing/router.py
+++ b/ironbarrow/routing/router.py
@@ -215,8 +215,8 @@
     return old, old
 
 
-def job_terms(ticket: Ticket, settings: api.Settings) -> dict[str, Any]:
-    """The limits of a ticket for one job, as fields of ``core.jobs.Terms``."""
+def job_options(ticket: Ticket, settings: api.Settings) -> dict[str, Any]:
+    """The limits of a ticket for one job, as fields of ``core.jobs.JobOptions``."""
     limits = ticket.limits
     return {
         "most_attempts": min(limits.attempts or settings.max_attempts, settings.max_attempts),
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -1,4 +1,5 @@
-"""The rules of service hold whatever the decisions say: what would break one is not done, and is counted."""
+"""Tests that an action of the decision module which would break a service rule is not carried out, and is
+counted."""
 
 import random
 from collections.abc import Iterable
@@ -14,51 +15,52 @@
 from tests.scenario import Harness, answer, call_back, job
 
 
-def violations(stage: Harness) -> dict[str, int]:
-    counts = stage.dispatcher.host.events.counts
+def violations(harness: Harness) -> dict[str, int]:
+    counts = harness.dispatcher.host.event_log.counts
     return {kind: number for (event, kind), number in counts.items() if event == "decision not carried out"}
 
 
 def test_a_booking_that_may_have_run_is_not_sent_again() -> None:
-    """Guards against decisions that repeat an effect (bcef66)."""
-    stage, _ = fixed_order("p1", "p2")
+    """Guards against a decision module that repeats an effect (bcef66)."""
+    harness, _ = fixed_order("p1", "p2")
     for line in (f"c1 send {job(path='book/x')}", "p1 expect in$", f"p1 send {answer(500)}", "c1 expect 500"):
-        stage.step(line)
-    assert stage.peers["p2"].sock is None
-    assert violations(stage) == {Rule.NO_REPEATED_EFFECT.value: 1}
-    stage.close()
+        harness.step(line)
+    assert harness.peers["p2"].sock is None
+    assert violations(harness) == {Rule.NO_REPEATED_EFFECT.value: 1}
+    harness.close()
 
 
 def test_a_booking_that_may_have_run_is_not_refused() -> None:
-    """Guards against decisions that invite a repeat of an effect (bcef66)."""
-    stage, decisions = fixed_order("p1")
+    """Guards against a decision module that refuses a job which may have run: the client would repeat it
+    (bcef66)."""
+    harness, decisions = fixed_order("p1")
     real = decisions.handle
     decisions.handle = lambda now, events: [  # type: ignore[method-assign]
         api.Refuse(action.job) if isinstance(action, api.Fail) else action for action in real(now, events)
     ]
     for line in (f"c1 send {job(path='book/x')}", "p1 expect in$", f"p1 send {answer(500)}", "c1 expect 500"):
-        stage.step(line)
-    assert violations(stage) == {Rule.LAWFUL_REFUSAL.value: 1}
-    stage.close()
+        harness.step(line)
+    assert violations(harness) == {Rule.LAWFUL_REFUSAL.value: 1}
+    harness.close()
 
 
 def test_no_job_goes_to_one_worker_twice() -> None:
-    """Guards against a copy of a call-back that ends the next attempt at the same worker (bcef66)."""
-    stage, _ = fixed_order("p1", "p1", "p2")
+    """Guards against a duplicate call-back that ends the next attempt at the same worker (bcef66)."""
+    harness, _ = fixed_order("p1", "p1", "p2")
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {answer(202)}"):
-        stage.step(line)
+        harness.step(line)
     for line in (f"c9 send {call_back('returned')}", "c9 expect 204", "p2 expect in$"):
-        stage.step(line)
-    assert not stage.peers["p1"].received
-    assert violations(stage) == {Rule.ONE_ATTEMPT_PER_WORKER.value: 1}
-    stage.close()
+        harness.step(line)
+    assert not harness.peers["p1"].received
+    assert violations(harness) == {Rule.ONE_ATTEMPT_PER_WORKER.value: 1}
+    harness.close()
 
 
-class Reckless:
-    """Sends, calls off, refuses and fails at random, whatever has happened."""
+class RandomDecisions:
+    """Sends, cancels, refuses and fails jobs at random, whatever has happened."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, generator: random.Random) -> None:
+        self._random = generator
         self._sends = 0
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
@@ -67,12 +69,12 @@
             number = getattr(event, "job", 0)
             if not number:
                 continue
-            kind = self._chance.choice(("send", "send", "send", "call off", "refuse", "fail", "nothing"))
+            kind = self._random.choice(("send", "send", "send", "cancel", "refuse", "fail", "nothing"))
             if kind == "send" or isinstance(event, api.JobArrived):
                 self._sends += 1
-                actions.append(api.Send(number, self._chance.choice(("p1", "p2", "p3"))))
-            elif kind == "call off":
-                actions.append(api.CancelAttempt(number, self._chance.randrange(self._sends)))
+                actions.append(api.Send(number, self._random.choice(("p1", "p2", "p3"))))
+            elif kind == "cancel":
+                actions.append(api.CancelAttempt(number, self._random.randrange(self._sends)))
             elif kind == "refuse":
                 actions.append(api.Refuse(number))
             elif kind == "fail":
@@ -81,18 +83,18 @@
 
 
 @pytest.mark.parametrize("effect", test_attempt.EFFECTS)
-def test_reckless_decisions_break_no_rule(effect: api.Effect, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_decisions_break_no_rule(effect: api.Effect, monkeypatch: pytest.MonkeyPatch) -> None:
     violated: set[str] = set()
     for seed in range(400):
         world = test_attempt.World(seed, effect)
-        world.host._dispatcher = Reckless(random.Random(seed))  # type: ignore[assignment]
+        world.host._dispatcher = RandomDecisions(random.Random(seed))  # type: ignore[assignment]
 
         def connect(address: tuple[str, int], until: int) -> Coroutine[test_attempt.FakeConnection]:
             yield from test_attempt.wait(world.loop.now())  # noqa: B023
             return test_attempt.FakeConnection(world, world.workers[address[0]])  # noqa: B023
 
         monkeypatch.setattr(invoker, "connect", connect)
-        world.play()
+        world.simulate()
         assert world.second_copies == 0, seed
         assert world.run_twice == 0, seed
         assert len(world.answers) == 1, seed
@@ -100,8 +102,10 @@
         refused = world.answers[0].verdict.value == "refused"
         may_have_run = any(held.may_have_run for held in world.attempts)
         assert effect is not api.Effect.UNSAFE or not (refused and may_have_run), seed
-        violated |= {kind for event, kind in world.host.events.counts if event == "decision not carried out"}
-    # the decisions did try to break them
+        violated |= {
+            kind for event, kind in world.host.event_log.counts if event == "decision not carried out"
+        }
+    # The random decisions did try to break these rules.
     assert {Rule.ONE_LIVE_ATTEMPT.value, Rule.ONE_ATTEMPT_PER_WORKER.value} <= violated
     if effect is api.Effect.UNSAFE:
         assert {Rule.NO_REPEATED_EFFECT.value, Rule.LAWFUL_REFUSAL.value} <= violated
