--- a/ironbarrow/routing/limiters.py
+++ b/ironbarrow/routing/limiters.py
@@ -142,8 +142,7 @@
             if now - self.decreased_at >= self.window:
                 self.decreased_at = now
                 self.limit = max(float(self.min_limit), self.limit * self.backoff)
-        elif (
-            2 * in_use >= self.limit
-        ):  # a limit that is less than half used gives no evidence for a higher one
+        elif 2 * in_use >= self.limit:
+            # a limit of which less than half is used gives no evidence for a higher one
             self.limit = min(float(self.max_limit), self.limit + 1 / self.limit)
         return int(self.limit)
