--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -728,7 +728,7 @@
     path.write_text(SERVED_FILE)
     harness = Harness(routes=path)
     try:
-        running_router = harness.dispatcher.clients.router
+        running_router = harness.dispatcher.server.router
         assert isinstance(running_router, Router)
         before = running_router.table
         for invalid in (
@@ -738,11 +738,11 @@
             path.write_text(invalid)
             with pytest.raises(ConfigError, match=r"routes\.toml|gone\.toml"):
                 harness.dispatcher.reload(replace(harness.config, discovery=("127.0.0.1", 1)))
-            assert harness.dispatcher.clients.router.table is before  # type: ignore[union-attr]
+            assert harness.dispatcher.server.router.table is before  # type: ignore[union-attr]
             assert harness.dispatcher.discovery._source.address == harness.config.discovery
         path.write_text(SERVED_FILE.replace('name = "few"', 'name = "fewer"'))
         harness.dispatcher.reload(harness.config)
-        assert harness.dispatcher.clients.router is running_router
+        assert harness.dispatcher.server.router is running_router
         assert running_router.table.routes[0].route.name == "fewer"
     finally:
         harness.close()
