--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -274,11 +274,11 @@
         if config.routes is None:
             return None
         # imported here, so that a start without routes does not load the libraries that read them
-        from ironbarrow.routing.file import RoutesError, load
-        from ironbarrow.routing.table import Table
+        from ironbarrow.routing.file import RoutesError, load_routes
+        from ironbarrow.routing.table import RoutingTable
 
         try:
-            return Table(load(config.routes), self._config.settings)
+            return RoutingTable(load_routes(config.routes), self._config.settings)
         except RoutesError as error:
             raise ConfigError(str(error)) from None
 
@@ -290,7 +290,7 @@
 
             self._router = Router(table)
         else:
-            self._router.replace(table)
+            self._router.replace_table(table)
         self.server.router = self._router
 
     def close(self) -> None:
