--- a/ironbarrow/fleet/rollout/rules.py
+++ b/ironbarrow/fleet/rollout/rules.py
@@ -264,25 +264,24 @@
                 Finding(
                     "starvation",
                     Cause.RUNTIME,
-                    f"tenant {self._starvation.tenant!r} starves at {self._starvation.partition}"
-                    f" since the rollout began",
+                    f"tenant {self._starvation.tenant!r} waits at {self._starvation.partition} since the wave",
                 )
             )
         for floor, available, wanted in floor_shortfalls:
-            text = f"{available:g} slots available ({floor}), floor {wanted:g}"
+            text = f"{available:g} slots of {floor}, floor {wanted:g}"
             found.append(Finding("capacity", Cause.ENVIRONMENT, text))
         for target, part in cold_budget_use:
             if part >= self._rules.cold_limit:
-                text = f"{target}: {part:.2f} of its cold budget used, limit {self._rules.cold_limit:g}"
+                text = f"{target}: {part:.2f} of its budget, limit {self._rules.cold_limit:g}"
                 found.append(Finding("cold workers", Cause.ENVIRONMENT, text))
         for site in sites:
             silent = now - max(self._site_last_seen.get(site, 0), self._wave_began_at)
             if silent > self._rules.sight:
-                text = f"site {site}: no report for {silent / SECOND:.1f} s"
+                text = f"site {site}: nothing for {silent / SECOND:.1f} s"
                 found.append(Finding("site out of sight", Cause.ENVIRONMENT, text))
         lost = self._members_at_wave_start - self._members_now
         if lost > 0 and lost > self._rules.members_lost * self._members_at_wave_start:
-            text = f"{lost} of {self._members_at_wave_start} since the wave began"
+            text = f"{lost} of {self._members_at_wave_start} since the wave"
             found.append(Finding("members lost", Cause.ENVIRONMENT, text))
         return found
 
@@ -361,9 +360,7 @@
         others = sum(sum(at > after for at in m.crashes) for m in old)
         usual = others / len(old) * len(new) if old else 0.0
         if crashes - 3 * usual >= self._rules.crashes:
-            text = (
-                f"{crashes} crashes on {len(crashed)} of {len(new)} new ones, {others} on {len(old)} old ones"
-            )
+            text = f"{crashes} ends on {len(crashed)} of {len(new)} new ones, {others} on {len(old)} old ones"
             found.append(Finding("crashes", Cause.RUNTIME if len(crashed) > 1 else Cause.UNCERTAIN, text))
         return found
 
@@ -411,7 +408,7 @@
             if now - hold.seen_at >= self._rules.clear_for:
                 del self.holds[rule]
             elif hold.finding.cause is Cause.UNCERTAIN and now - hold.began_at >= self._rules.hold_most:
-                text = f"{hold.finding.details}; uncertain for {(now - hold.began_at) / SECOND:.0f} s"
+                text = f"{hold.finding.details}; in doubt for {(now - hold.began_at) / SECOND:.0f} s"
                 return Finding(rule, Cause.RUNTIME, text)
         return None
 
