--- a/ironbarrow/backs/invoker.py
+++ b/ironbarrow/backs/invoker.py
@@ -137,10 +137,10 @@
         if exchange is not None and exchange.task is not None and not exchange.answered:
             exchange.task.cancel()
 
-    def call_off(self, job_id: str, worker: str, until: int, done: Callable[[bool], None]) -> None:
+    def cancel_job(self, job_id: str, worker: str, until: int, done: Callable[[bool], None]) -> None:
         """Cancels a job that another process has sent. ``done`` is called with True once the worker has
         confirmed that it does not run the job, or with False at ``until`` (ns)."""
-        self._loop.spawn(self._call_off_job(job_id, worker, until, done))
+        self._loop.spawn(self._cancel_job(job_id, worker, until, done))
 
     def probe(self, worker: str) -> None:
         """As ``Invoker.probe``."""
@@ -158,7 +158,7 @@
 
     # Call-backs
 
-    def called_back(self, raw: Any) -> bool:
+    def handle_call_back(self, raw: Any) -> bool:
         """Handles a worker's call-back. Returns whether it concerns a live attempt. Raises ValueError if it
         is malformed."""
         if not isinstance(raw, dict):
@@ -327,7 +327,7 @@
             yield from sleep(self._loop.now() + pause)
         self._finish(attempt, ending)
 
-    def _call_off_job(
+    def _cancel_job(
         self, job_id: str, worker: str, until: int, done: Callable[[bool], None]
     ) -> Coroutine[None]:
         stopped = False
--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -195,7 +195,7 @@
         self._operations.pending_jobs = lambda: self._upgrade.jobs_pending
 
     def _on_call_back(self, raw: Any) -> None:
-        if self.invoker.called_back(raw):
+        if self.invoker.handle_call_back(raw):
             return
         if self.fleet is not None:
             self.fleet.on_unmatched_call_back(raw)
--- a/ironbarrow/fleet/takeover/adapter.py
+++ b/ironbarrow/fleet/takeover/adapter.py
@@ -50,11 +50,11 @@
 class CancellingInvoker(Invoker, Protocol):
     """An invoker that can also cancel jobs that another dispatcher has sent."""
 
-    def call_off(self, job_id: str, worker: str, until: int, done: Callable[[bool], None]) -> None:
+    def cancel_job(self, job_id: str, worker: str, until: int, done: Callable[[bool], None]) -> None:
         """Cancels a job that another dispatcher has sent. Calls ``done`` with whether the worker has
         confirmed it, or with False at ``until`` (ns)."""
 
-    def called_back(self, raw: Any) -> bool:
+    def handle_call_back(self, raw: Any) -> bool:
         """Handles a worker's call-back; False if it is for no running attempt. Raises a ValueError if it is
         malformed."""
 
@@ -346,7 +346,7 @@
                 self.keeper.discard(record.id)
                 self._run(machine.cancelled_at_worker(self._clock.now(), record.id))
 
-        self._invoker.call_off(record.id, record.worker, record.until, done)
+        self._invoker.cancel_job(record.id, record.worker, record.until, done)
 
     def on_unmatched_call_back(self, raw: dict[str, Any]) -> None:
         """Handles a call-back that matches no attempt of this process: it is for an adopted job, or forwarded
@@ -367,7 +367,7 @@
         raw = {"id": event.id, "from": event.worker, "state": event.state}
         raw["result"] = event.result.decode("utf-8", "replace")
         try:
-            if not self._invoker.called_back(raw):
+            if not self._invoker.handle_call_back(raw):
                 self._deliver_to_awaited(raw)
         except ValueError as error:
             log.error("malformed forwarded call-back ignored", error=str(error))
--- a/ironbarrow/handover/upgrade.py
+++ b/ironbarrow/handover/upgrade.py
@@ -45,7 +45,7 @@
     def detach(self, attempt: Attempt) -> None:
         """Drops an attempt that another process now has, without cancelling it at its worker."""
 
-    def called_back(self, raw: Any) -> bool:
+    def handle_call_back(self, raw: Any) -> bool:
         """Handles a worker's call-back; False if it is for no running attempt. Raises a ValueError if it is
         malformed."""
 
@@ -280,7 +280,7 @@
         """Handles a call-back that another process could not match. It is not forwarded again: two processes
         that both can't match it would forward it to each other for ever."""
         try:
-            if not self._invoker.called_back(raw):
+            if not self._invoker.handle_call_back(raw):
                 self._deliver_to_pending(raw)
         except ValueError as error:
             log.error("malformed forwarded call-back ignored", error=str(error))
--- a/ironbarrow/lab/fleet/work.py
+++ b/ironbarrow/lab/fleet/work.py
@@ -181,13 +181,13 @@
     def detach(self, attempt: Attempt) -> None:
         self._out.discard(attempt)
 
-    def call_off(self, job_id: str, worker: str, until: int, done: Callable[[bool], None]) -> None:
+    def cancel_job(self, job_id: str, worker: str, until: int, done: Callable[[bool], None]) -> None:
         if self._world.deletes_lost:
             self._clock.call_at(min(until, self._clock.now() + _UNCONFIRMED_AFTER), done, False)
         else:
             self._delete(worker, job_id, lambda: done(True))
 
-    def called_back(self, raw: Any) -> bool:
+    def handle_call_back(self, raw: Any) -> bool:
         attempt = self.host.live_attempt(raw["id"], raw["from"])
         if attempt is None:
             return False
@@ -346,7 +346,7 @@
         if not up:
             return False
         process = self.processes[self.call_backs_to or self.random.choice(up)]
-        if not process.back.called_back(raw):
+        if not process.back.handle_call_back(raw):
             process.work.on_unmatched_call_back(raw)
         return True
 
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -183,13 +183,13 @@
     confirmed: list[bool] = []
     until = harness.dispatcher.loop.now() + 400 * MS
     harness.step("p1 refuse")
-    harness.dispatcher.invoker.call_off("j1", "p1", until, confirmed.append)
-    harness.dispatcher.invoker.call_off("j2", "unknown worker", until, confirmed.append)
+    harness.dispatcher.invoker.cancel_job("j1", "p1", until, confirmed.append)
+    harness.dispatcher.invoker.cancel_job("j2", "unknown worker", until, confirmed.append)
     harness.run_for(0.2)
     assert confirmed == []
     harness.run_until("the time is over", lambda: confirmed == [False, False])
     harness.step("p1 listen")
-    harness.dispatcher.invoker.call_off("j3", "p1", until + 9 * SECOND, confirmed.append)
+    harness.dispatcher.invoker.cancel_job("j3", "p1", until + 9 * SECOND, confirmed.append)
     harness.step("p1 expect DELETE /jobs/j3 HTTP")
     assert len(confirmed) == 2
     harness.step(f"p1 send {answer(204)}")
@@ -370,7 +370,9 @@
             worker_attempt.may_have_run = worker_attempt.may_have_run and (
                 state != "returned" or worker_attempt.started
             )
-        self.back.called_back({"id": "j1", "from": worker_attempt.worker, "state": state, "result": "out"})
+        self.back.handle_call_back(
+            {"id": "j1", "from": worker_attempt.worker, "state": state, "result": "out"}
+        )
 
     def deleted(self, worker: str) -> None:
         for worker_attempt in self.attempts:
--- a/tests/test_invoker.py
+++ b/tests/test_invoker.py
@@ -459,7 +459,7 @@
     back, done = harness.dispatcher.invoker, []
     until = harness.dispatcher.loop.now() + 150 * MS
     for n in range(200):
-        back.call_off(f"j{n}", "p1", until, done.append)
+        back.cancel_job(f"j{n}", "p1", until, done.append)
     harness.run_for(0.05)
     assert 0 < gate.waiting <= 32
     gate.open = True
