--- a/ironbarrow/__main__.py
+++ b/ironbarrow/__main__.py
@@ -6,7 +6,7 @@
 def main() -> None:
     """Runs the command line. ``serve`` alone starts without the modules of the other commands."""
     if sys.argv[1:] == ["serve"]:
-        # danger: the memory of a dispatcher is limited, and importing the other commands takes a third more
+        # a dispatcher's memory is limited, and importing the other commands takes a third more
         from ironbarrow.cli.serve import serve
 
         sys.exit(serve())
--- a/ironbarrow/cli/serve.py
+++ b/ironbarrow/cli/serve.py
@@ -13,8 +13,8 @@
 class _StandardError:
     """Standard error as a file for log lines.
 
-    Danger: whoever reads it may have ended, most likely during the shutdown. A failed write must neither end
-    the program nor change its exit status.
+    The process that reads it may have ended, most likely during the shutdown. A failed write must neither
+    end the program nor change its exit status.
     """
 
     def write(self, text: str) -> None:
@@ -31,8 +31,8 @@
 
 def serve() -> int:
     """Serves until SIGTERM, configured by the environment. Returns the exit status."""
-    # danger: a signal to stop or to reload during the start must neither be lost nor end the program, which
-    # would reset the connections that the listener has accepted
+    # A signal to stop or to reload during the start must neither be lost nor end the program, which would
+    # reset the connections that the kernel has accepted for the listener.
     signal.pthread_sigmask(signal.SIG_BLOCK, _SIGNALS)
     structlog = _import_structlog()
     structlog.configure(
@@ -63,8 +63,8 @@
     dispatcher.stop_on_signals()
     dispatcher.reload_on_signal(partial(load, os.environ, prefer_file=True))
     dispatcher.run()
-    # danger: Python removes its signal handlers before the process exits, and a second signal to stop would
-    # then end it with a status other than 0
+    # Python removes its signal handlers before the process exits. A second signal to stop would then end it
+    # with a status other than 0.
     signal.pthread_sigmask(signal.SIG_BLOCK, _SIGNALS)
     return 0
 
@@ -72,7 +72,7 @@
 def _import_structlog() -> ModuleType:
     """Imports structlog without rich and asyncio, which JSON log lines do not need.
 
-    Danger: structlog imports rich, if it is installed, for its coloured console (8 MB), and asyncio with ssl
+    structlog imports rich, if it is installed, for its coloured console (8 MB), and asyncio with ssl
     for its async methods, which are not used here (a sixth of the CPU time of a start; hundreds of processes
     may start at once). While structlog is imported, stubs stand in for them, unless they are loaded already.
     """
--- a/ironbarrow/fleet/rollout/coordinator.py
+++ b/ironbarrow/fleet/rollout/coordinator.py
@@ -364,7 +364,7 @@
 
     def _on_agent_status(self, now: int, led: _LedRollout, status: AgentStatus) -> list[Action]:
         if status.rollout not in ("", led.plan.name) or status.epoch > led.epoch:
-            return []  # danger: a later coordinator is at work; entries written by this one would not count
+            return []  # a later coordinator is active; entries written by this one would not count
         target = self._target(status.target)
         step = led.steps.get(status.target)
         pending = led.pending_steps.get(status.target)
@@ -720,7 +720,7 @@
                 continue
             number = pending.step.number
             if not pending.answered:
-                number = 0  # danger: an older epoch's command may still be on its way; a query fences it off
+                number = 0  # an older epoch's command may still be on its way; the query fences it off
             elif not pending.begun and not pending.command_sent:
                 if not self._may_send(led, pending, unix_time):
                     continue
@@ -749,7 +749,7 @@
         """Whether the command may be sent now. Since the step was written, the loss of another target may
         have used up the capacity above a floor.
 
-        Danger: targets that are out of use, or may be, must not count as capacity."""
+        Targets that are out of use, or may be, must not count as capacity."""
         name = pending.step.target
         if pending.step.runtime == led.plan.runtime and led.state.stage is not Stage.RUNNING:
             return False  # the rollout was paused after the step was written
--- a/ironbarrow/fleet/rollout/rules.py
+++ b/ironbarrow/fleet/rollout/rules.py
@@ -190,8 +190,8 @@
         return self._open_blocks.setdefault((signal, site, job_class), Block())
 
     def _record_duration(self, site: str, job_class: str, target: str, new: bool, time: int) -> None:
-        """Records a job's duration. Danger: machines differ in speed, so durations are compared with those of
-        the same machine under the old runtime."""
+        """Records a job's duration, relative to the durations on the same machine under the old runtime, as
+        machines differ in speed."""
         log_time = math.log(time)
         jobs, mean = self._reference_durations.get((target, job_class), (0, 0.0))
         if jobs >= _MIN_REFERENCE_JOBS:
@@ -264,7 +264,8 @@
                 Finding(
                     "starvation",
                     Cause.RUNTIME,
-                    f"tenant {self._starvation.tenant!r} waits at {self._starvation.partition} since the wave",
+                    f"tenant {self._starvation.tenant!r} waits at {self._starvation.partition}"
+                    " since the wave",
                 )
             )
         for floor, available, wanted in floor_shortfalls:
@@ -319,7 +320,8 @@
     def _evaluate_tests(self, now: int) -> list[Finding]:
         if not self._tests:
             return []
-        # Danger: the stake has to be divided among all tests that may come, not just those seen so far.
+        # The stake has to be divided among all tests that may come, not just those seen so far. Otherwise a
+        # good runtime would be stopped more often than ``false_pauses`` allows.
         count = 3 * len(self._plan.sites) * max(1, len(self._classes))
         threshold = -math.log(self._rules.false_pauses)
         found = []
@@ -330,8 +332,8 @@
                 if total > self._peak_evidence:
                     self._peak_evidence, self._peak_evidence_at = total, now
                 elif now - self._peak_evidence_at >= self._rules.clear_for:
-                    # Danger: a machine that was sick for a while leaves its evidence behind, which would hold
-                    # the rollout for ever. A bad runtime keeps adding evidence.
+                    # A machine that was sick for a while leaves its evidence behind, which would hold the
+                    # rollout for ever. A bad runtime keeps adding evidence.
                     continue
             if total >= threshold:
                 signal, site, job_class = key = max(logs, key=lambda k: (logs[k], k))
--- a/ironbarrow/fleet/rollout/sequential.py
+++ b/ironbarrow/fleet/rollout/sequential.py
@@ -187,7 +187,7 @@
                 process.update(past_block, excluded)
             self.log_e = min(self.log_all, process.log())
         else:
-            # Danger: with a single machine, a sick machine can't be told from a bad runtime.
+            # With a single machine, a sick machine can't be told from a bad runtime.
             self.log_e = min(0.0, self.log_all)
 
     def totals(self) -> tuple[int, int, int, int]:
--- a/ironbarrow/fleet/rollout/sizing.py
+++ b/ironbarrow/fleet/rollout/sizing.py
@@ -1,8 +1,8 @@
 """How many targets may be out of use at a time: limited by the floors and by the budgets of cold workers.
 
-Danger: the load of a worker taken out moves to the others, and each started worker is cold. If the warm
-workers can't carry the load, all dispatchers turn to the cold ones at once, and a cold worker that is sent a
-multiple of its capacity collapses. ``heathway.slow_start`` divides a cold worker's budget among the
+The load of a worker taken out moves to the others, and each started worker is cold. If the warm workers
+can't carry the load, all dispatchers turn to the cold ones at once, and a cold worker that is sent a multiple
+of its capacity collapses. ``heathway.slow_start`` divides a cold worker's budget among the
 dispatchers; here the batch is kept so small that the load left for cold workers fits into their budgets.
 """
 
--- a/tests/test_kept_names.py
+++ b/tests/test_kept_names.py
@@ -108,7 +108,7 @@
 
 
 def test_a_hand_over_record_keeps_the_key_provider() -> None:
-    # danger: the old process and its replacement may be different versions, which must read the same key
+    # The old process and its replacement may be different versions, which must read the same key.
     message = json.loads(records.job_message(RECORD))
     assert message["job"]["provider"] == "p1" and "worker" not in message["job"]
     assert records.parse(json.dumps(message).encode())["job"] == RECORD
@@ -118,7 +118,7 @@
 
 
 def test_a_fleet_keeps_the_encoded_words_of_verdicts() -> None:
-    # danger: a member of another version takes a word that it does not know for a failure
+    # A member of another version takes a word that it does not know for a failure.
     assert {verdict: machine.ENCODED_VERDICTS[verdict] for verdict in Verdict} == {
         Verdict.SERVED: "served",
         Verdict.REFUSED: "rejected",
