--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -370,13 +370,13 @@
 
     def _finish_when_done(self) -> None:
         # danger: the listener stays open to the end, because workers' call-backs arrive through it
-        other_owed = (
+        other_unanswered = (
             self._upgrade.jobs_pending + self._upgrade.jobs_handed_over if self._upgrade is not None else 0
         )
-        other_owed += self.fleet.adapter.owed if self.fleet is not None else 0
+        other_unanswered += self.fleet.adapter.unanswered if self.fleet is not None else 0
         # danger: a connection whose peer never closes its side would delay the end until SIGKILL
         has_open_connections = self.server.has_connections and self.loop.now() < self._connections_until
-        if self.host.unanswered or other_owed or has_open_connections:
+        if self.host.unanswered or other_unanswered or has_open_connections:
             self.loop.call_at(self.loop.now() + _DONE_CHECK_INTERVAL, self._finish_when_done)
         elif self.fleet is None:
             self._finish()
--- a/ironbarrow/fleet/service.py
+++ b/ironbarrow/fleet/service.py
@@ -27,7 +27,9 @@
 from ironbarrow.runtime.loop import MS, SECOND, Loop
 
 log = structlog.get_logger()
-_REPLACED_EARLY = 10 * SECOND  # an incarnation replaced within this time of its start begins another one
+_EARLY_REPLACEMENT_LIMIT = (
+    10 * SECOND
+)  # an incarnation replaced within this time of its start begins another one
 _RETRY_DELAY = 50 * MS  # after a machine has raised an exception
 
 
@@ -72,8 +74,8 @@
             self.incarnation,
             fleet.links,
             self._address_of,
-            self._received,
-            self._link_failed,
+            self._on_message,
+            self._on_link_failed,
         )
 
     def _start_incarnation(self, start: int, known: Iterable[Card]) -> None:
@@ -148,11 +150,11 @@
     def _send(self, action: Send) -> None:
         self.links.send(action)
 
-    def _received(self, sender: Incarnation, to_start: int, message: Message) -> None:
+    def _on_message(self, sender: Incarnation, to_start: int, message: Message) -> None:
         self.node.received(self._loop.now(), sender, to_start, message)
         self._schedule_soon()
 
-    def _link_failed(self, name: str) -> None:
+    def _on_link_failed(self, name: str) -> None:
         if not self._closed:
             self.carry_out(self.members.connection_lost(self._loop.now(), name))
 
@@ -168,7 +170,7 @@
             # After the clock was set back the others take this incarnation for an older one than its
             # predecessor, and a later start helps. That is tried soon after the start only: two processes of
             # one name would replace each other's incarnations for ever.
-            if self._loop.now() - self._started_at < _REPLACED_EARLY:
+            if self._loop.now() - self._started_at < _EARLY_REPLACEMENT_LIMIT:
                 self._loop.call_soon(self.start_new_incarnation, event.by.start)
             else:
                 log.error("another process uses this name", name=self.name, incarnation=str(event.by))
--- a/ironbarrow/fleet/takeover/adapter.py
+++ b/ironbarrow/fleet/takeover/adapter.py
@@ -1,6 +1,6 @@
 """Connects the take-over machine to the host.
 
-Requests pass through it from the clients' front to the host (``take``), and attempts from the host to the
+Requests pass through it from the clients' front to the host (``submit``), and attempts from the host to the
 invoker (``start``, ``give_up``). It works on any clock and has no sockets of its own.
 """
 
@@ -64,8 +64,8 @@
     """A client that waits for the answer of a job."""
 
     id: str  # the job's
-    answered: Callable[[Answer | None], None]
-    watch: JobLimiter | None = None  # None once the host's job reports to it
+    on_answer: Callable[[Answer | None], None]
+    limiter: JobLimiter | None = None  # None once the host's job reports to it
     done: bool = False
 
 
@@ -113,7 +113,7 @@
         self._classes = {cls.name: cls for cls in host.settings.classes}
         settings = host.settings
         retry_after = min(200 * MS, settings.max_retry_after) if settings.gives_retry_after else 0
-        self.keeper = PendingJobs(
+        self.pending_jobs = PendingJobs(
             settings.max_attempts,
             retry_after,
             early_retention=_EARLY_CALL_BACK_RETENTION,
@@ -123,16 +123,16 @@
         self.on_adopted: Callable[[LedgerAdopted], None] = lambda event: None
         self._jobs: dict[str, Job] = {}
         self._client_options: dict[str, tuple[_Waiter, dict[str, Any]]] = {}
-        self._flush_planned = False
-        self._check_planned = False
+        self._flush_scheduled = False
+        self._check_scheduled = False
         host.invoker = self
-        host.on_attempt_ended = self._attempt_over
+        host.on_attempt_ended = self._on_attempt_ended
         self._handlers: dict[type[FleetEvent], Callable[[Any], None]] = {
             StartJob: self._start_job,
             AwaitCallBack: self._await_call_back,
             CancelAtWorker: self._cancel_at_worker,
             ReplyToClient: self._reply,
-            AttemptDecision: self._decide_attempt,
+            AttemptDecision: self._on_attempt_decision,
             WithdrawJob: self._withdraw,
             ReleaseJob: self._release_job,
             DeliverCallBack: self._deliver_call_back,
@@ -153,24 +153,25 @@
 
     def _run(self, actions: Iterable[Action]) -> None:
         self._carry_out(actions)
-        if self.machine.has_unflushed and not self._flush_planned:
-            self._flush_planned = True
+        if self.machine.has_unflushed and not self._flush_scheduled:
+            self._flush_scheduled = True
             self._clock.call_soon(self._flush)  # together with all other changes of this turn
 
     def _flush(self) -> None:
-        self._flush_planned = False
+        self._flush_scheduled = False
         self._carry_out(self.machine.flush(self._clock.now()))
 
     # The front
 
-    def take(
-        self, payload: Payload, answered: Callable[[Answer | None], None], **options: Any
+    def submit(
+        self, payload: Payload, on_answer: Callable[[Answer | None], None], **options: Any
     ) -> Callable[[], None]:
-        """As ``Host.submit``; ``answered`` gets None if another request uses that id. Returns the function to
-        call when the client has disconnected or has its answer."""
+        """As ``Host.submit``, but ``on_answer`` gets None if another request uses that id.
+
+        Returns the function to call when the client has disconnected or has its answer."""
         now = self._clock.now()
         text = f"{payload.method}\0{payload.target}\0".encode()
-        terms: JobOptions | None = options.get("options")
+        job_options: JobOptions | None = options.get("options")
         record = JobRecord(
             id=payload.id,
             job_class=options["job_class"],
@@ -188,7 +189,7 @@
             idempotency_key=payload.idempotency_key,
             digest=blake2b(text + payload.body, digest_size=16).digest(),
         )
-        waiter = _Waiter(payload.id, answered, terms.limiter if terms is not None else None)
+        waiter = _Waiter(payload.id, on_answer, job_options.limiter if job_options is not None else None)
         if payload.id not in self._client_options:
             self._client_options[payload.id] = waiter, options
         self._run(self.machine.on_request(now, record, options["repeat"], waiter))
@@ -205,7 +206,7 @@
         )
 
     @property
-    def owed(self) -> int:
+    def unanswered(self) -> int:
         """Number of jobs that this member has to answer, including those that only wait for a call-back."""
         return len(self.machine.owned)
 
@@ -220,9 +221,9 @@
         options = self._client_options.get(waiter.id)
         if options is not None and options[0] is waiter:
             del self._client_options[waiter.id]
-        if waiter.watch is not None:
+        if waiter.limiter is not None:
             served = answer is not None and answer.verdict is Verdict.SERVED
-            waiter.watch.ended(self._clock.now(), in_time=served)
+            waiter.limiter.ended(self._clock.now(), in_time=served)
 
     def _reply(self, event: ReplyToClient) -> None:
         waiter = event.waiter
@@ -230,19 +231,19 @@
         check("one answer", not waiter.done, id=waiter.id)
         if not waiter.done:
             self._client_done(waiter, event.answer)
-            waiter.answered(event.answer)
+            waiter.on_answer(event.answer)
 
     # The host's jobs
 
     def _start_job(self, event: StartJob) -> None:
         record, now = event.record, self._clock.now()
         waiter, options = self._client_options.pop(record.id, (None, {}))
-        terms: JobOptions = options.get("options") or JobOptions()
+        job_options: JobOptions = options.get("options") or JobOptions()
         if waiter is not None:
-            waiter.watch = None  # the host's job reports to it from now on
+            waiter.limiter = None  # the host's job reports to it from now on
         attempts_left = max(1, self._host.settings.max_attempts - record.attempts)
         cls = self._classes[record.job_class]
-        wanted = terms.wanted
+        wanted = job_options.wanted
         if waiter is None and not cls.stretch:
             wanted = max(1, min(cls.aim, record.taken_at + cls.aim - now))
         self._jobs[record.id] = self._host.submit(
@@ -263,7 +264,9 @@
             memory=record.memory,
             repeat=bool(options.get("repeat")) or record.may_have_run,
             options=replace(
-                terms, wanted=wanted, most_attempts=min(terms.most_attempts or attempts_left, attempts_left)
+                job_options,
+                wanted=wanted,
+                most_attempts=min(job_options.most_attempts or attempts_left, attempts_left),
             ),
             tried=record.tried,
         )
@@ -278,9 +281,9 @@
             self._host.withdraw(job)
 
     def _release_job(self, event: ReleaseJob) -> None:
-        """Drops a job without cancelling its attempts: a cancellation could hit the copy that the new owner
-        of the job has sent to the same worker."""
-        self.keeper.discard(event.id)
+        """Drops a job without cancelling its attempts: a cancellation could end the attempt that the new
+        owner of the job has sent to the same worker."""
+        self.pending_jobs.discard(event.id)
         job = self._jobs.pop(event.id, None)
         if job is not None:
             for attempt in job.attempts:
@@ -303,47 +306,48 @@
     def _await_call_back(self, event: AwaitCallBack) -> None:
         record, now = event.record, self._clock.now()
         fields = {n: getattr(record, n) for n in Record.__slots__ if n not in ("time_left", "attempts")}
-        kept = Record(**fields, time_left=max(1, record.until - now), attempts=record.attempts)
-        self.keeper.add(
-            PendingJob(kept, event.safe, record.until, self._awaited_ended(record), self._retry), now
+        pending_record = Record(**fields, time_left=max(1, record.until - now), attempts=record.attempts)
+        self.pending_jobs.add(
+            PendingJob(pending_record, event.safe, record.until, self._answer_callback(record), self._retry),
+            now,
         )
-        self._plan_expiry_check()
+        self._schedule_expiry_check()
 
-    def _awaited_ended(self, record: JobRecord) -> Callable[[Answer], None]:
-        def ended(answer: Answer) -> None:
+    def _answer_callback(self, record: JobRecord) -> Callable[[Answer], None]:
+        def on_answer(answer: Answer) -> None:
             self._host.count_answer(record.job_class, answer.verdict)
             self._run(self.machine.job_ended(self._clock.now(), record.id, answer))
 
-        return ended
+        return on_answer
 
     def _retry(self, record: Record) -> None:
         now = self._clock.now()
         self._run(self.machine.retry_job(now, record.id, may_have_run=record.may_have_run))
 
-    def _plan_expiry_check(self) -> None:
-        if not self._check_planned:
-            self._check_planned = True
+    def _schedule_expiry_check(self) -> None:
+        if not self._check_scheduled:
+            self._check_scheduled = True
             self._clock.call_at(self._clock.now() + _EXPIRY_CHECK_INTERVAL, self._check_expired)
 
     def _check_expired(self) -> None:
-        self._check_planned = False
-        self.keeper.expire(self._clock.now())
-        if self.keeper.jobs:
-            self._plan_expiry_check()
+        self._check_scheduled = False
+        self.pending_jobs.expire(self._clock.now())
+        if self.pending_jobs.jobs:
+            self._schedule_expiry_check()
 
     def _cancel_at_worker(self, event: CancelAtWorker) -> None:
         """Cancels an adopted job at its worker. Until that is confirmed the attempt may run, so its call-back
         is awaited meanwhile."""
         record, machine = event.record, self.machine
         self._await_call_back(AwaitCallBack(record, safe=True))
-        kept = self.keeper.jobs.get(record.id)
-        if kept is None:
+        pending = self.pending_jobs.jobs.get(record.id)
+        if pending is None:
             return  # its call-back had arrived before the job was adopted
 
         def done(confirmed: bool) -> None:
-            still_awaited = self.keeper.jobs.get(record.id) is kept
-            if confirmed and still_awaited and machine is self.machine:
-                self.keeper.discard(record.id)
+            still_pending = self.pending_jobs.jobs.get(record.id) is pending
+            if confirmed and still_pending and machine is self.machine:
+                self.pending_jobs.discard(record.id)
                 self._run(machine.cancelled_at_worker(self._clock.now(), record.id))
 
         self._invoker.cancel_job(record.id, record.worker, record.until, done)
@@ -351,15 +355,15 @@
     def on_unmatched_call_back(self, raw: dict[str, Any]) -> None:
         """Handles a call-back that matches no attempt of this process: it is for an adopted job, or forwarded
         to the other members."""
-        if not self._deliver_to_awaited(raw) and raw["state"] in _FINAL_STATES:
+        if not self._deliver_to_pending(raw) and raw["state"] in _FINAL_STATES:
             result = raw.get("result", "")
             data = result.encode() if isinstance(result, str) else b""
             self._run(self.machine.forward_call_back(raw["id"], raw["from"], raw["state"], data))
 
-    def _deliver_to_awaited(self, raw: dict[str, Any]) -> bool:
+    def _deliver_to_pending(self, raw: dict[str, Any]) -> bool:
         result = raw.get("result", "")
         data = result.encode() if isinstance(result, str) else b""
-        return self.keeper.on_call_back(raw["id"], raw["from"], raw["state"], data, self._clock.now())
+        return self.pending_jobs.on_call_back(raw["id"], raw["from"], raw["state"], data, self._clock.now())
 
     def _deliver_call_back(self, event: DeliverCallBack) -> None:
         """Handles a call-back forwarded by another member. It is not forwarded again: one that no member
@@ -368,7 +372,7 @@
         raw["result"] = event.result.decode("utf-8", "replace")
         try:
             if not self._invoker.handle_call_back(raw):
-                self._deliver_to_awaited(raw)
+                self._deliver_to_pending(raw)
         except ValueError as error:
             log.error("malformed forwarded call-back ignored", error=str(error))
 
@@ -379,7 +383,7 @@
         now = self._clock.now()
         self._run(self.machine.begin_attempt(now, attempt, attempt.job.payload.id, attempt.worker))
 
-    def _decide_attempt(self, event: AttemptDecision) -> None:
+    def _on_attempt_decision(self, event: AttemptDecision) -> None:
         attempt = event.attempt
         assert isinstance(attempt, Attempt)
         if attempt.ended:
@@ -402,7 +406,7 @@
         """Drops an attempt without cancelling it at its worker."""
         self._invoker.detach(attempt)
 
-    def _attempt_over(self, attempt: Attempt) -> None:
+    def _on_attempt_ended(self, attempt: Attempt) -> None:
         self.machine.attempt_ended(attempt.job.payload.id, never_ran=attempt.never_ran)
         self._run(())
 
--- a/ironbarrow/fronts/server.py
+++ b/ironbarrow/fronts/server.py
@@ -44,10 +44,10 @@
 class FleetJobs(Protocol):
     """Takes the jobs of a dispatcher in a fleet, whose members take over each other's jobs."""
 
-    def take(
-        self, payload: Payload, answered: "Callable[[Answer | None], None]", **placement: Any
+    def submit(
+        self, payload: Payload, on_answer: "Callable[[Answer | None], None]", **placement: Any
     ) -> Callable[[], None]:
-        """As ``Host.submit``, but ``answered`` is called with None if another request has the same id.
+        """As ``Host.submit``, but ``on_answer`` is called with None if another request has the same id.
         Returns the function to call when the client disconnects or has its answer."""
 
     def readiness(self) -> str:
@@ -430,7 +430,7 @@
                 placement["tenant"] = tenant
         self._slots.begin_job(connection, len(payload.body))
         if self.fleet_jobs is not None:
-            return self.fleet_jobs.take(payload, on_answer, **placement)
+            return self.fleet_jobs.submit(payload, on_answer, **placement)
         job = self._host.submit(payload, on_answer, **placement)
         self.awaiting_answer[job] = connection, task
         return partial(self._withdraw, job)
--- a/ironbarrow/lab/fleet/work.py
+++ b/ironbarrow/lab/fleet/work.py
@@ -389,7 +389,7 @@
         process = self.processes[name]
 
         def taken() -> None:
-            order.left = process.work.take(
+            order.left = process.work.submit(
                 Payload(order.id, "POST", f"/{order.job_class}/{order.id}", b"in"),
                 answered,
                 job_class=order.job_class,
--- a/ironbarrow/lab/scale/hollow_dispatchers.py
+++ b/ironbarrow/lab/scale/hollow_dispatchers.py
@@ -118,9 +118,9 @@
         if not self._is_cut_from(action.to.name):
             super()._send(action)
 
-    def _received(self, sender: Incarnation, to_start: int, message: Message) -> None:
+    def _on_message(self, sender: Incarnation, to_start: int, message: Message) -> None:
         if not self._is_cut_from(sender.name):
-            super()._received(sender, to_start, message)
+            super()._on_message(sender, to_start, message)
 
     def _note(self, news: FleetEvent) -> None:
         if isinstance(news, MemberChanged):
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -377,7 +377,9 @@
             work = self.dispatcher.fleet.adapter
             self.run_until(line, lambda: "members=3" in work.readiness() and not work.machine.no_majority)
         elif line == "taken over":
-            self.run_until(line, lambda: any(other.fleet.adapter.owed for other in self.others.values()))
+            self.run_until(
+                line, lambda: any(other.fleet.adapter.unanswered for other in self.others.values())
+            )
         elif letter in self.others and line.split()[0] not in self.peers:
             old, self.address = self.address, self.others[letter].listener.getsockname()
             super().step(line)
