--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -50,28 +50,28 @@
     idle_close_delay: int  # idle client connections are closed
     answer_limit: int  # jobs that arrive after the order to stop are answered by this time
     connection_limit: int  # connections that clients have not closed no longer delay the exit
-    leave_delay: int  # in a fleet: the other members are told to take over the jobs that are still owed
+    leave_delay: int  # in a fleet: the other members are told to take over the unanswered jobs
     leave_timeout: int  # ns from ``leave_delay``: the replicas are waited for this long
 
     @staticmethod
     def of(settings: api.Settings) -> "ShutdownTimes":
-        """The times for the longest deadline of these settings.
+        """Returns the times for the longest deadline of these settings.
 
         SIGKILL may come 0.7 s after the longest deadline, of which at most 3 s count. Jobs that arrive more
         than 0.7 s after SIGTERM must be answered before it. Clients go on sending for 0.2 to 0.4 s.
 
-        Danger: if idle connections were closed at once, their clients would have no dispatcher to connect to
-        while another one restarts. If they were kept as long where deadlines are short, they would bring
-        jobs that SIGKILL interrupts.
+        If idle connections were closed at once, their clients would have no dispatcher to connect to while
+        another one restarts. If they were kept for the same time where deadlines are short, jobs could
+        arrive on them that SIGKILL interrupts.
         """
         longest = min(_MAX_COUNTED_DEADLINE, max(cls.deadline for cls in settings.classes))
         answer_limit = longest + _KILL_MARGIN - max(150 * MS, min(500 * MS, longest // 2))
         leave_timeout = min(700 * MS, answer_limit // 2)
-        killed = longest + _KILL_MARGIN
+        kill_delay = longest + _KILL_MARGIN
         return ShutdownTimes(
             idle_close_delay=max(500 * MS, min(1500 * MS, answer_limit // 2)),
             answer_limit=answer_limit,
-            connection_limit=answer_limit + (killed - answer_limit) // 3,
+            connection_limit=answer_limit + (kill_delay - answer_limit) // 3,
             leave_delay=answer_limit - leave_timeout,
             leave_timeout=leave_timeout,
         )
@@ -85,12 +85,12 @@
     """
 
     def __init__(self, config: Config, listener: socket.socket | None = None) -> None:
-        # danger: to whoever started this process, a start that fails for a temporary lack of descriptors or
-        # memory is a crash
+        # A temporary lack of descriptors or memory is retried: if the start failed, the process manager would
+        # take it for a crash.
         self.loop = retry_transient(lambda: Loop(_log_task_failure))
         self._stopping = False
-        self._connections_until = 0  # ns; set by stop
-        self._wakes_on_signals = False  # the wakeup descriptor of signals is the loop's
+        self._connection_deadline = 0  # ns; set by stop
+        self._wakeup_fd_set = False  # to wake the loop; set by _wake_on_signals
         self.shutdown_times = ShutdownTimes.of(config.settings)
         self._config = config
         self.listener = listener or retry_transient(
@@ -220,15 +220,15 @@
         self._wake_on_signals()
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._on_signal)
-        # a signal that came during the start may be pending. Danger: the kernel accepts connections from the
-        # moment the socket listens, and a signal that ends the program during the start would reset them
+        # A signal that came during the start may be pending. The kernel accepts connections as soon as the
+        # socket listens, and a signal that ended the program before this point would have reset them.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGTERM, signal.SIGINT])
 
     def reload_on_signal(self, read: Callable[[], Config]) -> None:
         """Installs a handler of SIGHUP that calls ``reload`` with the result of ``read``. If that raises a
         ConfigError, it is logged and nothing changes.
 
-        Danger: without a handler, the signal ends the program and loses the jobs that it has accepted.
+        Without a handler, the signal would end the program, and the jobs that it has accepted would be lost.
         """
         self._wake_on_signals()
         signal.signal(signal.SIGHUP, lambda number, frame: self.loop.call_soon(self._reload, read))
@@ -237,7 +237,7 @@
 
     def _wake_on_signals(self) -> None:
         signal.set_wakeup_fd(self.loop.wake_fd, warn_on_full_buffer=False)
-        self._wakes_on_signals = True
+        self._wakeup_fd_set = True
 
     def _reload(self, read: Callable[[], Config]) -> None:
         try:
@@ -270,7 +270,7 @@
         log.info("reloaded", discovery="{}:{}".format(*config.discovery), waits_for_start=need_restart)
 
     def _load_routes(self, config: Config) -> Any:
-        """The operators' routes, fully checked; None without a file. Raises a ConfigError."""
+        """Returns the operators' routes, fully checked; None without a file. Raises a ConfigError."""
         if config.routes is None:
             return None
         # imported here, so that a start without routes does not load the libraries that read them
@@ -295,9 +295,9 @@
 
     def close(self) -> None:
         """Closes all connections and descriptors."""
-        if self._wakes_on_signals:
-            # danger: a later signal would be written to the descriptor that has reused this number by then
-            self._wakes_on_signals = False
+        if self._wakeup_fd_set:
+            # otherwise a later signal would be written to a descriptor that has reused this number by then
+            self._wakeup_fd_set = False
             with suppress(ValueError):  # not on the main thread
                 signal.set_wakeup_fd(-1)
         self.loop.close()
@@ -319,7 +319,7 @@
             return
         self._stopping = True
         now = self.loop.now()
-        self._connections_until = now + self.shutdown_times.connection_limit
+        self._connection_deadline = now + self.shutdown_times.connection_limit
         if self._begin_hand_over():
             # the new process serves already and takes over the jobs that still arrive here
             self.loop.call_at(now + _HAND_OVER_DELAY, self._close_idle)
@@ -336,7 +336,7 @@
     def _begin_hand_over(self) -> bool:
         """Starts to hand jobs over to the new process; False if there is none or the channel fails.
 
-        Danger: an error here must not stop the shutdown, because a second call of ``stop`` does nothing."""
+        An error here must not stop the shutdown, because a second call of ``stop`` does nothing."""
         try:
             return self._upgrade is not None and self._upgrade.hand_over()
         except OSError as error:
@@ -344,9 +344,9 @@
             return False
 
     def _leave_fleet(self) -> None:
-        """Leaves the jobs that are still owed to the other members, where their clients ask again.
+        """Leaves the unanswered jobs to the other members, where their clients ask again.
 
-        Danger: from now on this process must not send, answer or cancel any of them."""
+        From now on this process must not send, answer or cancel any of them."""
         self.fleet.leave(self.loop.now() + self.shutdown_times.leave_timeout)
         self._finish_when_left()
 
@@ -357,25 +357,24 @@
             self.loop.call_at(self.loop.now() + _DONE_CHECK_INTERVAL, self._finish_when_left)
 
     def _finish(self) -> None:
-        # danger: from here on new connections are refused, so that clients go elsewhere; if the listener
-        # stayed open until this turn of the loop ends, they would be accepted and dropped without an answer
+        # From here on new connections are refused, so that clients go to another dispatcher. If the listener
+        # stayed open until this turn of the loop ends, they would be accepted and dropped without an answer.
         self.listener.close()
         self.loop.stop()
 
     def _close_idle(self) -> None:
-        self.loop.call_soon(
-            self._finish_when_done
-        )  # danger: the program must end even if the next line raises
+        # before close_idle, because the program must end even if that raises
+        self.loop.call_soon(self._finish_when_done)
         self.server.close_idle()
 
     def _finish_when_done(self) -> None:
-        # danger: the listener stays open to the end, because workers' call-backs arrive through it
+        # the listener stays open until all jobs are answered, because workers' call-backs arrive through it
         other_unanswered = (
             self._upgrade.jobs_pending + self._upgrade.jobs_handed_over if self._upgrade is not None else 0
         )
         other_unanswered += self.fleet.adapter.unanswered if self.fleet is not None else 0
-        # danger: a connection whose peer never closes its side would delay the end until SIGKILL
-        has_open_connections = self.server.has_connections and self.loop.now() < self._connections_until
+        # without this limit, a connection whose peer never closes its side would delay the exit until SIGKILL
+        has_open_connections = self.server.has_connections and self.loop.now() < self._connection_deadline
         if self.host.unanswered or other_unanswered or has_open_connections:
             self.loop.call_at(self.loop.now() + _DONE_CHECK_INTERVAL, self._finish_when_done)
         elif self.fleet is None:
@@ -386,9 +385,9 @@
 
 
 def _available_descriptors(configured: int) -> int:
-    """The descriptors that this process may use: the lower of limits.sockets and the system's limit.
+    """Returns how many descriptors this process may use: the lower of limits.sockets and the system's limit.
 
-    Danger: with a number above the system's limit, clients could take all descriptors and leave none for the
+    With a number above the system's limit, clients could take all descriptors and leave none for the
     discovery service and workers."""
     try:
         system_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
@@ -401,11 +400,12 @@
 
 
 def _without_fleet_links(config: Config, path: Path, spare: int) -> int:
-    """The spare descriptors without those of the fleet's links. Raises a ConfigError if the fleet file can't
-    be used or too few are left.
+    """Returns the number of spare descriptors without those of the fleet's links.
 
-    Danger: if clients could take them, there would be none for the links to the members that store the
-    records of this process's jobs.
+    Raises a ConfigError if the fleet file can't be used or too few are left.
+
+    If clients could take the links' descriptors, this process could not connect to the members that store the
+    records of its jobs.
     """
     try:
         from ironbarrow.fleet.file import FleetError, load
