--- a/ironbarrow/admin/ban_file.py
+++ b/ironbarrow/admin/ban_file.py
@@ -45,10 +45,10 @@
     def _stat(self) -> tuple[int, int, int] | None:
         assert self._path is not None
         try:
-            found = os.stat(self._path)
+            file_stat = os.stat(self._path)
         except FileNotFoundError:
             return None
-        return found.st_ino, found.st_size, found.st_mtime_ns
+        return file_stat.st_ino, file_stat.st_size, file_stat.st_mtime_ns
 
     def read(self) -> frozenset[str]:
         """Reads the file and returns the bans.
@@ -68,7 +68,7 @@
     def _load(self) -> None:
         """Reads the file; raises an OSError if that fails.
 
-        Danger: the error may be temporary. If the file were taken for empty, the next change would overwrite
+        The error may be temporary. If the file were taken for empty, the next change would overwrite
         the bans that it holds."""
         assert self._path is not None
         self._stat_at_read = self._stat()
@@ -98,8 +98,8 @@
     def flush(self) -> bool:
         """Writes the pending changes; returns whether none is left.
 
-        Danger: while the other process has the file locked, a change made here can't be written. It stays
-        pending, as it would otherwise be lost when the other process's version is read.
+        While the other process has the file locked, a change made here can't be written. It stays pending, as
+        it would otherwise be lost when the other process's version is read.
         """
         if self._path is None:
             self._pending.clear()
@@ -154,12 +154,12 @@
 def _parse(path: Path) -> frozenset[str]:
     with open(path, encoding="utf-8") as file:
         text = file.read(_MAX_CHARACTERS + 1)
-    found = json.loads(text) if len(text) <= _MAX_CHARACTERS else None
-    if not isinstance(found, dict) or found.get("version") != VERSION:
+    content = json.loads(text) if len(text) <= _MAX_CHARACTERS else None
+    if not isinstance(content, dict) or content.get("version") != VERSION:
         raise ValueError(f"expected an object of version {VERSION}")
-    names = found.get("banned")
+    names = content.get("banned")
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise ValueError("banned: expected a list of names")
-    if found.get("crc") != _checksum(names):
+    if content.get("crc") != _checksum(names):
         raise ValueError("crc: expected the checksum of the names")
     return frozenset(names)
--- a/ironbarrow/admin/operations.py
+++ b/ironbarrow/admin/operations.py
@@ -38,9 +38,11 @@
         return self._bans.apply_to_list(update)
 
     def is_ready(self) -> bool:
+        """Returns whether this process can serve: it has a worker list, is announced and is not stopping."""
         return self._host.has_worker_list and self.announce_ready() and not self.stopping
 
     def stats(self) -> str:
+        """Returns the metrics as text."""
         listed = self._bans.listed
         excluded = (self._bans.banned & listed) | (self._host.ejected_workers & listed)
         return self._host.metrics.render(
@@ -50,6 +52,7 @@
         )
 
     def worker_down(self, worker: str) -> bool:
+        """Bans a worker; False if its id was never on the worker list."""
         if not self._bans.knows(worker):
             return False
         self._set_bans(self._file.set_banned(worker, True))
@@ -57,6 +60,7 @@
         return True
 
     def worker_up(self, worker: str) -> bool:
+        """Lifts the ban of a worker; False if its id was never on the worker list."""
         if not self._bans.knows(worker):
             return False
         self._set_bans(self._file.set_banned(worker, False))
--- a/ironbarrow/admin/server.py
+++ b/ironbarrow/admin/server.py
@@ -1,8 +1,8 @@
 """The operators' HTTP server: one request per connection, on a listener of its own.
 
 It has its own small limit of connections, so operators are served however many clients are connected.
-Danger: clients that connect and send no complete request could use up that limit. Their connections are
-closed after a second, and earlier if others wait.
+Connections that send no complete request could use up that limit. They are closed after a second, and those
+that have sent nothing earlier if others wait.
 """
 
 import socket
@@ -24,8 +24,8 @@
 _WRITE_TIMEOUT = 1 * SECOND
 _LINGER_TIMEOUT = 200 * MS
 _ACCEPT_RETRY_DELAY = 20 * MS  # when no descriptor or connection is free
-# Danger: with hundreds of stalled connections in the queue before it, a request would wait for many turns of
-# the event loop if only one were accepted in each.
+# If only one connection were accepted in each turn of the event loop, a request with hundreds of stalled
+# connections in the queue before it would wait for many turns.
 _ACCEPT_BATCH = 64
 _MAX_BODY_BYTES = 4096
 _MAX_ID_LENGTH = 1024  # characters
@@ -157,6 +157,6 @@
         if not change(worker):
             return _Response(404, f"no worker {worker} was ever on the list\n")
         if not self._operations.is_stored:
-            # Danger: after a 200 the ban has to hold even if this process is killed at once.
+            # no 200: after that, the ban has to hold even if this process is killed at once
             return _Response(500, "in force in this process, but not stored yet; call again\n")
         return _Response(200, "done\n")
