--- a/ironbarrow/handover/channel.py
+++ b/ironbarrow/handover/channel.py
@@ -76,7 +76,7 @@
 
     def _remove_socket(self, path: str) -> None:
         try:
-            os.unlink(path)  # danger: left behind, a dead process would be taken for a running one
+            os.unlink(path)  # otherwise the dead process would be taken for a running one
         except OSError:
             return
 
@@ -116,7 +116,7 @@
             except BlockingIOError:
                 return True
             except OSError as error:
-                # Danger: if one failed read ended the task, later messages would never be read.
+                # not raised: that would end the task, and later messages would never be read
                 log.warning("message of the other process could not be read", error=str(error))
                 return False
             self._on_message(str(sender), data, list(fds))
--- a/ironbarrow/handover/pending.py
+++ b/ironbarrow/handover/pending.py
@@ -112,8 +112,7 @@
         if state in _END_BY_STATE:
             self._end(pending, _END_BY_STATE[state], result, now)
         else:
-            # Danger: once the worker has reported the start, a later "returned" does not prove that the job
-            # never ran.
+            # once the worker has reported the start, a later "returned" does not prove that it never ran
             pending.record = replace(pending.record, may_have_run=True)
         return True
 
@@ -133,7 +132,7 @@
             return
         never_ran = end is AttemptEnd.NEVER_RAN and not pending.record.may_have_run
         if not pending.safe and not never_ran:
-            # Danger: after a refusal the client may send the job again, though it may have run.
+            # not refused: after a refusal the client may send the job again, though it may have run
             pending.answer(Answer(Verdict.FAILED))
         elif end is AttemptEnd.EXPIRED or pending.record.attempts >= self._max_attempts:
             pending.answer(Answer(Verdict.REFUSED, retry_after=self._retry_after))
--- a/ironbarrow/handover/upgrade.py
+++ b/ironbarrow/handover/upgrade.py
@@ -67,7 +67,7 @@
 
     record: Record
     sock: socket.socket  # a duplicate of its client's connection
-    at: int  # when it was sent, ns
+    sent_at: int  # ns
 
 
 class Upgrade:
@@ -105,8 +105,8 @@
     def announce(self) -> bool:
         """Announces to the old process, once, that this one can serve; returns whether that is done.
 
-        Danger: it has to come before this process reports itself as ready. The old process is stopped once
-        that is seen, and must know its successor by then."""
+        It has to come before this process reports itself as ready. The old process is stopped once that is
+        seen, and must know its successor by then."""
         if not self._ready_announced and self._host.has_worker_list:
             self._ready_announced = True
             for other in self._channel.others():
@@ -115,7 +115,7 @@
 
     def hand_over(self) -> bool:
         """Starts to hand over all jobs that can be; False if there is no successor."""
-        # Danger: the stop signal may arrive before the successor's announcement has been read.
+        # the stop signal may arrive before the successor's announcement has been read
         self._channel.receive()
         self._handing_over = self.successor is not None
         return self._handing_over
@@ -198,18 +198,18 @@
 
     def _drop_handed_over(self, before: int) -> None:
         for job_id in [
-            job_id for job_id, handed_over in self._handed_over.items() if handed_over.at <= before
+            job_id for job_id, handed_over in self._handed_over.items() if handed_over.sent_at <= before
         ]:
             self._handed_over.pop(job_id).sock.close()
 
     def _on_not_taken(self, job_id: str) -> None:
-        """Takes a rejected job back. Danger: a successor without a free descriptor gets the message but not
-        the connection, and nobody would answer the client."""
+        """Takes a rejected job back. A successor without a free descriptor gets the message but not the
+        connection, and without this nobody would answer the client."""
         handed_over = self._handed_over.pop(job_id, None)
         if handed_over is None:
             log.error("job rejected by the successor too late", id=job_id)
             return
-        remaining = max(1, handed_over.record.time_left - (self._loop.now() - handed_over.at))
+        remaining = max(1, handed_over.record.time_left - (self._loop.now() - handed_over.sent_at))
         self._adopt(replace(handed_over.record, time_left=remaining), handed_over.sock)
 
     def _make_record(self, job: Job, received_record: Record | None = None) -> Record | None:
