--- a/ironbarrow/config/loader.py
+++ b/ironbarrow/config/loader.py
@@ -110,16 +110,16 @@
 
 
 def _config(raw: dict[str, Any], sources: _Sources) -> Config:
-    conf = _object(raw, "settings")
+    raw_settings = _object(raw, "settings")
     limits = _object(raw, "limits")
     known = _object(raw, "known")
     if known and not isinstance(known.get("endpoints"), list):
         raise ValueError("known: expected an object with a list of endpoints")
-    settings = read_settings(conf)  # its errors name the key
-    connection_limits = _object(conf, "limits")
+    settings = read_settings(raw_settings)  # its errors name the key
+    connection_limits = _object(raw_settings, "limits")
     admin = sources.address("admin", least_port=0) if sources.optional_text("admin") else None
     sockets = _number(limits, "limits", "sockets", _DEFAULT_DESCRIPTORS)
-    # danger: with fewer, the program itself would use them all and could accept no connection
+    # with fewer, the program itself would use all of them and could not accept any connection
     minimum = _MIN_DESCRIPTORS + (_ADMIN_DESCRIPTORS if admin is not None else 0)
     if sockets < minimum:
         raise ValueError(f"limits.sockets: {sockets} is too few; at least {minimum} are needed")
@@ -129,7 +129,7 @@
         discovery=sources.address("discovery"),
         seed=_seed(raw.get("seed", 0)),
         settings=settings,
-        reports=ReportReader(conf),
+        reports=ReportReader(raw_settings),
         known=known,
         sockets=sockets,
         memory_mb=_number(limits, "limits", "memory_mb", _DEFAULT_MEMORY_MB),
--- a/ironbarrow/fleet/service.py
+++ b/ironbarrow/fleet/service.py
@@ -27,9 +27,8 @@
 from ironbarrow.runtime.loop import MS, SECOND, Loop
 
 log = structlog.get_logger()
-_EARLY_REPLACEMENT_LIMIT = (
-    10 * SECOND
-)  # an incarnation replaced within this time of its start begins another one
+# an incarnation that is replaced within this time of its start begins another one
+_EARLY_REPLACEMENT_LIMIT = 10 * SECOND
 _RETRY_DELAY = 50 * MS  # after a machine has raised an exception
 
 
@@ -123,7 +122,7 @@
             callback(self)
 
     def leave(self) -> None:
-        """Tells the other members that this one leaves in good order. Call ``close`` once ``all_sent``."""
+        """Tells the other members that this one is leaving. Call ``close`` once ``all_sent`` is true."""
         self.carry_out(self.members.leave(self._loop.now()))
 
     @property
@@ -167,9 +166,9 @@
         for listener in self._listeners:
             listener(event)
         if isinstance(event, IncarnationReplaced):
-            # After the clock was set back the others take this incarnation for an older one than its
-            # predecessor, and a later start helps. That is tried soon after the start only: two processes of
-            # one name would replace each other's incarnations for ever.
+            # After the clock was set back, the others take this incarnation for an older one than its
+            # predecessor; one with a later start replaces it. That is tried only soon after the start:
+            # otherwise two processes of one name would replace each other's incarnations for ever.
             if self._loop.now() - self._started_at < _EARLY_REPLACEMENT_LIMIT:
                 self._loop.call_soon(self.start_new_incarnation, event.by.start)
             else:
