--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,7 +1,7 @@
 """Stopping a dispatcher: requests that arrive at any point of it, and signals at any point of the program.
 
-Danger: a request that was accepted but not answered at the exit is lost. The tests force each point in time:
-the request is sent while the event loop does not run, or the program itself sends the signal there.
+A request that was accepted but not answered at the exit is lost. The tests force each point in time: the
+request is sent while the event loop does not run, or the program itself sends the signal there.
 """
 
 import os
@@ -29,12 +29,12 @@
 READY_REQUEST = "GET /-/ready HTTP/1.1\\r\\nHost: b\\r\\n\\r\\n"
 
 
-def stage_with_pace(**times: int) -> Harness:
-    stage = Harness()
-    stage.dispatcher.shutdown_times = replace(
-        stage.dispatcher.shutdown_times, **{name: ms * MS for name, ms in times.items()}
+def harness_with_times(**times: int) -> Harness:
+    harness = Harness()
+    harness.dispatcher.shutdown_times = replace(
+        harness.dispatcher.shutdown_times, **{name: ms * MS for name, ms in times.items()}
     )
-    return stage
+    return harness
 
 
 def served(job_id: str, worker: str = "p1", client: str = "c1", caller: str = "c9") -> str:
@@ -68,8 +68,8 @@
         c1 send {job()}
         closing
         {served("j1")}""",
-    # Danger: a request read after this side was shut down could not be answered. Left unread, the client
-    # sends it again to another dispatcher.
+    # A request that is read after the dispatcher has shut down its side could not be answered. If it is not
+    # read, the client sends it again to another dispatcher.
     "a request on an idle connection right after closing": f"""
         c1 send {READY_REQUEST}
         c1 expect 200 OK
@@ -101,7 +101,7 @@
         c1 expect ^HTTP/1.1 408
         c1 ended
         c1 close""",
-    # Danger: the kernel has accepted both, so the answer to the first must not close the connection.
+    # The kernel has accepted both, so the answer to the first must not close the connection.
     "two requests at once": f"""
         c1 send {job("j1")}{job("j2")}
         closing
@@ -178,28 +178,28 @@
 
 @pytest.mark.parametrize("name", CASES)
 def test_a_request_accepted_before_closing_is_answered_before_exit(name: str) -> None:
-    stage = stage_with_pace(idle_close_delay=60_000, answer_limit=120_000)
+    harness = harness_with_times(idle_close_delay=60_000, answer_limit=120_000)
     try:
-        stage.step("stop")
+        harness.step("stop")
         for line in CASES[name].strip().splitlines():
             command, _, peer = line.strip().partition(" ")
             if not command:
                 continue
             if command == "closing":
-                stage.dispatcher._close_idle()
+                harness.dispatcher._close_idle()
             elif command == "connects":  # while the loop does not run
-                stage.peers[peer] = Peer(stage.address)
-                stage.peers[peer].connect()
+                harness.peers[peer] = Peer(harness.address)
+                harness.peers[peer].connect()
             else:
-                stage.step(line.strip())
-        stage.step("exits")
-        assert stage.dispatcher.host.unanswered == 0
+                harness.step(line.strip())
+        harness.step("exits")
+        assert harness.dispatcher.host.unanswered == 0
     finally:
-        stage.close()
+        harness.close()
 
 
 def test_stopping_finishes_accepted_jobs_and_serves_late_ones() -> None:
-    stage_with_pace(idle_close_delay=500, answer_limit=60_000).run(
+    harness_with_times(idle_close_delay=500, answer_limit=60_000).run(
         f"""
         c1 send {job()}
         p1 expect in$
@@ -225,69 +225,69 @@
 
 
 def test_a_job_that_arrives_while_stopping_is_answered_before_exit() -> None:
-    # Danger: a dispatcher killed before it answers loses a job that it accepted after the stop signal.
-    stage = stage_with_pace(answer_limit=600)
+    # a dispatcher killed before it answers loses a job that it accepted after the stop signal
+    harness = harness_with_times(answer_limit=600)
     idle = f"c1 send {READY_REQUEST}\nc1 expect 200\nstop\nwait 50\nc1 silent 50\n"
     booking = f"c1 send {job(path='book/x', ms=25000)}\np1 expect in$\np1 send {ACCEPTED}\n"
-    stage.run(f"{idle}{booking}c1 expect ^HTTP/1.1 500")
+    harness.run(f"{idle}{booking}c1 expect ^HTTP/1.1 500")
 
 
 def test_a_client_that_connects_before_the_last_check_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage = stage_with_pace(idle_close_delay=0)
+    harness = harness_with_times(idle_close_delay=0)
     original = HttpServer.has_connections
     steps_left = iter((f"c1 send {job()}",))
 
-    def busy(self: HttpServer) -> bool:
+    def has_connections(self: HttpServer) -> bool:
         for step in steps_left:
-            stage.step(step)
+            harness.step(step)
         assert original.fget is not None
         return bool(original.fget(self))
 
-    monkeypatch.setattr(HttpServer, "has_connections", property(busy))
-    stage.run(f"stop\n{served('j1').strip()}\nexits")
+    monkeypatch.setattr(HttpServer, "has_connections", property(has_connections))
+    harness.run(f"stop\n{served('j1').strip()}\nexits")
 
 
 def test_a_client_that_connects_after_the_last_check_is_refused_not_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Danger: a connection accepted by the kernel and then reset gets no answer; if it is refused, the client
-    # goes to another dispatcher.
-    stage = stage_with_pace(idle_close_delay=0)
-    loop = stage.dispatcher.loop
+    # A request on a connection that the kernel has accepted and that is then reset gets no answer. If the
+    # connection is refused, the client goes to another dispatcher.
+    harness = harness_with_times(idle_close_delay=0)
+    loop = harness.dispatcher.loop
     results: list[int] = []
 
     def connect() -> None:
         with socket.socket() as late_client:
-            results.append(late_client.connect_ex(stage.address))
+            results.append(late_client.connect_ex(harness.address))
 
     original = loop.stop
     monkeypatch.setattr(loop, "stop", lambda: (connect(), original()))
-    stage.run("stop\nexits")
+    harness.run("stop\nexits")
     assert results == [111]
 
 
 @pytest.mark.parametrize("part", ["hand-over", "closing", "log"])
 def test_a_failing_part_does_not_prevent_the_exit(part: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Danger: a second stop signal changes nothing, so SIGKILL would end whatever is still open.
-    stage = stage_with_pace(idle_close_delay=20)
+    # A second stop signal changes nothing, so a shutdown that failed half-way would last until SIGKILL.
+    harness = harness_with_times(idle_close_delay=20)
 
     def fail(*args: Any, **kwargs: Any) -> bool:
         raise BrokenPipeError
 
     if part == "hand-over":
-        stage.dispatcher._upgrade = SimpleNamespace(
+        harness.dispatcher._upgrade = SimpleNamespace(
             hand_over=fail, jobs_pending=0, jobs_handed_over=0, close=lambda: None
         )
     elif part == "closing":
         monkeypatch.setattr(HttpServer, "close_idle", fail)
     else:
         monkeypatch.setattr("ironbarrow.daemon.dispatcher.log", SimpleNamespace(info=fail, error=fail))
-    stage.dispatcher.loop.call_soon(stage.dispatcher.stop)
-    stage.run("exits")
+    harness.dispatcher.loop.call_soon(harness.dispatcher.stop)
+    harness.run("exits")
 
 
 @pytest.mark.parametrize(
-    ("deadlines", "still_coming", "last_answer"),
+    ("deadlines", "idle_close_ms", "answer_limit_ms"),
     [
         ((50,), 500, 600),
         ((500,), 500, 950),
@@ -297,18 +297,18 @@
         ((500, 60_000), 1500, 3200),
     ],
 )
-def test_the_pace_of_stopping_follows_the_longest_deadline(
-    deadlines: tuple[int, ...], still_coming: int, last_answer: int
+def test_the_shutdown_times_follow_the_longest_deadline(
+    deadlines: tuple[int, ...], idle_close_ms: int, answer_limit_ms: int
 ) -> None:
-    # Danger: with short deadlines SIGKILL comes sooner, and requests just before it would get no answer.
+    # With short deadlines SIGKILL comes sooner, and requests just before it would get no answer.
     base_class = SETTINGS["requestClasses"][0]
     classes = [{**base_class, "name": str(ms), "promise": ms * MS, "giveUp": ms * MS} for ms in deadlines]
-    pace = ShutdownTimes.of(read_settings({**SETTINGS, "requestClasses": classes}))
-    assert (pace.idle_close_delay, pace.answer_limit) == (still_coming * MS, last_answer * MS)
-    killed = min(max(deadlines), 3000) * MS + 700 * MS
-    assert 400 * MS < pace.idle_close_delay < pace.answer_limit <= killed - 150 * MS
-    assert pace.leave_delay + pace.leave_timeout == pace.answer_limit
-    assert 0 < pace.leave_timeout <= 700 * MS < SECOND
+    times = ShutdownTimes.of(read_settings({**SETTINGS, "requestClasses": classes}))
+    assert (times.idle_close_delay, times.answer_limit) == (idle_close_ms * MS, answer_limit_ms * MS)
+    earliest_kill = min(max(deadlines), 3000) * MS + 700 * MS
+    assert 400 * MS < times.idle_close_delay < times.answer_limit <= earliest_kill - 150 * MS
+    assert times.leave_delay + times.leave_timeout == times.answer_limit
+    assert 0 < times.leave_timeout <= 700 * MS < SECOND
 
 
 # The program, with real signals
@@ -346,7 +346,7 @@
 
 
 def log_until_exit(process: "subprocess.Popen[str]") -> str:
-    """Returns the rest of the log; checks that the process exits in good order."""
+    """Returns the rest of the log; checks that the process exits with status 0 and no traceback."""
     assert process.stderr is not None
     text = process.stderr.read()
     assert (process.wait(60), "Traceback" in text, "Exception ignored" in text) == (0, False, False), text
@@ -359,10 +359,10 @@
 from ironbarrow.daemon import dispatcher
 where = {where}
 real = getattr(where, "{name}")
-def wrapped(*args, **more):
-    found = real(*args, **more)
+def wrapped(*args, **kwargs):
+    result = real(*args, **kwargs)
     os.kill(os.getpid(), signal.{number})
-    return found
+    return result
 setattr(where, "{name}", wrapped)
 """
 
@@ -372,7 +372,7 @@
 def test_a_stop_signal_during_start_takes_effect_once_it_serves(
     where: str, name: str, number: str, tmp_path: Path
 ) -> None:
-    # Danger: ended by Python's default handler, the process would reset connections that its listener holds.
+    # If the default handler ended the process, the connections in its listener's queue would be reset.
     before = _SIGNAL_DURING_START.format(where=where, name=name, number=number)
     with serve_process(tmp_path, before) as process:
         host, port = wait_for_log(process, '"serving"').split('"address": "')[1].split('"')[0].split(":")
@@ -396,10 +396,10 @@
 from ironbarrow import config
 real = config.load
 def load(*args, prefer_file=False):
-    found = real(*args, prefer_file=prefer_file)
+    config_read = real(*args, prefer_file=prefer_file)
     if prefer_file:
         os.kill(os.getpid(), signal.SIGTERM)
-    return found
+    return config_read
 config.load = load
 """
 
@@ -423,23 +423,23 @@
 loop.Loop.close = close
 """,
     "Python has removed its handlers": f"""
-class Last:
+class SendsSignalsWhenDeleted:
     def __del__(self, os=os, signal=signal):
         {_SEND_SIGNALS}
-last = Last()
+kept_until_exit = SendsSignalsWhenDeleted()
 """,
     "the exit begins": f"""
 import atexit
-def leave():
+def send_signals():
     {_SEND_SIGNALS}
-atexit.register(leave)
+atexit.register(send_signals)
 """,
 }
 
 
 @pytest.mark.parametrize("moment", _LATE_SIGNALS)
 def test_a_signal_during_exit_does_not_change_the_exit_status(moment: str, tmp_path: Path) -> None:
-    # Danger: the signal may be written to a closed descriptor, or find its handler already removed by Python.
+    # The signal may be written to a closed descriptor, or find its handler already removed by Python.
     with serve_process(tmp_path, _LATE_SIGNALS[moment]) as process:
         wait_for_log(process, '"serving"')
         process.send_signal(signal.SIGTERM)
@@ -459,9 +459,9 @@
 @pytest.mark.parametrize("deadline_ms", [50, 300, 600, 1000, 2000, 3000, 60_000])
 def test_the_exit_comes_after_the_last_answer_and_before_the_earliest_kill(deadline_ms: int) -> None:
     classes = tuple(replace(cls, deadline=deadline_ms * MS) for cls in read_settings(SETTINGS).classes)
-    pace = ShutdownTimes.of(replace(read_settings(SETTINGS), classes=classes))
+    times = ShutdownTimes.of(replace(read_settings(SETTINGS), classes=classes))
     earliest_kill = min(deadline_ms, 3000) * MS + 700 * MS
-    assert pace.answer_limit < pace.connection_limit <= earliest_kill - 100 * MS
+    assert times.answer_limit < times.connection_limit <= earliest_kill - 100 * MS
 
 
 @pytest.mark.parametrize("deadline_ms", [600, 1000, 3000])
@@ -474,19 +474,19 @@
         replace(cls, aim=deadline_ms * MS // 2, deadline=deadline_ms * MS)
         for cls in read_settings(SETTINGS).classes
     )
-    stage = Harness(settings=replace(read_settings(SETTINGS), classes=classes))
-    stage.step(f"c1 send {READY_REQUEST}")
-    stage.step("c1 expect 200 OK")
-    loop = stage.dispatcher.loop
+    harness = Harness(settings=replace(read_settings(SETTINGS), classes=classes))
+    harness.step(f"c1 send {READY_REQUEST}")
+    harness.step("c1 expect 200 OK")
+    loop = harness.dispatcher.loop
     stopped_at = loop.now()
-    stage.step("stop")
+    harness.step("stop")
     if answered:
         # its answer comes at the last moment, and this client does not close its connection either
-        stage.run_for(min(deadline_ms, 500) / 2000)
-        stage.step(f"c2 send {job(ms=9000)}")
-        stage.step("p1 expect in$")
-        stage.step("c2 expect HTTP/1.1 50")
-    stage.step("exits")
+        harness.run_for(min(deadline_ms, 500) / 2000)
+        harness.step(f"c2 send {job(ms=9000)}")
+        harness.step("p1 expect in$")
+        harness.step("c2 expect HTTP/1.1 50")
+    harness.step("exits")
     duration = loop.now() - stopped_at
-    stage.close()
+    harness.close()
     assert duration < (deadline_ms + 700) * MS  # the earliest SIGKILL
