--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -21,34 +21,34 @@
 ACCEPTED = answer(202)
 
 
-def call(path: str, method: str = "GET") -> str:
+def ops_request(path: str, method: str = "GET") -> str:
     return f"{method} /ops/{path} HTTP/1.1\\r\\nHost: o\\r\\n\\r\\n"
 
 
-def change(action: str, worker: str) -> str:
+def ban_request(action: str, worker: str) -> str:
     return post(worker, f"/ops/workers/{action}")
 
 
-def stage(**config: Any) -> Harness:
+def admin_harness(**config: Any) -> Harness:
     return Harness(admin=("127.0.0.1", 0), **config)
 
 
-CALLS = {
-    "ready": f"o1 send {call('readiness')}\no1 expect HTTP/1.1 200 .*ready\no1 ended",
-    "unknown path": f"o1 send {call('other')}\no1 expect HTTP/1.1 404\no1 ended",
-    "wrong method": f"o1 send {call('stats', 'POST')}\no1 expect HTTP/1.1 4",
-    "unknown worker": f"o1 send {change('down', 'p9')}\no1 expect HTTP/1.1 404 .*was ever on the list",
-    "no id": f"o1 send {change('down', '')}\no1 expect HTTP/1.1 400",
-    "two ids": f"o1 send {change('up', 'p1 p2')}\no1 expect HTTP/1.1 404",
-    "too long": f"o1 send {change('down', 'x' * 2000)}\no1 expect HTTP/1.1 400",
-    "far too long": f"o1 send {change('down', 'x' * 5000)}\no1 expect HTTP/1.1 413",
+REQUESTS = {
+    "ready": f"o1 send {ops_request('readiness')}\no1 expect HTTP/1.1 200 .*ready\no1 ended",
+    "unknown path": f"o1 send {ops_request('other')}\no1 expect HTTP/1.1 404\no1 ended",
+    "wrong method": f"o1 send {ops_request('stats', 'POST')}\no1 expect HTTP/1.1 4",
+    "unknown worker": f"o1 send {ban_request('down', 'p9')}\no1 expect HTTP/1.1 404 .*was ever on the list",
+    "no id": f"o1 send {ban_request('down', '')}\no1 expect HTTP/1.1 400",
+    "two ids": f"o1 send {ban_request('up', 'p1 p2')}\no1 expect HTTP/1.1 404",
+    "too long": f"o1 send {ban_request('down', 'x' * 2000)}\no1 expect HTTP/1.1 400",
+    "far too long": f"o1 send {ban_request('down', 'x' * 5000)}\no1 expect HTTP/1.1 413",
     "not HTTP": "o1 send hello\\r\\n\\r\\n\no1 expect HTTP/1.1 400",
     "incomplete request": "o1 send GET /ops/sta\no1 expect HTTP/1.1 408\no1 ended",
     "not ready once it stops": f"""
         c1 send {job()}
         p1 expect in$
         stop
-        o1 send {call("readiness")}
+        o1 send {ops_request("readiness")}
         o1 expect HTTP/1.1 503
         p1 send {ACCEPTED}
         c2 send {call_back("done", result="out")}
@@ -58,27 +58,27 @@
     "metrics": f"""
         c1 send {job()}
         p1 expect in$
-        o1 send {call("stats")}
+        o1 send {ops_request("stats")}
         o1 expect "map",outcome="served"}} 0.*app_attempts{{class="map"}} 1.*app_in_flight 1
         p1 send {ACCEPTED}
         c2 send {call_back("done", result="out")}
         c1 expect HTTP/1.1 200
-        o2 send {call("stats")}
+        o2 send {ops_request("stats")}
         o2 expect "map",outcome="served"}} 1.*app_in_flight 0\\napp_workers_known 2\\napp_workers_excluded 0
         """,
     "a banned worker gets no job until its ban is lifted": f"""
-        o1 send {change("down", "p1")}
+        o1 send {ban_request("down", "p1")}
         o1 expect HTTP/1.1 200
-        o2 send {change("down", "p1")}
+        o2 send {ban_request("down", "p1")}
         o2 expect HTTP/1.1 200
-        o3 send {call("stats")}
+        o3 send {ops_request("stats")}
         o3 expect app_workers_excluded 1
         c1 send {job()}
         p2 expect X-Request-ID: j1
         p2 send {ACCEPTED}
         c2 send {call_back("done", source="p2", result="out")}
         c1 expect HTTP/1.1 200
-        o4 send {change("up", "p1")}
+        o4 send {ban_request("up", "p1")}
         o4 expect HTTP/1.1 200
         c1 send {job("j3")}
         p1 expect X-Request-ID: j3
@@ -86,17 +86,17 @@
 }
 
 
-@pytest.mark.parametrize("name", CALLS)
+@pytest.mark.parametrize("name", REQUESTS)
 def test_operator_requests(name: str) -> None:
-    stage().run(CALLS[name])
+    admin_harness().run(REQUESTS[name])
 
 
 def test_stalled_connections_do_not_block_the_next_request() -> None:
-    scenario = stage()
+    harness = admin_harness()
     stalled = "\n".join(
         f"o{n} send {'GET /ops' if n % 2 else ''}" for n in range(100, 100 + 4 * server.MAX_CONNECTIONS)
     )
-    scenario.run(f"{stalled}\no1 send {call('stats')}\no1 expect HTTP/1.1 200 .*app_in_flight")
+    harness.run(f"{stalled}\no1 send {ops_request('stats')}\no1 expect HTTP/1.1 200 .*app_in_flight")
 
 
 def test_without_an_address_there_is_no_admin_server() -> None:
@@ -106,19 +106,19 @@
 @given(st.lists(st.tuples(st.sampled_from(["a", 'b"\n']), st.sampled_from([*OUTCOMES, "attempt"]))))
 @settings(max_examples=50, deadline=None)
 def test_metrics_count_the_recorded_events(events: list[tuple[str, str]]) -> None:
-    figures = Metrics(("a", 'b"\n'))
+    metrics = Metrics(("a", 'b"\n'))
     for name, action in events:
         if action == "attempt":
-            figures.attempt_written(name)
+            metrics.attempt_written(name)
         else:
-            figures.job_ended(name, action)
-    metrics = dict(line.rsplit(" ", 1) for line in figures.render(in_flight=3).splitlines())
+            metrics.job_ended(name, action)
+    rendered = dict(line.rsplit(" ", 1) for line in metrics.render(in_flight=3).splitlines())
     for name, label in (("a", "a"), ('b"\n', 'b\\"\\n')):
         for outcome in OUTCOMES:
             key = f'app_requests{{class="{label}",outcome="{outcome}"}}'
-            assert int(metrics.pop(key)) == events.count((name, outcome))
-        assert int(metrics.pop(f'app_attempts{{class="{label}"}}')) == events.count((name, "attempt"))
-    assert metrics == {"app_in_flight": "3"}
+            assert int(rendered.pop(key)) == events.count((name, outcome))
+        assert int(rendered.pop(f'app_attempts{{class="{label}"}}')) == events.count((name, "attempt"))
+    assert rendered == {"app_in_flight": "3"}
 
 
 UP, DRAINING, GONE = api.WorkerState.UP, api.WorkerState.DRAINING, api.WorkerState.GONE
@@ -129,7 +129,7 @@
         st.one_of(
             st.tuples(st.sampled_from(["ban", "lift"]), st.sampled_from("abc")),
             st.tuples(st.sampled_from([UP, DRAINING, GONE]), st.sampled_from("abc")),
-            st.tuples(st.just("whole"), st.sets(st.sampled_from("abc"))),
+            st.tuples(st.just("full"), st.sets(st.sampled_from("abc"))),
         )
     )
 )
@@ -141,7 +141,7 @@
             banned = banned | {subject} if action == "ban" else banned - {subject}
             update = bans.set_banned(frozenset(banned))
         else:
-            if action == "whole":
+            if action == "full":
                 listed, entries, kind = (
                     dict.fromkeys(subject, UP),
                     [(w, UP) for w in subject],
@@ -200,7 +200,7 @@
     assert json.loads(path.read_text())["banned"] == ["p1"]
 
 
-def failing(monkeypatch: pytest.MonkeyPatch, call: str, *errors: int) -> list[int]:
+def make_failing(monkeypatch: pytest.MonkeyPatch, call: str, *errors: int) -> list[int]:
     """Makes a function of ``os`` fail with these errors in turn; returns those that are still to come."""
     real, errors_left = getattr(os, call), list(errors)
 
@@ -220,24 +220,24 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, error: int
 ) -> None:
     """Guards against a ban that is answered with 200 and lost with the process (bcef66)."""
-    scenario = stage(folder=tmp_path)
-    errors_left = failing(monkeypatch, call, error)
-    for line in (f"o1 send {change('down', 'p1')}", "o1 expect HTTP/1.1 500 .*not stored yet"):
-        scenario.step(line)
+    harness = admin_harness(folder=tmp_path)
+    errors_left = make_failing(monkeypatch, call, error)
+    for line in (f"o1 send {ban_request('down', 'p1')}", "o1 expect HTTP/1.1 500 .*not stored yet"):
+        harness.step(line)
     assert errors_left == []
-    scenario.step(f"c1 send {job()}")
-    scenario.step("p2 expect in$")  # the ban applies although it is not stored
-    for line in (f"o2 send {change('down', 'p1')}", "o2 expect HTTP/1.1 200"):
-        scenario.step(line)
+    harness.step(f"c1 send {job()}")
+    harness.step("p2 expect in$")  # the ban applies although it is not stored
+    for line in (f"o2 send {ban_request('down', 'p1')}", "o2 expect HTTP/1.1 200"):
+        harness.step(line)
     assert BanFile(tmp_path, "n1").read() == {"p1"}
-    scenario.close()
+    harness.close()
     assert not [path for path in tmp_path.iterdir() if path.suffix not in (".json", ".lock")]
 
 
 def test_bans_survive_a_temporary_read_error(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a failed read after which the next change overwrites the stored bans (bcef66)."""
     BanFile(tmp_path, "n1").set_banned("p1", True)
-    errors_left = failing(monkeypatch, "stat", errno.EIO, errno.EIO)
+    errors_left = make_failing(monkeypatch, "stat", errno.EIO, errno.EIO)
     ban_file = BanFile(tmp_path, "n1")
     assert ban_file.read() == frozenset()
     ban_file.set_banned("p2", True)
