--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -152,9 +152,9 @@
 def test_invalid_settings_are_reported_in_one_line(tmp_path: Path) -> None:
     invalid = {**VALID, "settings": {**SETTINGS, "limits": {**SETTINGS["limits"], "mostTries": 0}}}
     for command in ("serve", "check-config"):
-        done = run_command(command, **write_config(tmp_path, invalid))
-        assert (done.returncode, done.stdout) == (2, "")
-        assert done.stderr == (
+        completed = run_command(command, **write_config(tmp_path, invalid))
+        assert (completed.returncode, completed.stdout) == (2, "")
+        assert completed.stderr == (
             f"ironbarrow: {tmp_path}/config.json: settings: limits.mostTries: "
             "expected a number from 1 to 1000000, got 0\n"
         )
@@ -174,19 +174,19 @@
 
 def test_commands_report_a_configuration_error_and_exit_with_status_2(tmp_path: Path) -> None:
     for arguments in (["serve"], ["check-config"]):
-        done = run_command(*arguments)
-        assert (done.returncode, done.stdout) == (2, "")
-        assert done.stderr == "ironbarrow: BALANCER_CONFIG is not set\n"
-    in_use = run_command("serve", **write_config(tmp_path, {**VALID, "listen": "203.0.113.1:9"}))
-    assert in_use.returncode == 2
-    assert "cannot listen on 203.0.113.1:9" in in_use.stderr
-    assert "Traceback" not in in_use.stderr
+        completed = run_command(*arguments)
+        assert (completed.returncode, completed.stdout) == (2, "")
+        assert completed.stderr == "ironbarrow: BALANCER_CONFIG is not set\n"
+    unavailable = run_command("serve", **write_config(tmp_path, {**VALID, "listen": "203.0.113.1:9"}))
+    assert unavailable.returncode == 2
+    assert "cannot listen on 203.0.113.1:9" in unavailable.stderr
+    assert "Traceback" not in unavailable.stderr
 
 
 def test_version_and_check_config_print_a_summary(tmp_path: Path) -> None:
     assert run_command("version").stdout.startswith("ironbarrow ")
-    done = run_command("check-config", **write_config(tmp_path, VALID))
-    assert done.stdout == "n3: listens on 127.0.0.1:9000; classes: map, book\n"
+    completed = run_command("check-config", **write_config(tmp_path, VALID))
+    assert completed.stdout == "n3: listens on 127.0.0.1:9000; classes: map, book\n"
 
 
 @contextmanager
@@ -228,8 +228,8 @@
 
 
 def test_sighup_applies_the_new_file_or_keeps_the_running_configuration(tmp_path: Path) -> None:
-    # danger: without a handler, the signal ends the program. The environment still has the old address of the
-    # discovery service, so the file has to take precedence
+    # Without a handler, the signal would end the program. The environment still has the old address of the
+    # discovery service, so the file has to take precedence.
     with serving(tmp_path, WITHOUT_DISCOVERY) as process, listen(("127.0.0.1", 0)) as discovery:
         write_config(tmp_path, "{")
         process.send_signal(signal.SIGHUP)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -32,7 +32,7 @@
 
 
 def test_the_build_compiles_every_module_to_bytecode(tmp_path: Path) -> None:
-    # danger: where the program cannot write its bytecode, every start would compile all modules
+    # A process that cannot write bytecode would otherwise compile all modules at every start.
     def copy_item(name: str) -> None:
         ignored = shutil.ignore_patterns("__pycache__")
         if (ROOT / name).is_dir():
