--- a/ironbarrow/cli/lab.py
+++ b/ironbarrow/cli/lab.py
@@ -360,7 +360,7 @@
             outcome = runner.run()
         except KeyboardInterrupt:
             _fail(
-                f"interrupted; finished cells are kept in {folder}, run the same command again to continue",
+                f"interrupted; finished cells stay in {folder}, and the same command goes on from there",
                 130,
             )
         except OSError as error:
