--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -45,10 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownTimes:
-    """The times of an orderly shutdown: ns from the order to stop, unless a field says otherwise."""
+    """The times of an orderly shutdown: ns from the call of ``stop``, unless a field says otherwise."""
 
     idle_close_delay: int  # idle client connections are closed
-    answer_limit: int  # jobs that arrive after the order to stop are answered by this time
+    answer_limit: int  # jobs that arrive during the shutdown are answered by this time
     connection_limit: int  # connections that clients have not closed no longer delay the exit
     leave_delay: int  # in a fleet: the other members are told to take over the unanswered jobs
     leave_timeout: int  # ns from ``leave_delay``: the replicas are waited for this long
--- a/ironbarrow/fleet/takeover/adapter.py
+++ b/ironbarrow/fleet/takeover/adapter.py
@@ -96,7 +96,7 @@
 
 
 class TakeoverAdapter:
-    """Stands between a dispatcher's front, host and invoker and its take-over machine.
+    """Connects a dispatcher's server for clients, its host and its invoker with its take-over machine.
 
     ``machine`` is set before the first job, and replaced with each incarnation."""
 
