--- a/ironbarrow/lab/live/clients.py
+++ b/ironbarrow/lab/live/clients.py
@@ -6,7 +6,7 @@
 
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.lab.audit import Auditor
-from ironbarrow.lab.live.wire import HttpClient
+from ironbarrow.lab.live.http import HttpClient
 from ironbarrow.lab.model.client import Ended, Habits
 from ironbarrow.lab.model.front import Front
 from ironbarrow.lab.model.network import Network
--- a/ironbarrow/lab/live/discovery_server.py
+++ b/ironbarrow/lab/live/discovery_server.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from urllib.parse import parse_qs
 
-from ironbarrow.lab.live.wire import Server, next_message
+from ironbarrow.lab.live.http import Server, next_message
 from ironbarrow.lab.model.discovery import Discovery, News
 from ironbarrow.lab.settings import list_object
 from ironbarrow.runtime.loop import SECOND, Coroutine, Loop, Task, sleep
--- a/ironbarrow/lab/live/processes.py
+++ b/ironbarrow/lab/live/processes.py
@@ -13,7 +13,7 @@
 
 from ironbarrow.core.endings import ConnectionEndedError
 from ironbarrow.lab.faults.rules import PLAN_VARIABLE
-from ironbarrow.lab.live.wire import HttpClient
+from ironbarrow.lab.live.http import HttpClient
 from ironbarrow.lab.model.spec import World
 from ironbarrow.lab.settings import settings_object
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine, Loop, sleep
--- a/ironbarrow/lab/live/run.py
+++ b/ironbarrow/lab/live/run.py
@@ -15,9 +15,9 @@
 from ironbarrow.lab.fleet.logs import read_logs
 from ironbarrow.lab.live.clients import Clients
 from ironbarrow.lab.live.discovery_server import Agent
+from ironbarrow.lab.live.http import HttpClient
 from ironbarrow.lab.live.ports import LoopbackNetwork
 from ironbarrow.lab.live.processes import Instance, Program
-from ironbarrow.lab.live.wire import HttpClient
 from ironbarrow.lab.live.worker_server import Door
 from ironbarrow.lab.model.client import Habits
 from ironbarrow.lab.model.fleet import Faults, Fleet
--- a/ironbarrow/lab/live/worker_server.py
+++ b/ironbarrow/lab/live/worker_server.py
@@ -7,7 +7,7 @@
 
 from ironbarrow.core.endings import ConnectionEndedError
 from ironbarrow.lab.audit import Auditor
-from ironbarrow.lab.live.wire import HttpClient, Server, next_message
+from ironbarrow.lab.live.http import HttpClient, Server, next_message
 from ironbarrow.lab.model.network import Network
 from ironbarrow.lab.model.worker import Need, Reply, Report, State, Worker
 from ironbarrow.runtime.loop import HANGUP, MS, SECOND, Coroutine, Loop, Task, Wait, sleep
--- a/ironbarrow/lab/scale/discovery.py
+++ b/ironbarrow/lab/scale/discovery.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from urllib.parse import parse_qs
 
-from ironbarrow.lab.live.wire import Server, next_message
+from ironbarrow.lab.live.http import Server, next_message
 from ironbarrow.lab.model.discovery import Entry, News
 from ironbarrow.lab.scale.messages import Traffic
 from ironbarrow.lab.settings import list_object
--- a/ironbarrow/lab/scale/hollow_workers.py
+++ b/ironbarrow/lab/scale/hollow_workers.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ironbarrow.core.endings import ConnectionEndedError
-from ironbarrow.lab.live.wire import HttpClient, Server, next_message
+from ironbarrow.lab.live.http import HttpClient, Server, next_message
 from ironbarrow.lab.scale.control import Control
 from ironbarrow.lab.scale.messages import (
     AnyCommand,
--- a/ironbarrow/lab/scale/load.py
+++ b/ironbarrow/lab/scale/load.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from ironbarrow.core.endings import ConnectionEndedError
-from ironbarrow.lab.live.wire import HttpClient
+from ironbarrow.lab.live.http import HttpClient
 from ironbarrow.lab.scale.discovery import WorkerList
 from ironbarrow.lab.scale.layout import BOOKING_SHARE, CLASSES, CORES, SLOTS, Layout
 from ironbarrow.runtime.loop import SECOND, Coroutine, Loop, sleep
--- a/ironbarrow/lab/soak/run.py
+++ b/ironbarrow/lab/soak/run.py
@@ -12,7 +12,7 @@
 from ironbarrow.lab.live.processes import Program
 from ironbarrow.lab.live.run import LiveError, LiveRun
 from ironbarrow.lab.model.workload import Order
-from ironbarrow.lab.soak.lingering import LingeringClient
+from ironbarrow.lab.soak.keep_alive_client import LingeringClient
 from ironbarrow.lab.soak.plan import SoakPlan
 from ironbarrow.runtime.clock import MS, SECOND
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from ironbarrow.fleet.members.messages import Ping
 from ironbarrow.fleet.starvation.tables import WaitReport
 from ironbarrow.fleet.takeover.messages import JobAnswer
-from ironbarrow.lab.live.wire import HttpClient
+from ironbarrow.lab.live.http import HttpClient
 from ironbarrow.lab.model.discovery import Entry
 from ironbarrow.lab.scale.discovery import DispatcherAgent, RegionLines, WorkerList
 from ironbarrow.lab.scale.hollow_dispatchers import Counts, HollowMember, LoopGroup
@@ -175,7 +175,7 @@
     """A dispatcher's front that notes call-backs."""
 
     def __init__(self, loop: Loop) -> None:
-        from ironbarrow.lab.live.wire import Server, next_message
+        from ironbarrow.lab.live.http import Server, next_message
 
         self.heard: list[dict[str, Any]] = []
         listener = listen(("127.0.0.1", 0))
