--- a/ironbarrow/lab/faults/__init__.py
+++ b/ironbarrow/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""System calls that fail in a dispatcher's own process; ``ironbarrow.cli.serve_with_faults`` serves so."""
+"""Fault injection for system calls inside a dispatcher's process (``ironbarrow.cli.serve_with_faults``)."""
--- a/ironbarrow/lab/faults/injector.py
+++ b/ironbarrow/lab/faults/injector.py
@@ -1,4 +1,4 @@
-"""Puts a plan of failures round the calls of this process, before the program that is tried is loaded."""
+"""Replaces calls of this process by ones that fail by a plan, before the program under test is imported."""
 
 import os
 import select
@@ -12,22 +12,22 @@
 
 from ironbarrow.lab.faults.rules import Call, FaultPlan, FaultRule, Side
 
-_STANDARD_ERROR = 2  # the log: not a file of the program's
+_STANDARD_ERROR = 2  # where the log is written; not one of the program's files
 
 
 class FaultInjector:
-    """Decides for each call whether it fails, and counts the failures by call and error."""
+    """Decides for each call whether it fails, and counts the injected failures by call and error."""
 
     def __init__(self, plan: FaultPlan) -> None:
         self._plan = plan
         self._random = Random(plan.seed)
         self._started = time.monotonic()
-        self._opened: WeakSet[socket.socket] = WeakSet()  # connections that this process opened
+        self._opened: WeakSet[socket.socket] = WeakSet()  # connections opened by this process
         self._broken: WeakKeyDictionary[socket.socket, int] = WeakKeyDictionary()
         self.failures: Counter[tuple[str, str]] = Counter()
 
     def install(self) -> None:
-        """Replaces the calls for the whole process; there is no way back."""
+        """Replaces the calls for the whole process. This can't be undone."""
         self._install_sockets()
         self._install_epoll()
         self._install_files()
@@ -35,27 +35,27 @@
 
     # Decisions
 
-    def due(self, call: Call, sock: socket.socket | None = None) -> FaultRule | None:
-        """The rule by which this call fails now, if any."""
+    def _matching_rule(self, call: Call, sock: socket.socket | None = None) -> FaultRule | None:
+        """The rule by which this call fails now, if any. Counts the failure."""
         now = time.monotonic() - self._started
         for rule in self._plan.rules:
-            if rule.call is not call or not self._concerns(rule, sock):
+            if rule.call is not call or not self._applies_to(rule, sock):
                 continue
-            if rule.is_due(now, self._random):
+            if rule.should_fail(now, self._random):
                 self.failures[call.value, os.strerror(rule.error) if rule.error else "short"] += 1
                 return rule
         return None
 
-    def _concerns(self, rule: FaultRule, sock: socket.socket | None) -> bool:
+    def _applies_to(self, rule: FaultRule, sock: socket.socket | None) -> bool:
         if rule.side is Side.ANY or sock is None:
             return rule.side is Side.ANY
         return (sock in self._opened) is (rule.side is Side.WORKERS)
 
     def check(self, call: Call, sock: socket.socket | None = None) -> bool:
-        """Raises the OSError that is due; whether the call is to be cut short."""
+        """Raises the OSError with which this call fails now. Returns whether the call is to be cut short."""
         if sock is not None and (error := self._broken.get(sock)):
             raise OSError(error, os.strerror(error))
-        rule = self.due(call, sock)
+        rule = self._matching_rule(call, sock)
         if rule is None:
             return False
         if not rule.error:
@@ -64,17 +64,17 @@
             self._broken[sock] = rule.error
         raise OSError(rule.error, os.strerror(rule.error))
 
-    # The calls
+    # Replaced calls
 
     def _install_sockets(self) -> None:
-        injector, kind = self, socket.socket
-        begin, accept, connect_ex = kind.__init__, kind._accept, kind.connect_ex  # type: ignore[attr-defined]
-        send, recv, sendmsg, recvmsg = kind.send, kind.recv, kind.sendmsg, kind.recvmsg
+        injector, cls = self, socket.socket
+        init, accept, connect_ex = cls.__init__, cls._accept, cls.connect_ex  # type: ignore[attr-defined]
+        send, recv, sendmsg, recvmsg = cls.send, cls.recv, cls.sendmsg, cls.recvmsg
 
-        def faulty_init(sock: Any, *args: Any, **more: Any) -> None:
-            if more.get("fileno") is None and len(args) < 4:
+        def faulty_init(sock: Any, *args: Any, **kwargs: Any) -> None:
+            if kwargs.get("fileno") is None and len(args) < 4:
                 injector.check(Call.SOCKET)
-            begin(sock, *args, **more)
+            init(sock, *args, **kwargs)
 
         def faulty_accept(sock: Any) -> Any:
             injector.check(Call.ACCEPT)
@@ -91,11 +91,11 @@
 
         def faulty_send(sock: Any, data: Any, *flags: int) -> int:
             short = injector.check(Call.SEND, sock)
-            return send(sock, data[: max(1, injector._some(len(data)))] if short else data, *flags)
+            return send(sock, data[: max(1, injector._short_size(len(data)))] if short else data, *flags)
 
         def faulty_recv(sock: Any, size: int, *flags: int) -> bytes:
             short = injector.check(Call.RECV, sock)
-            return recv(sock, injector._some(size) if short else size, *flags)
+            return recv(sock, injector._short_size(size) if short else size, *flags)
 
         def faulty_sendmsg(sock: Any, *args: Any) -> int:
             injector.check(Call.SENDMSG)
@@ -115,20 +115,20 @@
             "recvmsg": faulty_recvmsg,
         }
         for name, call in patched.items():
-            setattr(kind, name, call)
+            setattr(cls, name, call)
 
-    def _some(self, most: int) -> int:
-        """A part of so many bytes, at least one."""
-        return self._random.randint(1, max(1, min(most, 16)))
+    def _short_size(self, limit: int) -> int:
+        """A random size for a short read or write: from 1 to ``limit``, but at most 16 bytes."""
+        return self._random.randint(1, max(1, min(limit, 16)))
 
     def _install_epoll(self) -> None:
-        injector, real = self, select.epoll
+        injector, original = self, select.epoll
 
         class FaultyEpoll:
-            """As ``select.epoll``, with adding descriptors that may fail."""
+            """As ``select.epoll``, but adding a descriptor may fail."""
 
             def __init__(self, *args: Any) -> None:
-                self._epoll = real(*args)
+                self._epoll = original(*args)
 
             def register(self, fd: int, mask: int = 0) -> None:
                 injector.check(Call.WATCH)
@@ -141,40 +141,40 @@
 
     def _install_files(self) -> None:
         injector = self
-        write, fsync, replace, opened = os.write, os.fsync, os.replace, os.open
+        write, fsync, replace, open_file = os.write, os.fsync, os.replace, os.open
 
         def faulty_write(fd: int, data: Any) -> int:
             if fd == _STANDARD_ERROR:
                 return write(fd, data)
             short = injector.check(Call.WRITE)
-            return write(fd, data[: injector._some(len(data))] if short else data)
+            return write(fd, data[: injector._short_size(len(data))] if short else data)
 
         def faulty_fsync(fd: Any) -> None:
             injector.check(Call.FSYNC)
             fsync(fd)
 
-        def faulty_replace(*args: Any, **more: Any) -> None:
+        def faulty_replace(*args: Any, **kwargs: Any) -> None:
             injector.check(Call.REPLACE)
-            replace(*args, **more)
+            replace(*args, **kwargs)
 
-        def faulty_open(path: Any, flags: int, *args: Any, **more: Any) -> int:
+        def faulty_open(path: Any, flags: int, *args: Any, **kwargs: Any) -> int:
             if flags & (os.O_WRONLY | os.O_RDWR):
                 injector.check(Call.OPEN)
-            return opened(path, flags, *args, **more)
+            return open_file(path, flags, *args, **kwargs)
 
         os.write, os.fsync, os.replace, os.open = faulty_write, faulty_fsync, faulty_replace, faulty_open
 
     def _install_clock(self) -> None:
-        injector, real = self, time.time_ns
+        injector, original = self, time.time_ns
 
         def stepped_time_ns() -> int:
-            return real() + int(injector.clock_offset_s() * 1e9)
+            return original() + int(injector.clock_offset_s() * 1e9)
 
         time.time_ns = stepped_time_ns
         time.time = lambda: stepped_time_ns() / 1e9
 
     def clock_offset_s(self) -> float:
-        """By how much the wall clock of this process is off now, s."""
+        """The current error of this process's wall clock, s."""
         now = time.monotonic() - self._started
         plan = self._plan
         return plan.clock_offset_s + sum(step.by_s for step in plan.clock_steps if step.at_s <= now)
--- a/ironbarrow/lab/faults/rules.py
+++ b/ironbarrow/lab/faults/rules.py
@@ -1,7 +1,7 @@
-"""Which system calls fail, when, and how. No input or output.
+"""Fault plans: which system calls fail, when, and how. Does no input or output.
 
 A plan is a JSON object: ``seed``, ``clock_offset_s`` and ``clock_steps`` of the wall clock, and ``rules``.
-Each rule names one call and the error that it shows, as Linux documents it for that call.
+Each rule names one call and the error with which it fails, as Linux documents it for that call.
 """
 
 import errno
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-PLAN_VARIABLE = "IRONBARROW_FAULTS"  # of the environment: the plan of a process, as JSON
+PLAN_VARIABLE = "IRONBARROW_FAULTS"  # environment variable: the plan of the process, as JSON
 
 
 class Call(Enum):
@@ -24,15 +24,15 @@
     RECV = "recv"
     SENDMSG = "sendmsg"
     RECVMSG = "recvmsg"
-    WATCH = "watch"  # epoll_ctl that adds
+    WATCH = "watch"  # epoll_ctl with EPOLL_CTL_ADD
     WRITE = "write"  # to a file
     FSYNC = "fsync"
-    REPLACE = "replace"  # rename over a file
+    REPLACE = "replace"  # os.replace
     OPEN = "open"  # a file for writing
 
 
 class Side(Enum):
-    """Whose connections a rule is about."""
+    """The connections to which a rule applies."""
 
     ANY = "any"
     WORKERS = "workers"  # those that this process opened
@@ -40,28 +40,28 @@
 
 
 class FaultPlanError(ValueError):
-    """A plan that can't be used; the text names the key."""
+    """An invalid plan; the message names the key."""
 
 
 @dataclass(slots=True)
 class FaultRule:
-    """One kind of failure. Times in s from the start of the process."""
+    """One kind of failure. Times are in s since the start of the process."""
 
     call: Call
-    error: int = 0  # errno; 0: the call is only cut short
+    error: int = 0  # errno; 0: the call succeeds, but is cut short
     side: Side = Side.ANY
     chance: float = 1.0
     after_s: float = 0.0
     for_s: float = 1e9
-    every_s: float = 0.0  # the window comes again with this period; 0: once
-    most: int = 0  # failures in all; 0: any number
-    skip: int = 0  # so many calls go well first
-    breaks: bool = False  # the connection stays broken, and shows the same error from then on
-    count: int = field(default=0, compare=False)
-    seen: int = field(default=0, compare=False)
-
-    def is_due(self, at_s: float, random: Random) -> bool:
-        """Whether a call at that time fails; counts it."""
+    every_s: float = 0.0  # period at which the time window repeats; 0: it does not repeat
+    most: int = 0  # maximum number of failures; 0: no limit
+    skip: int = 0  # number of calls that succeed first
+    breaks: bool = False  # every later call on the same connection fails with the same error
+    count: int = field(default=0, compare=False)  # failures so far
+    seen: int = field(default=0, compare=False)  # calls in the time window so far
+
+    def should_fail(self, at_s: float, random: Random) -> bool:
+        """Whether a call at that time fails. Counts the call, and the failure."""
         since = at_s - self.after_s
         if since < 0 or (since % self.every_s if self.every_s else since) >= self.for_s:
             return False
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockStep:
-    """The wall clock jumps by ``by_s`` at ``at_s`` after the start of the process."""
+    """The wall clock jumps by ``by_s`` seconds, ``at_s`` seconds after the start of the process."""
 
     at_s: float
     by_s: float
@@ -84,16 +84,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultPlan:
-    """All that goes wrong in one process."""
+    """All injected faults of one process."""
 
     seed: int = 0
-    clock_offset_s: float = 0.0  # of the wall clock, before the process starts
+    clock_offset_s: float = 0.0  # error of the wall clock from the start
     clock_steps: tuple[ClockStep, ...] = ()
     rules: tuple[FaultRule, ...] = ()
 
     @staticmethod
     def parse(text: str) -> "FaultPlan":
-        """A plan from JSON; a FaultPlanError names what is wrong."""
+        """Reads a plan from JSON; raises FaultPlanError if it is invalid."""
         try:
             raw = json.loads(text)
         except ValueError as error:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -76,4 +76,4 @@
     (parsed,) = plan.rules
     times = [0.5 * n for n in range(30)]
     random = __import__("random").Random(1)
-    assert [at for at in times if parsed.is_due(at, random)] == [2.5, 7.0, 7.5]
+    assert [at for at in times if parsed.should_fail(at, random)] == [2.5, 7.0, 7.5]
