--- a/ironbarrow/cli/soak.py
+++ b/ironbarrow/cli/soak.py
@@ -20,12 +20,12 @@
     if find_spec("msgspec") is None or find_spec("numpy") is None:
         typer.echo("ironbarrow: a soak needs the packages of requirements-lab.txt", err=True)
         raise typer.Exit(2)
-    from ironbarrow.lab.soak.plan import draw
-    from ironbarrow.lab.soak.run import play
+    from ironbarrow.lab.soak.plan import draw_plan
+    from ironbarrow.lab.soak.run import run_soak
 
     bad = []
     for seed in range(first, first + seeds):
-        result = play(draw(seed, dispatchers, seconds))
+        result = run_soak(draw_plan(seed, dispatchers, seconds))
         if result.problems:
             bad.append(seed)
         if as_json:
--- a/ironbarrow/lab/soak/__init__.py
+++ b/ironbarrow/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: real dispatchers under random, overlapping faults, judged by the rules of service."""
+"""Soak tests: real dispatchers under random, overlapping faults, checked against the rules of service."""
--- a/ironbarrow/lab/soak/keep_alive_client.py
+++ b/ironbarrow/lab/soak/keep_alive_client.py
@@ -1,4 +1,4 @@
-"""Clients that go on using a connection for as long as its dispatcher keeps it open."""
+"""Clients that keep using a connection for as long as its dispatcher keeps it open."""
 
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.lab.audit import Auditor
@@ -8,24 +8,24 @@
 from ironbarrow.runtime.sockets import Address
 from ironbarrow.transport.http import Connection, connect
 
-_BETWEEN = 60 * MS  # an answer and the next request
-_SLACK = 400 * MS  # after a job's time, for its answer
-_CONNECT_LIMIT = 1 * SECOND
+_REQUEST_PAUSE = 60 * MS  # between an answer and the next request
+_ANSWER_MARGIN = 400 * MS  # to wait for an answer after the job's deadline
+_CONNECT_TIMEOUT = 1 * SECOND
 
 
-class LingeringClient:
-    """Sends one safe job after another on one connection, until the other side ends it."""
+class KeepAliveClient:
+    """Sends one safe job after another on one connection, until the dispatcher closes it."""
 
     def __init__(self, loop: Loop, audit: Auditor, habits: Habits, dispatcher: int, address: Address) -> None:
         self._loop, self._audit, self._habits = loop, audit, habits
         self._dispatcher, self._address = dispatcher, address
         self.answered = 0
-        self.unanswered: list[str] = []  # jobs that stayed open beyond their time
+        self.unanswered: list[str] = []  # ids of jobs without an answer at the end of the waiting time
 
     def run(self, order: Order, deadline: int, target: str) -> Coroutine[None]:
-        """``order`` is tried again and again under new ids, each for ``deadline`` ns."""
+        """Sends ``order`` again and again with new job ids; each job has ``deadline`` ns."""
         try:
-            connection = yield from connect(self._address, self._loop.now() + _CONNECT_LIMIT)
+            connection = yield from connect(self._address, self._loop.now() + _CONNECT_TIMEOUT)
         except ConnectionEndedError:
             return
         tries = 0
@@ -33,16 +33,16 @@
             while True:
                 tries += 1
                 job_id = self._habits.new_try(order, tries)
-                yield from self._ask(connection, job_id, order, deadline, target)
+                yield from self._request(connection, job_id, order, deadline, target)
                 if not connection.next_cycle():
                     return
-                yield from sleep(self._loop.now() + _BETWEEN)
+                yield from sleep(self._loop.now() + _REQUEST_PAUSE)
         except ConnectionEndedError:
             return
         finally:
             connection.close()
 
-    def _ask(
+    def _request(
         self, connection: Connection, job_id: str, order: Order, deadline: int, target: str
     ) -> Coroutine[None]:
         headers = [
@@ -50,7 +50,7 @@
             ("X-Request-ID", job_id),
             ("X-Timeout-Ms", str(deadline // MS)),
         ]
-        until = self._loop.now() + deadline + _SLACK
+        until = self._loop.now() + deadline + _ANSWER_MARGIN
         yield from connection.write(connection.request_bytes("POST", target, headers, b"x"), until)
         self._audit.taken(job_id, order.number, self._dispatcher, deadline, unsafe=False)
         try:
@@ -58,7 +58,7 @@
         except ConnectionEndedError as error:
             if error.ending is Ending.STALLED:
                 self.unanswered.append(job_id)
-            self._audit.left(job_id)  # the request crossed the end of the connection
+            self._audit.left(job_id)  # the connection ended while the request was on its way
             raise
         self.answered += 1
         verdict = {200: "served", 429: "refused", 503: "refused"}.get(answer.status, "failed")
--- a/ironbarrow/lab/soak/plan.py
+++ b/ironbarrow/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draws one soak run from a seed: a world, its faults, and the failing system calls of each process."""
+"""Generates a soak run from a seed: a world, its faults, and the failing system calls of each process."""
 
 import json
 from dataclasses import dataclass
@@ -7,12 +7,12 @@
 
 from ironbarrow.lab.model.spec import World, convert
 
-QUIET_S = 2.0  # at the start, before the first fault
-_LONGEST_COUNTED_S = 3.0  # of the longest deadline, for the time of SIGKILL
-_KILLED_AFTER_S = 0.7
+FAULT_FREE_S = 2.0  # at the start, before the first fault
+_MAX_COUNTED_DEADLINE_S = 3.0  # the part of the longest deadline that the time until SIGKILL covers
+_KILL_MARGIN_S = 0.7  # from that time until SIGKILL
 
-# Errors that a call shows for a moment, by the manual pages of Linux
-_MOMENTARY = {
+# Errors from which a call recovers, according to the Linux manual pages
+_TRANSIENT_ERRORS = {
     "accept": ("ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO"),
     "socket": ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"),
     "connect": ("EADDRNOTAVAIL", "ENETUNREACH", "EAGAIN", "EINTR"),
@@ -20,33 +20,33 @@
     "send": ("ENOBUFS", "ENOMEM", "EINTR"),
     "watch": ("ENOMEM", "ENOSPC"),
 }
-_BREAKS = ("ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ECONNRESET")
+_CONNECTION_ERRORS = ("ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ECONNRESET")
 _DEADLINES_S = ((1.0, 0.6), (3.0, 2.0), (6.0, 4.0))  # of safe jobs and bookings
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """All that a run is made of. ``fault_plans``: JSON for each dispatcher; ``crowd``: idle clients."""
+    """A soak run. ``fault_plans``: JSON for each dispatcher. ``idle_clients``: how many connect only."""
 
     seed: int
     world: World
     fault_plans: tuple[str, ...]
-    crowd: int
+    idle_clients: int
 
 
-def draw(seed: int, dispatchers: int, duration_s: float) -> SoakPlan:
-    """The run of that seed. Equal arguments give equal plans."""
-    chance = Random(seed)
-    safe_s, booking_s = chance.choice(_DEADLINES_S)
-    world = convert(_world(chance, seed, dispatchers, duration_s, safe_s, booking_s), World, f"soak {seed}")
-    plans = tuple(json.dumps(_fault_plan(chance, seed * 1000 + n)) for n in range(dispatchers))
-    return SoakPlan(seed, world, plans, chance.choice((0, 0, 200)))
+def draw_plan(seed: int, dispatchers: int, duration_s: float) -> SoakPlan:
+    """Generates the run of a seed. Equal arguments give equal plans."""
+    rng = Random(seed)
+    safe_s, booking_s = rng.choice(_DEADLINES_S)
+    world = convert(_world(rng, seed, dispatchers, duration_s, safe_s, booking_s), World, f"soak {seed}")
+    plans = tuple(json.dumps(_fault_plan(rng, seed * 1000 + n)) for n in range(dispatchers))
+    return SoakPlan(seed, world, plans, rng.choice((0, 0, 200)))
 
 
 def _world(
-    chance: Random, seed: int, dispatchers: int, duration_s: float, safe_s: float, booking_s: float
+    rng: Random, seed: int, dispatchers: int, duration_s: float, safe_s: float, booking_s: float
 ) -> dict[str, Any]:
-    stop_s = min(_LONGEST_COUNTED_S, max(safe_s, booking_s)) + _KILLED_AFTER_S
+    stop_s = min(_MAX_COUNTED_DEADLINE_S, max(safe_s, booking_s)) + _KILL_MARGIN_S
     return {
         "name": f"soak {seed}",
         "duration": f"{duration_s} s",
@@ -60,7 +60,7 @@
             _class("book", 1.0, 0.12, booking_s, "unsafe"),
         ],
         "workers": [{"name": "w", "count": max(6, dispatchers // 2), "cores": 4, "slots": 4, "queue": 4}],
-        "faults": _faults(chance, dispatchers, duration_s),
+        "faults": _faults(rng, dispatchers, duration_s),
     }
 
 
@@ -75,56 +75,56 @@
     }
 
 
-def _faults(chance: Random, dispatchers: int, duration_s: float) -> list[dict[str, Any]]:
-    """Overlapping troubles of workers, discovery and dispatchers, and restarts in order of one in four."""
-    made: list[dict[str, Any]] = []
-    kinds = [chance.choice(tuple(_KINDS)) for _ in range(round(duration_s * 0.8))]
+def _faults(rng: Random, dispatchers: int, duration_s: float) -> list[dict[str, Any]]:
+    """Overlapping faults of all parties, and graceful restarts: one for every four dispatchers."""
+    faults: list[dict[str, Any]] = []
+    kinds = [rng.choice(tuple(_FAULT_KINDS)) for _ in range(round(duration_s * 0.8))]
     for kind in kinds + ["dispatcher restarted"] * (dispatchers // 4):
-        at = chance.uniform(QUIET_S, max(QUIET_S, duration_s - 1))
+        at = rng.uniform(FAULT_FREE_S, max(FAULT_FREE_S, duration_s - 1))
         fault: dict[str, Any] = {
             "kind": kind,
             "at": f"{at * 1000:.0f} ms",
-            "lasts": f"{chance.uniform(300, 2500):.0f} ms",
+            "lasts": f"{rng.uniform(300, 2500):.0f} ms",
         }
-        fault |= _KINDS[fault["kind"]](chance, dispatchers)
-        made.append(fault)
-    return made
-
-
-_KINDS: dict[str, Any] = {
-    "hang": lambda chance, n: {"part": chance.uniform(0.1, 0.4)},
-    "slow": lambda chance, n: {"part": 0.3, "size": chance.uniform(2, 8)},
-    "fail fast": lambda chance, n: {"part": 0.2, "size": chance.uniform(0.3, 1.0)},
-    "drain": lambda chance, n: {"part": chance.uniform(0.1, 0.4)},
-    "deploy": lambda chance, n: {"part": 0.4, "batch": 0.2, "drain": "1 s"},
-    "die": lambda chance, n: {"part": 0.1},
-    "cut": lambda chance, n: {"zones": ["north", "south"]},
-    "discovery outage": lambda chance, n: {},
-    "dispatcher killed": lambda chance, n: {"dispatcher": chance.randrange(n), "down": "300 ms"},
-    "dispatcher restarted": lambda chance, n: {"dispatcher": chance.randrange(n), "down": "300 ms"},
-    "reload": lambda chance, n: {"dispatcher": chance.randrange(n)},
-    "flood": lambda chance, n: {"size": 2.0},
+        fault |= _FAULT_KINDS[fault["kind"]](rng, dispatchers)
+        faults.append(fault)
+    return faults
+
+
+_FAULT_KINDS: dict[str, Any] = {
+    "hang": lambda rng, n: {"part": rng.uniform(0.1, 0.4)},
+    "slow": lambda rng, n: {"part": 0.3, "size": rng.uniform(2, 8)},
+    "fail fast": lambda rng, n: {"part": 0.2, "size": rng.uniform(0.3, 1.0)},
+    "drain": lambda rng, n: {"part": rng.uniform(0.1, 0.4)},
+    "deploy": lambda rng, n: {"part": 0.4, "batch": 0.2, "drain": "1 s"},
+    "die": lambda rng, n: {"part": 0.1},
+    "cut": lambda rng, n: {"zones": ["north", "south"]},
+    "discovery outage": lambda rng, n: {},
+    "dispatcher killed": lambda rng, n: {"dispatcher": rng.randrange(n), "down": "300 ms"},
+    "dispatcher restarted": lambda rng, n: {"dispatcher": rng.randrange(n), "down": "300 ms"},
+    "reload": lambda rng, n: {"dispatcher": rng.randrange(n)},
+    "flood": lambda rng, n: {"size": 2.0},
 }
 
 
-def _fault_plan(chance: Random, seed: int) -> dict[str, Any]:
-    """Moments in which calls of one process fail, beside short reads and writes, and its wall clock."""
+def _fault_plan(rng: Random, seed: int) -> dict[str, Any]:
+    """The fault plan of one process: failing calls, short reads and writes, and steps of the wall clock."""
     rules: list[dict[str, Any]] = []
-    for call in chance.sample(sorted(_MOMENTARY), 3):
-        window = {"after_s": chance.uniform(1, 4), "every_s": chance.uniform(2, 6), "for_s": 0.25}
-        error = chance.choice(_MOMENTARY[call])
-        rules.append({"call": call, "error": error, "chance": chance.choice((0.3, 1.0)), **window})
+    for call in rng.sample(sorted(_TRANSIENT_ERRORS), 3):
+        window = {"after_s": rng.uniform(1, 4), "every_s": rng.uniform(2, 6), "for_s": 0.25}
+        error = rng.choice(_TRANSIENT_ERRORS[call])
+        rules.append({"call": call, "error": error, "chance": rng.choice((0.3, 1.0)), **window})
     rules.append(
         {
-            "call": chance.choice(("recv", "send")),
+            "call": rng.choice(("recv", "send")),
             "side": "workers",
-            "error": chance.choice(_BREAKS),
-            "chance": chance.uniform(0.0, 0.03),
+            "error": rng.choice(_CONNECTION_ERRORS),
+            "chance": rng.uniform(0.0, 0.03),
             "breaks": True,
         }
     )
-    if chance.random() < 0.3:
+    if rng.random() < 0.3:
         rules += [{"call": "recv", "chance": 0.2}, {"call": "send", "chance": 0.2}]
-    steps = [{"at_s": chance.uniform(2, 6), "by_s": chance.choice((-3600, -5, 5, 3600))}]
-    offset = chance.choice((0, 0, 0, -3600, -7, 7, 3600))
+    steps = [{"at_s": rng.uniform(2, 6), "by_s": rng.choice((-3600, -5, 5, 3600))}]
+    offset = rng.choice((0, 0, 0, -3600, -7, 7, 3600))
     return {"seed": seed, "rules": rules, "clock_steps": steps, "clock_offset_s": offset}
--- a/ironbarrow/lab/soak/run.py
+++ b/ironbarrow/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays soak runs and judges them."""
+"""Executes soak runs and checks their results."""
 
 import json
 import signal
@@ -12,22 +12,23 @@
 from ironbarrow.lab.live.processes import Program
 from ironbarrow.lab.live.run import LiveError, LiveRun
 from ironbarrow.lab.model.workload import Order
-from ironbarrow.lab.soak.keep_alive_client import LingeringClient
+from ironbarrow.lab.soak.keep_alive_client import KeepAliveClient
 from ironbarrow.lab.soak.plan import SoakPlan
 from ironbarrow.runtime.clock import MS, SECOND
 
-_LOST_AFTER = 500 * MS  # by the standing test's page; up to then an answer only earns nothing
-_LINGERING = 3  # clients for each dispatcher that is told to stop
-_LINGERING_FROM = 10_000_000  # numbers of their orders, beyond those of the workload
+# After a job's deadline, as in the standing test. Until then a late answer is worthless, but not a failure.
+_ANSWER_LOST_AFTER = 500 * MS
+_KEEP_ALIVE_CLIENTS = 3  # for each dispatcher that is stopped
+_FIRST_KEEP_ALIVE_ORDER = 10_000_000  # above the order numbers of the workload
 _SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGTERM)
 _SIGNAL_GAP = 30 * MS
-_CROWD_AT = 3 * SECOND
-_BAD_LINES = ("task failed",)
+_IDLE_CONNECTIONS_AT = 3 * SECOND  # after the dispatchers have become ready
+_PROBLEM_EVENTS = ("task failed",)  # events in a dispatcher's log that are a problem of the run
 
 
 @dataclass(slots=True)
 class SoakResult:
-    """What a run broke; ``problems`` is empty where nothing was."""
+    """The result of a soak run. ``problems``: broken rules and other failures; empty if there were none."""
 
     seed: int
     problems: list[str] = field(default_factory=list)
@@ -40,54 +41,59 @@
 
 
 class SoakRun(LiveRun):
-    """A live run whose dispatchers have failing calls, are signalled in series, and are killed early."""
+    """A live run whose dispatchers have failing system calls, get series of signals, and are killed early."""
 
-    lost_after = _LOST_AFTER
+    lost_after = _ANSWER_LOST_AFTER
 
     def __init__(self, plan: SoakPlan, folder: Path | None = None) -> None:
         folder = folder or Path(tempfile.mkdtemp(prefix=f"ironbarrow-soak-{plan.seed}-"))
         super().__init__(plan.world, plan.seed, folder)
         self._plan = plan
-        self._chance = Random(plan.seed)
-        self._crowd: list[socket.socket] = []
-        self.lingering: list[LingeringClient] = []
-        self.forced_ends: list[int] = []  # dispatchers that had not ended by the time of SIGKILL
-        self.stops_in_order = 0
+        self._rng = Random(plan.seed)
+        self._idle_connections: list[socket.socket] = []
+        self.keep_alive_clients: list[KeepAliveClient] = []
+        self.overdue_stops: list[int] = []  # dispatchers that still ran just before SIGKILL
+        self.graceful_stops = 0
         for instance, faults in zip(self.instances, plan.fault_plans, strict=True):
             instance.program = Program.with_faults(faults)
 
     def restart(self, number: int, down: int) -> None:
-        """Signals in series; clients go on sending on open connections; SIGKILL at the earliest."""
+        """Stops a dispatcher that is ready and starts it again, under harder conditions than ``LiveRun``.
+
+        Clients keep sending on open connections, up to two more signals follow at short intervals, and
+        SIGKILL comes after the short stop time of the plan.
+        """
         instance = self.instances[number]
         if instance.pid is None or number not in self._ready or number in self._down:
             return
-        self.stops_in_order += 1
-        self._linger(number)
-        for turn in range(self._chance.randrange(3)):
+        self.graceful_stops += 1
+        self._start_keep_alive_clients(number)
+        for index in range(self._rng.randrange(3)):
             self.loop.call_at(
-                self.loop.now() + (turn + 1) * _SIGNAL_GAP,
+                self.loop.now() + (index + 1) * _SIGNAL_GAP,
                 instance.send_signal,
-                self._chance.choice(_SIGNALS),
+                self._rng.choice(_SIGNALS),
             )
         pid = instance.pid
         super().restart(number, down)
-        earliest = self.loop.now() + self.world.dispatchers.stop_time
-        self.loop.call_at(earliest - MS, self._look_whether_ended, number, pid)
+        kill_at = self.loop.now() + self.world.dispatchers.stop_time
+        self.loop.call_at(kill_at - MS, self._check_ended, number, pid)
 
     def kill(self, number: int, down: int) -> None:
+        """As ``LiveRun.kill``, but only if the dispatcher runs and is not being restarted."""
         if self.instances[number].pid is not None and number not in self._down:
             super().kill(number, down)
 
-    def _look_whether_ended(self, number: int, pid: int) -> None:
+    def _check_ended(self, number: int, pid: int) -> None:
         if self.instances[number].pid == pid:
-            self.forced_ends.append(number)
+            self.overdue_stops.append(number)
 
-    def _linger(self, number: int) -> None:
+    def _start_keep_alive_clients(self, number: int) -> None:
         cls = self.world.classes[0]
-        for _ in range(_LINGERING):
-            client = LingeringClient(self.loop, self.audit, self._habits, number, self._listen[number])
+        for _ in range(_KEEP_ALIVE_CLIENTS):
+            client = KeepAliveClient(self.loop, self.audit, self._habits, number, self._listen[number])
             order = Order(
-                number=_LINGERING_FROM + len(self.lingering),
+                number=_FIRST_KEEP_ALIVE_ORDER + len(self.keep_alive_clients),
                 cls=0,
                 due=self.loop.now(),
                 deadline=cls.deadline,
@@ -101,35 +107,37 @@
                 key=None,
                 farm=0,
             )
-            self.lingering.append(client)
+            self.keep_alive_clients.append(client)
             self.loop.spawn(client.run(order, int(cls.deadline), f"/{cls.name}/1"))
 
     def start(self) -> None:
+        """As ``LiveRun.start``; the idle connections follow later."""
         super().start()
-        self.loop.call_at(self.loop.now() + _CROWD_AT, self._come_in_crowds)
+        self.loop.call_at(self.loop.now() + _IDLE_CONNECTIONS_AT, self._open_idle_connections)
 
-    def _come_in_crowds(self) -> None:
-        for turn in range(self._plan.crowd):
+    def _open_idle_connections(self) -> None:
+        for index in range(self._plan.idle_clients):
             sock = socket.socket()
             sock.setblocking(False)
             with suppress(BlockingIOError):
-                sock.connect(self._listen[turn % len(self._listen)])
-            self._crowd.append(sock)
+                sock.connect(self._listen[index % len(self._listen)])
+            self._idle_connections.append(sock)
 
     def close(self) -> None:
-        for sock in self._crowd:
+        """As ``LiveRun.close``; also closes the idle connections."""
+        for sock in self._idle_connections:
             sock.close()
         super().close()
 
 
-def play(plan: SoakPlan, folder: Path | None = None) -> SoakResult:
-    """Plays one run; that its dispatchers do not come up is a problem of its own."""
+def run_soak(plan: SoakPlan, folder: Path | None = None) -> SoakResult:
+    """Executes one run. If its dispatchers do not become ready, this is the only problem in the result."""
     run = SoakRun(plan, folder)
     try:
         outcome = run.run()
     except LiveError as error:
         return SoakResult(plan.seed, [str(error)])
-    result = SoakResult(plan.seed, folder=str(outcome.notes["folder"]), stops=run.stops_in_order)
+    result = SoakResult(plan.seed, folder=str(outcome.notes["folder"]), stops=run.graceful_stops)
     result.jobs = outcome.verdicts.looked_at["jobs taken"]
     result.attempts = outcome.verdicts.looked_at["attempts"]
     result.late_p99_ms = outcome.notes["late_p99_ms"]
@@ -138,11 +146,11 @@
     for name in ("crashes", "wrong_results", "errors"):
         if outcome.notes[name]:
             result.problems.append(f"{name}: {outcome.notes[name]}")
-    if run.forced_ends:
-        result.problems.append(f"not ended by the earliest SIGKILL: dispatchers {run.forced_ends}")
-    unanswered = [job for client in run.lingering for job in client.unanswered]
+    if run.overdue_stops:
+        result.problems.append(f"still running at the time of SIGKILL: dispatchers {run.overdue_stops}")
+    unanswered = [job for client in run.keep_alive_clients for job in client.unanswered]
     if unanswered:
-        result.problems.append(f"no answer on a connection kept open: {unanswered[:5]}")
+        result.problems.append(f"no answer on a keep-alive connection: {unanswered[:5]}")
     _read_logs(run, result)
     return result
 
@@ -153,9 +161,9 @@
             try:
                 event = json.loads(line)
             except ValueError:
-                result.problems.append(f"d{instance.number} wrote: {line[:200]}")
+                result.problems.append(f"d{instance.number} logged a line that is not JSON: {line[:200]}")
                 continue
-            if event.get("event") in _BAD_LINES:
+            if event.get("event") in _PROBLEM_EVENTS:
                 cause = str(event.get("exception", "")).strip().splitlines()[-1:]
                 result.problems.append(f"d{instance.number}: {event['event']}: {' '.join(cause)}")
             result.decisions_not_carried_out += event.get("event") == "decision not carried out"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak, seeded: real dispatchers with failing calls, stepped clocks and signals in series."""
+"""Short seeded soak runs: real dispatchers with failing system calls, clock steps and series of signals."""
 
 import json
 import subprocess
@@ -9,8 +9,8 @@
 
 from ironbarrow.lab.faults.rules import PLAN_VARIABLE, FaultPlan, FaultPlanError
 from ironbarrow.lab.live.processes import Program
-from ironbarrow.lab.soak.plan import draw
-from ironbarrow.lab.soak.run import play
+from ironbarrow.lab.soak.plan import draw_plan
+from ironbarrow.lab.soak.run import run_soak
 from tests.test_live import routed_run
 
 DISPATCHERS = 6
@@ -19,14 +19,14 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_a_soak_breaks_no_rule(seed: int, tmp_path: Path) -> None:
-    """Guards against any rule broken while calls, clocks, workers and dispatchers fail together (bcef66)."""
-    result = play(draw(seed, DISPATCHERS, SECONDS), tmp_path)
+    """Guards against a broken rule of service while calls, clocks, workers and dispatchers fail (bcef66)."""
+    result = run_soak(draw_plan(seed, DISPATCHERS, SECONDS), tmp_path)
     assert result.problems == []
     assert result.jobs > 100
 
 
-def test_a_start_outlasts_calls_that_fail(tmp_path: Path) -> None:
-    """Guards against a process that ends at its start for a moment's lack of memory (bcef66)."""
+def test_a_start_survives_failing_system_calls(tmp_path: Path) -> None:
+    """Guards against a dispatcher that exits at its start because memory is short for a moment (bcef66)."""
     rules = [
         {"call": "socket", "error": "ENOMEM", "most": 4},
         {"call": "watch", "error": "ENOSPC", "most": 2},
@@ -38,13 +38,13 @@
         run.close()
 
 
-def test_equal_seeds_draw_equal_runs() -> None:
-    assert draw(7, 4, 10.0) == draw(7, 4, 10.0)
-    assert draw(7, 4, 10.0).fault_plans != draw(8, 4, 10.0).fault_plans
+def test_equal_seeds_give_equal_plans() -> None:
+    assert draw_plan(7, 4, 10.0) == draw_plan(7, 4, 10.0)
+    assert draw_plan(7, 4, 10.0).fault_plans != draw_plan(8, 4, 10.0).fault_plans
 
 
 @pytest.mark.parametrize(
-    ("plan", "named"),
+    ("plan", "expected"),
     [
         ("{", "not JSON"),
         ("[]", "expected an object"),
@@ -54,12 +54,12 @@
         ('{"rules": [{"call": "recv", "more": 1}]}', "rules[0]"),
     ],
 )
-def test_a_plan_that_can_not_be_used_is_named(plan: str, named: str) -> None:
+def test_an_invalid_plan_is_reported_with_its_key(plan: str, expected: str) -> None:
     with pytest.raises(FaultPlanError) as caught:
         FaultPlan.parse(plan)
-    assert named in str(caught.value)
+    assert expected in str(caught.value)
     program = Program.with_faults(plan)
-    ended = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, *program.command[1:]],
         cwd=program.folder,
         env={PLAN_VARIABLE: plan},
@@ -67,10 +67,10 @@
         text=True,
         timeout=60,
     )
-    assert ended.returncode == 2 and named in ended.stderr and "Traceback" not in ended.stderr
+    assert finished.returncode == 2 and expected in finished.stderr and "Traceback" not in finished.stderr
 
 
-def test_a_rule_fails_in_its_windows_and_no_more_often_than_it_says() -> None:
+def test_a_rule_fails_calls_only_in_its_windows_and_up_to_its_maximum() -> None:
     rule = {"call": "recv", "error": "ENOMEM", "after_s": 2, "for_s": 1, "every_s": 5, "most": 3, "skip": 1}
     plan = FaultPlan.parse(json.dumps({"rules": [rule]}))
     (parsed,) = plan.rules
