--- a/benchmarks/fleet_price.py
+++ b/benchmarks/fleet_price.py
@@ -22,7 +22,7 @@
 
 from ironbarrow.config.units import ms
 from ironbarrow.lab.fleet.files import fleet_file
-from ironbarrow.lab.live.discovery_server import Agent
+from ironbarrow.lab.live.discovery_server import DiscoveryAgent
 from ironbarrow.lab.live.ports import LoopbackNetwork
 from ironbarrow.lab.live.processes import Instance, Program
 from ironbarrow.lab.model import spec
@@ -220,10 +220,10 @@
     network = LoopbackNetwork.reserve(count)
     addresses = [network.dispatcher(n) for n in range(count)]
     members = ["{}:{}".format(*network.fleet_member(n)) for n in range(count)]
-    workers = [[(network.party(n)[0], 9200 + p) for p in range(WORKERS)] for n in range(count)]
+    workers = [[(network.lab_listener(n)[0], 9200 + p) for p in range(WORKERS)] for n in range(count)]
     for n in range(count):
         names = {f"p{p}": "{}:{}".format(*workers[n][p]) for p in range(WORKERS)}
-        agent = Agent(loop, discovery, f"d{n}", names, lambda name, up: None, network.agents)
+        agent = DiscoveryAgent(loop, discovery, f"d{n}", names, lambda name, up: None, network.worker_agents)
         agents.append(agent)
         text = None
         if of.dispatchers.fleet is not None:
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -71,7 +71,7 @@
             failure = str(error)
         finally:
             run.close()
-        return Start(failure, [ns / 1e9 for instance in run.instances for ns in instance.ready_after])
+        return Start(failure, [ns / 1e9 for instance in run.instances for ns in instance.startup_times])
 
 
 def start_all(runs: int, at_once: int) -> Iterator[Start]:
--- a/ironbarrow/lab/capacity/lists.py
+++ b/ironbarrow/lab/capacity/lists.py
@@ -7,7 +7,7 @@
 from heathway import api
 from ironbarrow.discovery.client import DiscoveryClient as Client
 from ironbarrow.lab.capacity.counting import zone_of
-from ironbarrow.lab.live.discovery_server import Agent
+from ironbarrow.lab.live.discovery_server import DiscoveryAgent
 from ironbarrow.lab.model import spec
 from ironbarrow.lab.model.discovery import Discovery, Entry, News
 from ironbarrow.lab.model.randomness import Streams
@@ -18,7 +18,7 @@
 _MOST_HELD = 5  # jobs by which a live weight falls
 
 
-class CountingAgent(Agent):
+class CountingAgent(DiscoveryAgent):
     """An agent that counts the bytes of what it tells."""
 
     lines: list[int]
@@ -26,7 +26,7 @@
     @property
     def watched(self) -> bool:
         """Whether a client follows it."""
-        return bool(self._watches)
+        return bool(self._followers)
 
     def _line(self, news: News) -> bytes:
         line = super()._line(news)
--- a/ironbarrow/lab/live/__init__.py
+++ b/ironbarrow/lab/live/__init__.py
@@ -1,1 +1,1 @@
-"""Live mode: the model's parties on loopback sockets, in real time, round processes of the program."""
+"""Live mode: real dispatcher processes, with model workers, clients and discovery on loopback."""
--- a/ironbarrow/lab/live/clients.py
+++ b/ironbarrow/lab/live/clients.py
@@ -1,5 +1,8 @@
-"""Clients on sockets: an open loop over HTTP/1.1. Latency counts from when an order was due, not from when
-it could be sent, so a generator or a dispatcher that falls behind can't hide it (coordinated omission)."""
+"""Clients over HTTP/1.1 that send orders at fixed times, whatever the earlier answers were (open loop).
+
+Latency is measured from the time at which an order was due, not from the time at which it was sent. Otherwise
+a load generator or a dispatcher that falls behind would hide its delay (coordinated omission).
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -17,20 +20,20 @@
 from ironbarrow.wire.http import Message
 
 _BODY = b"x" * 200
-_LOOKS_ON = 100 * MS
-_NOBODY_THERE = ("unreachable", "broken")
+_LATE_ANSWER_WAIT = 100 * MS
+_DISPATCHER_LOST = ("unreachable", "broken")
 
 
 @dataclass(slots=True, eq=False)
 class _Client:
     order: Order
-    tries: int = 0  # jobs that it asked for, each under an id of its own
-    askings: int = 0  # of the present one
-    late_by: int = 0
+    tries: int = 0  # jobs requested for the order, each with an id of its own
+    requests: int = 0  # sent for the current job
+    late_by: int = 0  # of the first request, ns
 
 
 class Clients:
-    """Sends each order when it is due and records its end."""
+    """Sends each order when it is due, and records its outcome."""
 
     def __init__(
         self,
@@ -45,92 +48,99 @@
     ) -> None:
         self._loop, self._world, self._network, self._front = loop, world, network, front
         self._http_clients, self._audit, self._recorder, self._habits = http_clients, audit, recorder, habits
-        self.open = 0
+        self.in_progress = 0
         self.wrong_results = 0
         self.refused_connections = 0
-        self.came_again = 0  # under the same id
-        self.without_dispatcher: list[Order] = []  # no answer for want of one
-        self.heard: Callable[[Order, str], None] | None = None  # told of each end
+        self.repeated_requests = 0  # sent again with the same job id
+        self.without_dispatcher: list[Order] = []  # given up because no dispatcher could be reached
+        self.on_end: Callable[[Order, str], None] | None = None  # called with each order and its outcome
 
-    def take(self, order: Order) -> None:
-        """An order is due now."""
-        self.open += 1
+    def submit(self, order: Order) -> None:
+        """Starts an order that is due now."""
+        self.in_progress += 1
         self._loop.spawn(self._serve(_Client(order)))
 
     def _serve(self, client: _Client) -> Coroutine[None]:
         order = client.order
         outcome = "failed"
         try:
-            outcome = yield from self._tries(client)
+            outcome = yield from self._run(client)
         finally:
-            self.open -= 1
+            self.in_progress -= 1
             self._recorder.add(order, outcome, self._loop.now(), max(1, client.tries), client.late_by)
             self._habits.forget(order, client.tries)
-            if self.heard is not None:
-                self.heard(order, outcome)
+            if self.on_end is not None:
+                self.on_end(order, outcome)
 
-    def _tries(self, client: _Client) -> Coroutine[str]:
+    def _run(self, client: _Client) -> Coroutine[str]:
         order = client.order
         until = order.due + order.patience
         while True:
             client.tries += 1
-            client.askings = 0
-            how, retry_after = yield from self._ask(client, until)
-            if how in ("no answer", "left"):
-                return how
-            lost = how in _NOBODY_THERE
+            client.requests = 0
+            outcome, retry_after = yield from self._request_job(client, until)
+            if outcome in ("no answer", "left"):
+                return outcome
+            dispatcher_lost = outcome in _DISPATCHER_LOST
             step = self._habits.next_step(
-                order, "failed" if how == "broken" else how, client.tries, retry_after
+                order, "failed" if outcome == "broken" else outcome, client.tries, retry_after
             )
             if isinstance(step, Ended):
-                if lost:
+                if dispatcher_lost:
                     self.without_dispatcher.append(order)
                 return step.outcome
             yield from sleep(self._loop.now() + step.pause)
 
-    def _ask(self, client: _Client, until: int) -> Coroutine[tuple[str, int]]:
-        """One job, asked for until there is an answer, where clients come again under the same id."""
+    def _request_job(self, client: _Client, until: int) -> Coroutine[tuple[str, int]]:
+        """Requests one job. Clients that reuse the job id repeat the request until there is an answer."""
         while True:
-            client.askings += 1
-            how, retry_after = yield from self._try(client, until)
-            again = self._habits.comes_again(client.order, how) if how in _NOBODY_THERE else None
-            if again is None:
-                return how, retry_after
-            self.came_again += 1
-            yield from sleep(self._loop.now() + again.pause)
-
-    def _try(self, client: _Client, until: int) -> Coroutine[tuple[str, int]]:
-        """How it went; ``unreachable``: no connection, ``broken``: it ended before an answer."""
+            client.requests += 1
+            outcome, retry_after = yield from self._send_request(client, until)
+            repeat = self._habits.comes_again(client.order, outcome) if outcome in _DISPATCHER_LOST else None
+            if repeat is None:
+                return outcome, retry_after
+            self.repeated_requests += 1
+            yield from sleep(self._loop.now() + repeat.pause)
+
+    def _send_request(self, client: _Client, until: int) -> Coroutine[tuple[str, int]]:
+        """Sends one request; returns its outcome and the Retry-After time in ns.
+
+        The outcome is ``unreachable`` if there was no connection, and ``broken`` if the connection ended
+        before an answer.
+        """
         order = client.order
-        number = self._front.pick(order.zone)
+        dispatcher = self._front.pick(order.zone)
         yield from sleep(self._loop.now() + self._network.client_latency("consumers"))
-        if number is None:
+        if dispatcher is None:
             return "unreachable", 0
         cls = self._world.classes[order.cls]
         job_id = self._habits.new_try(order, client.tries)
-        left = (order.due + order.deadline - self._loop.now()) // MS
-        if left < 1:
+        time_left_ms = (order.due + order.deadline - self._loop.now()) // MS
+        if time_left_ms < 1:
             return "no answer", 0
-        headers = [("X-Request-ID", job_id), ("X-Timeout-Ms", str(left))]
-        if client.askings > 1:
+        headers = [("X-Request-ID", job_id), ("X-Timeout-Ms", str(time_left_ms))]
+        if client.requests > 1:
             headers.append(("X-Retried", "1"))
         if order.session is not None:
             headers.append(("Cookie", f"sid={order.session}"))
         if order.slots > 1:
             headers.append(("X-Attrs", f"slots={order.slots}"))
-        if client.tries == 1 and client.askings == 1:
+        if client.tries == 1 and client.requests == 1:
             due = order.due + self._world.network.client
             client.late_by = max(0, self._loop.now() - due)
 
         def sent() -> None:
-            self._audit.taken(job_id, order.number, number, left * MS, unsafe=cls.effect == "unsafe")
+            self._audit.taken(
+                job_id, order.number, dispatcher, time_left_ms * MS, unsafe=cls.effect == "unsafe"
+            )
 
         target = f"/{cls.name}/{order.number}"
         if order.patience >= order.deadline:
-            # it has no use for an answer past its time, and still looks whether one comes in the slack
-            until += self._world.dispatchers.answer_slack + _LOOKS_ON
+            # An answer after the deadline is of no use to the client, but the auditor has to see whether the
+            # dispatcher answers within its tolerance.
+            until += self._world.dispatchers.answer_slack + _LATE_ANSWER_WAIT
         try:
-            answer = yield from self._http_clients[number].exchange(
+            answer = yield from self._http_clients[dispatcher].exchange(
                 "POST", target, headers, _BODY, until, sent
             )
         except ConnectionEndedError as error:
@@ -141,10 +151,10 @@
                 self.refused_connections += 1
                 return "unreachable", 0
             return "broken", 0
-        read = self._read(job_id, answer)
-        return read if self._loop.now() <= order.due + order.deadline else ("no answer", 0)
+        result = self._interpret(job_id, answer)
+        return result if self._loop.now() <= order.due + order.deadline else ("no answer", 0)
 
-    def _read(self, job_id: str, answer: Message) -> tuple[str, int]:
+    def _interpret(self, job_id: str, answer: Message) -> tuple[str, int]:
         if answer.status == 200:
             if answer.body != f"done {job_id}".encode():
                 self.wrong_results += 1
--- a/ironbarrow/lab/live/discovery_server.py
+++ b/ironbarrow/lab/live/discovery_server.py
@@ -1,4 +1,4 @@
-"""The discovery service's agent on a dispatcher's machine: answers at once with what it has been sent."""
+"""The discovery agent on a dispatcher's machine: serves the worker list over HTTP, as last received."""
 
 import json
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 from ironbarrow.runtime.sockets import Address, listen
 from ironbarrow.transport.http import Connection
 
-_PATH = "/api/targets"
-_EMPTY_EVERY = 2 * SECOND
-_WRITE = 5 * SECOND
+_TARGETS_PATH = "/api/targets"
+_KEEP_ALIVE_INTERVAL = 2 * SECOND
+_WRITE_TIMEOUT = 5 * SECOND
 
 
-class Agent:
-    """One dispatcher's agent, at one address or two: a reload moves the dispatcher to the other."""
+class DiscoveryAgent:
+    """One dispatcher's discovery agent. ``move`` changes its address, as a reload of the dispatcher needs."""
 
     def __init__(
         self,
@@ -25,24 +25,26 @@
         discovery: Discovery,
         name: str,
         addresses: dict[str, str],
-        told: Callable[[str, bool], None],
+        on_status: Callable[[str, bool], None],
         address: Address,
     ) -> None:
-        self._loop, self._addresses, self._told = loop, addresses, told
+        """``addresses``: the workers' addresses by name. ``on_status``: called with a worker's name, and
+        whether it is up, each time its entry is sent to the dispatcher."""
+        self._loop, self._addresses, self._on_status = loop, addresses, on_status
         self._host = address[0]
         self._known = discovery.whole()
-        self._news: list[News] = []
-        self._watches: dict[Task, None] = {}
+        self._updates: list[News] = []
+        self._followers: dict[Task, None] = {}
         listener = listen(address)
         self.address: Address = listener.getsockname()[:2]
         self._server = Server(loop, listener, self._serve)
-        discovery.subscribe(name, self._hear)
+        discovery.subscribe(name, self._on_update)
 
     def close(self) -> None:
         self._server.close()
 
     def move(self) -> Address:
-        """Listens at another port from now on; the old connections go on for a while (1.5 s)."""
+        """Listens at another port from now on; the old listener and its connections close after 1.5 s."""
         old = self._server
         listener = listen((self._host, 0))
         self.address = listener.getsockname()[:2]
@@ -51,58 +53,64 @@
         return self.address
 
     def known(self) -> dict[str, object]:
-        """The list as it has it now, in the discovery service's form."""
+        """The current list, in the discovery service's format."""
         return list_object(self._known, self._addresses)
 
-    def _hear(self, news: News) -> None:
-        if not news.whole:
-            kept = {e.name: e for e in self._known.entries}
-            kept.update((e.name, e) for e in news.entries)
-            self._known = News(news.version, True, tuple(e for e in kept.values() if e.status != "removed"))
-        elif news.version >= self._known.version:
-            self._known = news
-        self._news.append(news)
-        for task in list(self._watches):
+    def _on_update(self, list_update: News) -> None:
+        if not list_update.whole:
+            merged = {e.name: e for e in self._known.entries}
+            merged.update((e.name, e) for e in list_update.entries)
+            self._known = News(
+                list_update.version, True, tuple(e for e in merged.values() if e.status != "removed")
+            )
+        elif list_update.version >= self._known.version:
+            self._known = list_update
+        self._updates.append(list_update)
+        for task in list(self._followers):
             task.wake()
 
-    def _line(self, news: News) -> bytes:
-        for entry in news.entries:
-            self._told(entry.name, entry.status == "up")
-        return json.dumps(list_object(news, self._addresses)).encode() + b"\n"
+    def _line(self, list_update: News) -> bytes:
+        for entry in list_update.entries:
+            self._on_status(entry.name, entry.status == "up")
+        return json.dumps(list_object(list_update, self._addresses)).encode() + b"\n"
 
     def _serve(self, connection: Connection) -> Coroutine[None]:
         while True:
             _, request = yield from next_message(self._loop, connection, 60 * SECOND, 5 * SECOND)
             path, _, query = request.target.partition("?")
-            if path != _PATH or request.method != "GET":
-                yield from connection.write(connection.response_bytes(404), self._loop.now() + _WRITE)
+            if path != _TARGETS_PATH or request.method != "GET":
+                yield from connection.write(connection.response_bytes(404), self._loop.now() + _WRITE_TIMEOUT)
             elif parse_qs(query).get("follow") == ["1"]:
                 since = parse_qs(query).get("since", ["0"])[0]
-                yield from self._watch(connection, int(since) if since.isdigit() else 0)
+                yield from self._follow(connection, int(since) if since.isdigit() else 0)
                 return
             else:
                 body = self._line(self._known)
                 data = connection.response_bytes(200, [("Content-Type", "application/json")], body)
-                yield from connection.write(data, self._loop.now() + _WRITE)
+                yield from connection.write(data, self._loop.now() + _WRITE_TIMEOUT)
             if not connection.next_cycle():
                 return
 
-    def _watch(self, connection: Connection, since: int) -> Coroutine[None]:
+    def _follow(self, connection: Connection, since: int) -> Coroutine[None]:
         task = self._loop.current
         assert task is not None
-        yield from connection.write(connection.chunked_head_bytes(200), self._loop.now() + _WRITE)
-        place = len(self._news)
+        yield from connection.write(connection.chunked_head_bytes(200), self._loop.now() + _WRITE_TIMEOUT)
+        position = len(self._updates)
         if since != self._known.version:
             line = self._line(self._known)
-            yield from connection.write(connection.chunk_bytes(line), self._loop.now() + _WRITE)
-        self._watches[task] = None
+            yield from connection.write(connection.chunk_bytes(line), self._loop.now() + _WRITE_TIMEOUT)
+        self._followers[task] = None
         try:
             while True:
-                while place < len(self._news):
-                    line = self._line(self._news[place])
-                    place += 1
-                    yield from connection.write(connection.chunk_bytes(line), self._loop.now() + _WRITE)
-                if not (yield from sleep(self._loop.now() + _EMPTY_EVERY)):
-                    yield from connection.write(connection.chunk_bytes(b"\n"), self._loop.now() + _WRITE)
+                while position < len(self._updates):
+                    line = self._line(self._updates[position])
+                    position += 1
+                    yield from connection.write(
+                        connection.chunk_bytes(line), self._loop.now() + _WRITE_TIMEOUT
+                    )
+                if not (yield from sleep(self._loop.now() + _KEEP_ALIVE_INTERVAL)):
+                    yield from connection.write(
+                        connection.chunk_bytes(b"\n"), self._loop.now() + _WRITE_TIMEOUT
+                    )
         finally:
-            self._watches.pop(task, None)
+            self._followers.pop(task, None)
--- a/ironbarrow/lab/live/http.py
+++ b/ironbarrow/lab/live/http.py
@@ -1,4 +1,4 @@
-"""What live parties share: exchanges over kept connections, and a listener's loop."""
+"""A small HTTP client with reused connections and a small HTTP server, for the laboratory's own parties."""
 
 import socket
 from collections import deque
@@ -10,12 +10,12 @@
 from ironbarrow.transport.http import Connection, accept, connect
 from ironbarrow.wire.http import Headers, Message
 
-_CONNECT_LIMIT = 2 * SECOND
-_KEPT = 64
+_CONNECT_TIMEOUT = 2 * SECOND
+_MAX_IDLE = 64
 
 
 class HttpClient:
-    """Requests to one address, over connections that are kept."""
+    """Sends requests to one address, over persistent connections."""
 
     def __init__(self, loop: Loop, address: Address) -> None:
         self._loop, self.address = loop, address
@@ -28,33 +28,39 @@
         headers: Headers,
         body: bytes,
         until: int,
-        sent: Callable[[], None] | None = None,
+        on_sent: Callable[[], None] | None = None,
     ) -> Coroutine[Message]:
-        """One request and its answer; a ConnectionEndedError if there is none by ``until``.
+        """Sends a request and returns the answer.
 
-        As the protocol has it, a request that crosses with the closing of a kept connection is sent
-        once more on a new one. ``sent`` is called when a request's last byte is written.
+        Raises ConnectionEndedError if there is no answer by ``until`` (the loop's time, ns).
+
+        If the server closes a reused connection before it answers, the request is sent once more on a new
+        connection, as the protocol provides. ``on_sent`` is called each time its last byte is written.
         """
-        connection, kept = yield from self._connection(until)
+        connection, reused = yield from self._connection(until)
         try:
             try:
-                answer = yield from self._once(connection, method, target, headers, body, until, sent)
+                answer = yield from self._exchange_on(
+                    connection, method, target, headers, body, until, on_sent
+                )
             except ConnectionEndedError:
-                if not kept or connection.message_started or not connection.is_closed():
+                if not reused or connection.message_started or not connection.is_closed():
                     raise
                 connection.close()
-                connection = yield from connect(self.address, self._limit(until))
-                answer = yield from self._once(connection, method, target, headers, body, until, sent)
+                connection = yield from connect(self.address, self._connect_deadline(until))
+                answer = yield from self._exchange_on(
+                    connection, method, target, headers, body, until, on_sent
+                )
         except BaseException:
             connection.close()
             raise
-        if connection.next_cycle() and len(self._idle) < _KEPT:
+        if connection.next_cycle() and len(self._idle) < _MAX_IDLE:
             self._idle.append(connection)
         else:
             connection.close()
         return answer
 
-    def _once(
+    def _exchange_on(
         self,
         connection: Connection,
         method: str,
@@ -62,13 +68,13 @@
         headers: Headers,
         body: bytes,
         until: int,
-        sent: Callable[[], None] | None,
+        on_sent: Callable[[], None] | None,
     ) -> Coroutine[Message]:
         connection.message_started = False
-        host = [("Host", "{}:{}".format(*self.address)), *headers]
-        yield from connection.write(connection.request_bytes(method, target, host, body), until)
-        if sent is not None:
-            sent()
+        host_and_headers = [("Host", "{}:{}".format(*self.address)), *headers]
+        yield from connection.write(connection.request_bytes(method, target, host_and_headers, body), until)
+        if on_sent is not None:
+            on_sent()
         return (yield from connection.read_message(until))
 
     def _connection(self, until: int) -> Coroutine[tuple[Connection, bool]]:
@@ -77,10 +83,10 @@
             if connection.is_idle():
                 return connection, True
             connection.close()
-        return (yield from connect(self.address, self._limit(until))), False
+        return (yield from connect(self.address, self._connect_deadline(until))), False
 
-    def _limit(self, until: int) -> int:
-        return min(until, self._loop.now() + _CONNECT_LIMIT)
+    def _connect_deadline(self, until: int) -> int:
+        return min(until, self._loop.now() + _CONNECT_TIMEOUT)
 
     def close(self) -> None:
         while self._idle:
@@ -88,7 +94,7 @@
 
 
 class Server:
-    """A listener and the connections that came in through it."""
+    """Accepts connections from a listener and runs ``serve`` for each of them."""
 
     def __init__(
         self, loop: Loop, listener: socket.socket, serve: Callable[[Connection], Coroutine[None]]
@@ -106,9 +112,9 @@
         while True:
             yield Wait(self.listener.fileno(), READ, self._loop.now() + 3600 * SECOND)
             while (connection := accept(self.listener)) is not None:
-                self._open[connection] = self._loop.spawn(self._guard(connection))
+                self._open[connection] = self._loop.spawn(self._handle(connection))
 
-    def _guard(self, connection: Connection) -> Coroutine[None]:
+    def _handle(self, connection: Connection) -> Coroutine[None]:
         try:
             yield from self._serve(connection)
         except ConnectionEndedError:
@@ -118,14 +124,14 @@
             connection.close()
 
     def drop_connections(self) -> None:
-        """Ends every connection; new ones may come."""
+        """Closes all open connections, but goes on accepting new ones."""
         for connection, task in list(self._open.items()):
             task.cancel()
             connection.close()
         self._open.clear()
 
     def close(self) -> None:
-        """Refuses from now on."""
+        """Stops listening and closes all connections."""
         if not self.closed:
             self.closed = True
             self._task.cancel()
@@ -133,9 +139,14 @@
             self.drop_connections()
 
 
-def next_message(loop: Loop, connection: Connection, idle: int, whole: int) -> Coroutine[tuple[int, Message]]:
-    """The next request and when its first byte was there (ns); limits from now and from then."""
-    yield Wait(connection.sock.fileno(), READ, loop.now() + idle)
-    first = loop.now()
-    message = yield from connection.read_message(first + whole)
-    return first, message
+def next_message(
+    loop: Loop, connection: Connection, idle_timeout: int, timeout: int
+) -> Coroutine[tuple[int, Message]]:
+    """Reads the next request; returns the time of its first byte (ns) and the request.
+
+    ``idle_timeout``: until the first byte, ns. ``timeout``: from the first byte to the last, ns.
+    """
+    yield Wait(connection.sock.fileno(), READ, loop.now() + idle_timeout)
+    first_byte_at = loop.now()
+    message = yield from connection.read_message(first_byte_at + timeout)
+    return first_byte_at, message
--- a/ironbarrow/lab/live/ports.py
+++ b/ironbarrow/lab/live/ports.py
@@ -1,8 +1,8 @@
 """Addresses for live runs: each run reserves a /24 network of 127.0.0.0/8 for itself.
 
-Dispatchers bind their ports later, in processes of their own, and again at every start. A port that was
-chosen for them, let go and bound again could meanwhile be anybody's. In the network of a run no other run
-binds anything, and nothing of the run itself listens at a dispatcher's address but that dispatcher.
+Dispatchers bind their ports later, in processes of their own, and again at every start. If a port were chosen
+by binding and closing a socket, another process could bind it before the dispatcher does. In the network of a
+run no other run binds a port, and only the dispatcher itself listens at a dispatcher's address.
 """
 
 import os
@@ -13,28 +13,28 @@
 
 DISPATCHER_PORT = 9000
 FLEET_PORT = 9100
-MOST_DISPATCHERS = 120
+MAX_DISPATCHERS = 120
 
 _FIRST_SECOND_BYTE, _SECOND_BYTES = 64, 100
 _FIRST_THIRD_BYTE, _THIRD_BYTES = 1, 200
 _NETWORKS = _SECOND_BYTES * _THIRD_BYTES
-# the last byte of addresses in a network
+# The last byte of the addresses in a network
 _FIRST_DISPATCHER = 1
-_FIRST_PARTY = _FIRST_DISPATCHER + MOST_DISPATCHERS
-_AGENTS = 250
+_FIRST_LAB_LISTENER = _FIRST_DISPATCHER + MAX_DISPATCHERS
+_WORKER_AGENTS = 250
 _RESERVATION = 254
 _RESERVATION_PORT = 8999
 
 
 class LoopbackError(OSError):
-    """No loopback network for a live run: all are in use, or it needs more addresses than one has."""
+    """No loopback network for a live run: all are in use, or the run has too many dispatchers for one."""
 
 
 class LoopbackNetwork:
-    """A /24 network that belongs to this object until ``close``, or until its process ends.
+    """A /24 network that is reserved until ``close``, or until the process ends.
 
-    The reservation is a bound socket: the kernel gives the address to one holder at a time, over all
-    processes that share these networks, and takes it back from a holder that is killed.
+    The reservation is a bound socket: the kernel lets only one process bind its address at a time, and frees
+    the address if that process is killed.
     """
 
     def __init__(self, prefix: str, reservation: socket.socket) -> None:
@@ -43,15 +43,15 @@
 
     @classmethod
     def reserve(cls, dispatchers: int) -> "LoopbackNetwork":
-        """A network with room for so many dispatchers; a LoopbackError if there is none."""
-        if dispatchers > MOST_DISPATCHERS:
+        """Reserves a network for that many dispatchers; raises LoopbackError if there is none."""
+        if dispatchers > MAX_DISPATCHERS:
             raise LoopbackError(
-                f"{dispatchers} dispatchers in one live run, expected at most {MOST_DISPATCHERS}"
+                f"{dispatchers} dispatchers in one live run, expected at most {MAX_DISPATCHERS}"
             )
-        first = os.getpid()  # processes side by side mostly find theirs at once
+        start = os.getpid()  # concurrent processes mostly find a free one at the first attempt
         for offset in range(_NETWORKS):
-            prefix = _prefix((first + offset) % _NETWORKS)
-            reservation = _bound((f"{prefix}.{_RESERVATION}", _RESERVATION_PORT))
+            prefix = _prefix((start + offset) % _NETWORKS)
+            reservation = _try_bind((f"{prefix}.{_RESERVATION}", _RESERVATION_PORT))
             if reservation is None:
                 continue
             network = cls(prefix, reservation)
@@ -61,37 +61,38 @@
         raise LoopbackError("no free loopback network for a live run")
 
     def dispatcher(self, number: int) -> Address:
-        """Where a dispatcher listens for clients and call-backs."""
+        """The address at which a dispatcher listens for clients and call-backs."""
         return f"{self.prefix}.{_FIRST_DISPATCHER + number}", DISPATCHER_PORT
 
     def fleet_member(self, number: int) -> Address:
-        """Where a dispatcher listens for the other members of its fleet."""
+        """The address at which a dispatcher listens for the other members of its fleet."""
         return f"{self.prefix}.{_FIRST_DISPATCHER + number}", FLEET_PORT
 
-    def party(self, number: int) -> Address:
-        """For the laboratory's own listeners round a dispatcher, at any free port.
+    def lab_listener(self, number: int) -> Address:
+        """The address for the laboratory's own listeners that serve one dispatcher, at any free port.
 
-        Danger: at the dispatcher's own address the kernel could give them the port that the dispatcher binds.
+        Danger: at the dispatcher's own address the kernel could give a listener the port that the dispatcher
+        binds later.
         """
-        return f"{self.prefix}.{_FIRST_PARTY + number}", 0
+        return f"{self.prefix}.{_FIRST_LAB_LISTENER + number}", 0
 
     @property
-    def agents(self) -> Address:
-        """For the agents at the workers' machines, at any free port."""
-        return f"{self.prefix}.{_AGENTS}", 0
+    def worker_agents(self) -> Address:
+        """The address for the agents on the workers' machines, at any free port."""
+        return f"{self.prefix}.{_WORKER_AGENTS}", 0
 
     def close(self) -> None:
-        """Lets go of the network."""
+        """Releases the network."""
         self._reservation.close()
 
     def _is_unused(self, dispatchers: int) -> bool:
-        """Whether every dispatcher's port is free: a process may outlive the run that had this network."""
+        """Whether every dispatcher's port is free: one may outlive the run that had this network."""
         for number in range(dispatchers):
             for address in (self.dispatcher(number), self.fleet_member(number)):
-                probe = _bound(address, reuse=True)
-                if probe is None:
+                sock = _try_bind(address, reuse=True)
+                if sock is None:
                     return False
-                probe.close()
+                sock.close()
         return True
 
 
@@ -100,10 +101,10 @@
     return f"127.{_FIRST_SECOND_BYTE + second}.{_FIRST_THIRD_BYTE + third}"
 
 
-def _bound(address: Address, *, reuse: bool = False) -> socket.socket | None:
-    """A bound socket that does not listen, or None where the address is taken.
+def _try_bind(address: Address, *, reuse: bool = False) -> socket.socket | None:
+    """Returns a bound socket that does not listen, or None if the address is in use.
 
-    ``reuse``: connections that have ended do not take it, as they do not for a dispatcher that starts.
+    ``reuse``: connections in TIME_WAIT do not count as use, as for a dispatcher that starts (SO_REUSEADDR).
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     with suppress(OSError):
--- a/ironbarrow/lab/scale/phases.py
+++ b/ironbarrow/lab/scale/phases.py
@@ -139,7 +139,7 @@
         """They stand still and say nothing, as machines without power or behind a dead switch."""
         parties = self._parties
         lost = frozenset(dispatchers) | {
-            f"d{instance.number}" for instance in parties.real if instance.stands_still
+            f"d{instance.number}" for instance in parties.real if instance.is_stopped
         }
         parties.load.excluded = {int(name[1:]) for name in lost}
         parties.tell_dispatchers(Pause(dispatchers))
@@ -162,7 +162,7 @@
         parties = self._parties
         measured = yield from self._measure(name)
         lost = frozenset(dispatchers) | {
-            f"d{instance.number}" for instance in parties.real if instance.stands_still
+            f"d{instance.number}" for instance in parties.real if instance.is_stopped
         }
         since = time.monotonic_ns()
         yield from self._start_again(dispatchers, workers)
@@ -184,7 +184,7 @@
 
     def _start_again(self, dispatchers: list[str], workers: list[str]) -> Coroutine[None]:
         parties = self._parties
-        stopped = [instance for instance in parties.real if instance.stands_still]
+        stopped = [instance for instance in parties.real if instance.is_stopped]
         for instance in stopped:
             instance.kill()
         parties.tell_dispatchers(End(dispatchers))
--- a/ironbarrow/lab/soak/run.py
+++ b/ironbarrow/lab/soak/run.py
@@ -64,7 +64,7 @@
         SIGKILL comes after the short stop time of the plan.
         """
         instance = self.instances[number]
-        if instance.pid is None or number not in self._ready or number in self._down:
+        if instance.pid is None or number not in self._ready or number in self._restart_delays:
             return
         self.graceful_stops += 1
         self._start_keep_alive_clients(number)
@@ -81,7 +81,7 @@
 
     def kill(self, number: int, down: int) -> None:
         """As ``LiveRun.kill``, but only if the dispatcher runs and is not being restarted."""
-        if self.instances[number].pid is not None and number not in self._down:
+        if self.instances[number].pid is not None and number not in self._restart_delays:
             super().kill(number, down)
 
     def _check_ended(self, number: int, pid: int) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -45,7 +45,9 @@
 ) -> None:
     # danger: whoever waits for a descriptor that nobody gives back waits for ever
     network = LoopbackNetwork.reserve(1)  # nobody else is given the discovery port meanwhile
-    stage = Harness(sockets=38, known=False, discovery_host=network.party(0)[0])  # room for three clients
+    stage = Harness(
+        sockets=38, known=False, discovery_host=network.lab_listener(0)[0]
+    )  # room for three clients
     discovery = stage.peers["d"]
     assert discovery.listener is not None
     address = discovery.listener.getsockname()
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -60,7 +60,7 @@
         self.loop = Loop(self.errors.append)
         # a port of 127.0.0.1 that has been released may be taken by another process before it is bound again
         self.network = LoopbackNetwork.reserve(1)
-        self.host = self.network.party(0)[0]
+        self.host = self.network.lab_listener(0)[0]
         self.services: list[FleetService] = []
         self.sinks: dict[str, Sink] = {}
         self.events: dict[str, list[FleetEvent]] = {}
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -127,7 +127,7 @@
     if name == "bad":  # a hold lasts longer than it takes to stop the rollout for it
         plan = plan.replace('clear_for = "500 ms"', 'clear_for = "6 s"')
     world = convert(msgspec.toml.decode(text), World, name)
-    run = RolloutRun(world, 1, folder, plan, failing={"2.0": 0.6} if name == "bad" else {})
+    run = RolloutRun(world, 1, folder, plan, failure_rates={"2.0": 0.6} if name == "bad" else {})
     fault = CASES[name]
     if fault is not None:
 
@@ -150,12 +150,12 @@
     result = run.run()
     return {
         "starts": run.starts("2.0"),
-        "numbers": {n: seat.agent.done for n, seat in run.seats.items()},
-        "ends": sum(len(instance.ended_at) for instance in run.instances),
-        "stops": run.stops,
+        "numbers": {n: seat.agent.done for n, seat in run.live_agents.items()},
+        "ends": sum(len(instance.end_times) for instance in run.instances),
+        "stops": run.pauses,
         "cut off": result.notes["fleet"]["frames"].get("cut off", 0),
-        "epochs": max(seat.agent.epoch for seat in run.seats.values()),
-        "low": run.low,
+        "epochs": max(seat.agent.epoch for seat in run.live_agents.values()),
+        "low": run.min_slots,
         "stages": [(line["stage"], line["rule"], line["figures"]) for line in stages(run)],
         "broken": result.notes["fleet"]["broken_invariants"],
         "events": result.notes["fleet"]["events"],
@@ -309,10 +309,10 @@
 
         self._habits.new_try = new_try
 
-    def _open(self, worker: Worker) -> None:
-        super()._open(worker)
-        door = self._doors[worker.name][0]
-        door._worker = DelayedStarts(worker, self.loop, lambda job: self.tenants.get(job) == self.who)
+    def _open_endpoints(self, worker: Worker) -> None:
+        super()._open_endpoints(worker)
+        endpoint = self._endpoints[worker.name][0]
+        endpoint._worker = DelayedStarts(worker, self.loop, lambda job: self.tenants.get(job) == self.who)
 
 
 def run_starvation(who: str, folder: Path) -> dict[str, Any]:
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -218,7 +218,7 @@
 def test_faults_touch_the_links_they_name(tmp_path: Path) -> None:
     run = LiveRun(load_world(EXPERIMENTS / "kill-day.toml"), 1, tmp_path)
     for fault, pairs in PAIRS:
-        assert run.pairs_of(fault) == pairs
+        assert run.link_pairs(fault) == pairs
     run.loop.close()
 
 
@@ -451,11 +451,11 @@
     raw = {**msgspec.toml.decode(TRIED), "faults": plain(list(case.faults))}
     run = LiveRun(convert(raw, World, name), 1, folder)
     if case.ends_first:
-        run.end_first(case.ends_first, 500 * MS)
+        run.inject_first_exit(case.ends_first, 500 * MS)
     for number, point in case.ends_at:
-        run.end_at(number, point, 500 * MS)
+        run.inject_exit(number, point, 500 * MS)
     for number, point, lasts in case.stops_at:
-        run.stop_at(number, point, lasts * MS)
+        run.inject_stop(number, point, lasts * MS)
     result = run.run()
     notes = result.notes
     return {
@@ -467,8 +467,8 @@
         "wrong_results": notes["wrong_results"],
         "lost": sum(notes["without_dispatcher"].values()),
         "unheard": notes["unheard_ends"],
-        "ends": sum(len(instance.ended_at) for instance in run.instances),
-        "stops": run.stops,
+        "ends": sum(len(instance.end_times) for instance in run.instances),
+        "stops": run.pauses,
         "adopted": notes["fleet"]["adoptions"],
         "frames": notes["fleet"]["frames"],
         "asked": result.summary()["all"]["asked"],
