--- a/ironbarrow/fleet/takeover/adapter.py
+++ b/ironbarrow/fleet/takeover/adapter.py
@@ -15,7 +15,7 @@
 from heathway import api
 from ironbarrow.core.endings import Ending
 from ironbarrow.core.host import Host, Invoker
-from ironbarrow.core.jobs import Answer, Attempt, Job, Payload, Terms, Verdict, Watch
+from ironbarrow.core.jobs import Answer, Attempt, Job, JobLimiter, JobOptions, Payload, Verdict
 from ironbarrow.fleet.api import Action, FleetEvent
 from ironbarrow.fleet.file import Fleet
 from ironbarrow.fleet.invariants import check
@@ -33,7 +33,7 @@
     WithdrawJob,
 )
 from ironbarrow.fleet.takeover.machine import Takeover, TakeoverRules
-from ironbarrow.handover.keeper import Keeper, Kept
+from ironbarrow.handover.pending import PendingJob, PendingJobs
 from ironbarrow.handover.records import Record
 from ironbarrow.runtime.clock import MS, SECOND, Clock
 
@@ -65,7 +65,7 @@
 
     id: str  # the job's
     answered: Callable[[Answer | None], None]
-    watch: Watch | None = None  # None once the host's job reports to it
+    watch: JobLimiter | None = None  # None once the host's job reports to it
     done: bool = False
 
 
@@ -113,11 +113,11 @@
         self._classes = {cls.name: cls for cls in host.settings.classes}
         settings = host.settings
         retry_after = min(200 * MS, settings.max_retry_after) if settings.gives_retry_after else 0
-        self.keeper = Keeper(
+        self.keeper = PendingJobs(
             settings.max_attempts,
             retry_after,
-            early_for=_EARLY_CALL_BACK_RETENTION,
-            early_most=_MAX_EARLY_CALL_BACKS,
+            early_retention=_EARLY_CALL_BACK_RETENTION,
+            max_early=_MAX_EARLY_CALL_BACKS,
         )
         self.on_superseded: Callable[[], None] = lambda: None
         self.on_adopted: Callable[[LedgerAdopted], None] = lambda event: None
@@ -126,7 +126,7 @@
         self._flush_planned = False
         self._check_planned = False
         host.invoker = self
-        host.attempt_over = self._attempt_over
+        host.on_attempt_ended = self._attempt_over
         self._handlers: dict[type[FleetEvent], Callable[[Any], None]] = {
             StartJob: self._start_job,
             AwaitCallBack: self._await_call_back,
@@ -155,7 +155,7 @@
         self._carry_out(actions)
         if self.machine.has_unflushed and not self._flush_planned:
             self._flush_planned = True
-            self._clock.soon(self._flush)  # together with all other changes of this turn
+            self._clock.call_soon(self._flush)  # together with all other changes of this turn
 
     def _flush(self) -> None:
         self._flush_planned = False
@@ -166,11 +166,11 @@
     def take(
         self, payload: Payload, answered: Callable[[Answer | None], None], **options: Any
     ) -> Callable[[], None]:
-        """As ``Host.take``; ``answered`` gets None if another request uses that id. Returns the function to
+        """As ``Host.submit``; ``answered`` gets None if another request uses that id. Returns the function to
         call when the client has disconnected or has its answer."""
         now = self._clock.now()
         text = f"{payload.method}\0{payload.target}\0".encode()
-        terms: Terms | None = options.get("terms")
+        terms: JobOptions | None = options.get("options")
         record = JobRecord(
             id=payload.id,
             job_class=options["job_class"],
@@ -188,7 +188,7 @@
             idempotency_key=payload.idempotency_key,
             digest=blake2b(text + payload.body, digest_size=16).digest(),
         )
-        waiter = _Waiter(payload.id, answered, terms.watch if terms is not None else None)
+        waiter = _Waiter(payload.id, answered, terms.limiter if terms is not None else None)
         if payload.id not in self._client_options:
             self._client_options[payload.id] = waiter, options
         self._run(self.machine.on_request(now, record, options["repeat"], waiter))
@@ -237,7 +237,7 @@
     def _start_job(self, event: StartJob) -> None:
         record, now = event.record, self._clock.now()
         waiter, options = self._client_options.pop(record.id, (None, {}))
-        terms: Terms = options.get("terms") or Terms()
+        terms: JobOptions = options.get("options") or JobOptions()
         if waiter is not None:
             waiter.watch = None  # the host's job reports to it from now on
         attempts_left = max(1, self._host.settings.max_attempts - record.attempts)
@@ -245,7 +245,7 @@
         wanted = terms.wanted
         if waiter is None and not cls.stretch:
             wanted = max(1, min(cls.aim, record.taken_at + cls.aim - now))
-        self._jobs[record.id] = self._host.take(
+        self._jobs[record.id] = self._host.submit(
             Payload(
                 record.id,
                 record.method,
@@ -262,7 +262,7 @@
             slots=record.slots,
             memory=record.memory,
             repeat=bool(options.get("repeat")) or record.may_have_run,
-            terms=replace(
+            options=replace(
                 terms, wanted=wanted, most_attempts=min(terms.most_attempts or attempts_left, attempts_left)
             ),
             tried=record.tried,
@@ -280,13 +280,13 @@
     def _release_job(self, event: ReleaseJob) -> None:
         """Drops a job without cancelling its attempts: a cancellation could hit the copy that the new owner
         of the job has sent to the same worker."""
-        self.keeper.gone(event.id)
+        self.keeper.discard(event.id)
         job = self._jobs.pop(event.id, None)
         if job is not None:
             for attempt in job.attempts:
                 if not attempt.ended:
-                    self._invoker.let_go(attempt)
-            self._host.let_go(job)
+                    self._invoker.detach(attempt)
+            self._host.detach(job)
 
     def _log_adopted(self, event: LedgerAdopted) -> None:
         log.info(
@@ -304,7 +304,9 @@
         record, now = event.record, self._clock.now()
         fields = {n: getattr(record, n) for n in Record.__slots__ if n not in ("time_left", "attempts")}
         kept = Record(**fields, time_left=max(1, record.until - now), attempts=record.attempts)
-        self.keeper.keep(Kept(kept, event.safe, record.until, self._awaited_ended(record), self._retry), now)
+        self.keeper.add(
+            PendingJob(kept, event.safe, record.until, self._awaited_ended(record), self._retry), now
+        )
         self._plan_expiry_check()
 
     def _awaited_ended(self, record: JobRecord) -> Callable[[Answer], None]:
@@ -325,7 +327,7 @@
 
     def _check_expired(self) -> None:
         self._check_planned = False
-        self.keeper.run_out(self._clock.now())
+        self.keeper.expire(self._clock.now())
         if self.keeper.jobs:
             self._plan_expiry_check()
 
@@ -341,7 +343,7 @@
         def done(confirmed: bool) -> None:
             still_awaited = self.keeper.jobs.get(record.id) is kept
             if confirmed and still_awaited and machine is self.machine:
-                self.keeper.gone(record.id)
+                self.keeper.discard(record.id)
                 self._run(machine.cancelled_at_worker(self._clock.now(), record.id))
 
         self._invoker.call_off(record.id, record.worker, record.until, done)
@@ -357,7 +359,7 @@
     def _deliver_to_awaited(self, raw: dict[str, Any]) -> bool:
         result = raw.get("result", "")
         data = result.encode() if isinstance(result, str) else b""
-        return self.keeper.called_back(raw["id"], raw["from"], raw["state"], data, self._clock.now())
+        return self.keeper.on_call_back(raw["id"], raw["from"], raw["state"], data, self._clock.now())
 
     def _deliver_call_back(self, event: DeliverCallBack) -> None:
         """Handles a call-back forwarded by another member. It is not forwarded again: one that no member
@@ -396,9 +398,9 @@
         else:
             self._invoker.give_up(attempt, ending)
 
-    def let_go(self, attempt: Attempt) -> None:
+    def detach(self, attempt: Attempt) -> None:
         """Drops an attempt without cancelling it at its worker."""
-        self._invoker.let_go(attempt)
+        self._invoker.detach(attempt)
 
     def _attempt_over(self, attempt: Attempt) -> None:
         self.machine.attempt_ended(attempt.job.payload.id, never_ran=attempt.never_ran)
--- a/ironbarrow/lab/live/rollouts.py
+++ b/ironbarrow/lab/live/rollouts.py
@@ -13,7 +13,7 @@
 from ironbarrow.fleet.file import LinkRules
 from ironbarrow.fleet.links import Links
 from ironbarrow.fleet.node import Node
-from ironbarrow.fleet.rollout.commands import AGENT, Agent, Answer, Command
+from ironbarrow.fleet.rollout.commands import AGENT_PREFIX, Agent, AgentStatus, Command
 from ironbarrow.lab.fleet.agents import AgentMachine
 from ironbarrow.lab.live.run import LiveRun
 from ironbarrow.lab.model.spec import World
@@ -68,10 +68,10 @@
     def __init__(
         self, loop: Loop, name: str, listen: Address, host: LiveWorkerHost, peers: dict[str, str]
     ) -> None:
-        incarnation = Incarnation(AGENT + name, loop.now())
+        incarnation = Incarnation(AGENT_PREFIX + name, loop.now())
         self.agent = Agent(name, "1.0")
         self._loop, self._closed = loop, False
-        kinds: tuple[type[Message], ...] = (Command, Answer)
+        kinds: tuple[type[Message], ...] = (Command, AgentStatus)
         self._node = Node(incarnation, self._send, self._on_event)
         self._node.add([AgentMachine(self.agent, host)])
         listener = sockets.listen(listen)
@@ -147,7 +147,9 @@
             return None
         if not self.live_agents:
             self._start_agents()
-        routes = [f'"{AGENT}{n}" = "{s.address[0]}:{s.address[1]}"' for n, s in self.live_agents.items()]
+        routes = [
+            f'"{AGENT_PREFIX}{n}" = "{s.address[0]}:{s.address[1]}"' for n, s in self.live_agents.items()
+        ]
         section = ["", "[rollout]", 'meet = "1500 ms"']
         if number == self.plan_owner:
             path = self._folder / "plan.toml"
--- a/ironbarrow/lab/live/run.py
+++ b/ironbarrow/lab/live/run.py
@@ -366,7 +366,7 @@
 
     def _run_loop(self, max_wait: int) -> None:
         self.loop.call_at(self.loop.now() + max_wait, _do_nothing)
-        self.loop.turn()
+        self.loop.run_once()
 
     def _run_workload(self) -> Result:
         started_at = self.recorder.started_at = self.loop.now()
--- a/tests/test_fleet_starvation.py
+++ b/tests/test_fleet_starvation.py
@@ -447,7 +447,7 @@
         def start_with_recorder(dispatcher=dispatcher, start=start):
             start()
             recorders.append(waits.WaitRecorder(RULES, simulation.clock.now()))
-            dispatcher.process.host.waits = recorders[-1]
+            dispatcher.process.host.wait_observer = recorders[-1]
 
         dispatcher.start = start_with_recorder
     simulation.run()
@@ -458,5 +458,5 @@
             total.add(tally)
     assert total.entered == total.exited and total.taken >= 100
     hosts = [dispatcher.process.host for dispatcher in simulation.dispatchers]
-    served = sum(n for host in hosts for (_, how), n in host.figures.ended.items() if how == "served")
+    served = sum(n for host in hosts for (_, how), n in host.metrics.ended.items() if how == "served")
     assert sum(total.started.values()) >= served > 100
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -358,7 +358,7 @@
             with suppress(BlockingIOError):
                 while sock.send(b"x" * 65536):
                     pass
-            harness.dispatcher.loop.turn()
+            harness.dispatcher.loop.run_once()
             turns += 1
     except ConnectionError:
         pass
@@ -427,8 +427,8 @@
     harness = Harness(workers=0)
     rounds = "".join(f"c1 send {job(f'j{n}')}\nwait 10\nc1 close\nwait 10\n" for n in range(3))
     harness.run(rounds)
-    assert harness.dispatcher.host.owed == 0
-    assert harness.dispatcher.host.held_in_memory == 0
+    assert harness.dispatcher.host.unanswered == 0
+    assert harness.dispatcher.host.jobs_in_memory == 0
 
 
 def test_a_trace_has_each_event_and_action(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -150,7 +150,7 @@
             pass
         loop.call_at(loop.now() + 120 * MS, loop.stop)
 
-    loop.soon(stand_still)
+    loop.call_soon(stand_still)
     loop.run()
     loop.close()
     taken = meter.take()
@@ -353,7 +353,7 @@
         limit = loop.now() + 30 * SECOND
         while not holds() and loop.now() < limit:
             loop.call_at(loop.now() + 20 * MS, lambda: None)
-            loop.turn()
+            loop.run_once()
         return holds()
 
     try:
@@ -557,7 +557,7 @@
         made.stopped = stopped
         return made
 
-    monkeypatch.setattr(command, "_play", run)
+    monkeypatch.setattr(command, "_run_size", run)
     CliRunner().invoke(main.app, ["lab", "scale", "--size", "1-4", "--out", str(tmp_path)])
     assert [path.name for path in sorted(tmp_path.iterdir())] == sorted(f"scale-{n}.json" for n in played)
     return played
