--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -46,7 +46,8 @@
 ) -> None:
     # A task that waits for a descriptor which is never freed would wait for ever.
     network = LoopbackNetwork.reserve(1)  # reserves the discovery port while its listener is closed
-    harness = Harness(sockets=38, known=False, discovery_host=network.party(0)[0])  # room for three clients
+    # 38 sockets have room for three clients.
+    harness = Harness(sockets=38, known=False, discovery_host=network.lab_listener(0)[0])
     discovery = harness.peers["d"]
     assert discovery.listener is not None
     address = discovery.listener.getsockname()
