--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -56,10 +56,10 @@
     return [_plain(decisions.count_cold_share(size, mean, workers=20)) for mean in (0.2, 1.0, 10.0)]
 
 
-def _moves_without_reports(jobs_each_s: int) -> dict[str, Any]:
+def _moves_without_reports(jobs_per_s: int) -> dict[str, Any]:
     """Records of own sends where workers neither report nor have live weights."""
-    with_reports = decisions.count_decisions(1, 100, jobs_each_s, seconds=20)
-    without = decisions.count_decisions(1, 100, jobs_each_s, seconds=20, reports=False, lists=False)
+    with_reports = decisions.count_decisions(1, 100, jobs_per_s, seconds=20)
+    without = decisions.count_decisions(1, 100, jobs_per_s, seconds=20, reports=False, lists=False)
     return {"jobs": without.jobs, "with": with_reports.records.moves, "without": without.records.moves}
 
 
@@ -110,12 +110,12 @@
     "records_jobs": Part((2, 8, 32, 64), lambda size: decisions.count_decisions(1, 830, size).records),
     "moves": Part((2, 8, 32), _moves_without_reports),
     "cold": Part((8, 28, 230), _cold),
-    "cold_agenda": Part((20, 40, 80, 119), lambda size: decisions.agenda_after_cold_lists(size, 20)),
+    "cold_agenda": Part((20, 40, 80, 119), lambda size: decisions.timers_after_cold_lists(size, 20)),
     "cpu_list": Part((104, 208, 415, 830), costs.list_cpu_ms),
     "cpu_turn": Part((104, 208, 415, 830), costs.turn_cost),
     "cpu_member": Part((8, 16, 32, 64), costs.member_cpu_ms),
     "cpu_start": Part((100, 200, 400), costs.start_cpu_ms),
-    "cpu_look": Part((8, 16, 32, 64), costs.look_cost),
+    "cpu_look": Part((8, 16, 32, 64), costs.starvation_check_cost),
     "rss_workers": Part((104, 208, 415, 830), costs.workers_resident_kb),
     "rss_members": Part((16, 32, 64, 115), costs.members_resident_kb),
     "rss_replicas": Part((250, 500, 1000, 2000), costs.replicas_resident_kb),
@@ -186,7 +186,7 @@
         found = msgspec.to_builtins(_plain(PARTS[part].run(int(size))))
         print(json.dumps(found).replace("Infinity", "null"))  # never within the limit
     elif given.tables:
-        print(tables.page(json.loads(given.results.read_text())))
+        print(tables.markdown(json.loads(given.results.read_text())))
     else:
         run(given.only, given.parallel, given.results, given.missing)
 
--- a/ironbarrow/lab/capacity/__init__.py
+++ b/ironbarrow/lab/capacity/__init__.py
@@ -1,1 +1,2 @@
-"""What each role of the program costs as the fleet grows: counts, their slopes, and the target's budget."""
+"""Costs of each part of the program by fleet size: counts, fitted slopes, and a comparison with the target's
+budget."""
--- a/ironbarrow/lab/capacity/costs.py
+++ b/ironbarrow/lab/capacity/costs.py
@@ -1,4 +1,5 @@
-"""CPU time and resident memory by size: for benchmarks, never for tests, since both depend on the machine."""
+"""Measures CPU time and resident memory by size: for benchmarks, not for tests, since both depend on the
+machine."""
 
 import json
 import os
@@ -17,7 +18,7 @@
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.records import Stage, put
 from ironbarrow.lab.capacity import waits
-from ironbarrow.lab.capacity.decisions import TASK, TURN, fleet_settings, whole_list
+from ironbarrow.lab.capacity.decisions import TASK, TURN, fleet_settings, worker_list
 from ironbarrow.lab.capacity.ledgers import record
 from ironbarrow.lab.capacity.lists import addresses_of, live_weight, worker_entries
 from ironbarrow.lab.capacity.members import MemberFleet
@@ -27,16 +28,16 @@
 from ironbarrow.runtime.clock import MS, SECOND
 from ironbarrow.runtime.loop import Loop
 
-_LISTS = 12
-_RUNS = 300 * MS  # a job
-_TURNS = 200
-_LOOK_WINDOWS = 6  # that are compared
-_HELD = 9  # jobs that wait: one more than may be passed over in a turn
-_PAGE = os.sysconf("SC_PAGE_SIZE")
+_LIST_COUNT = 12
+_JOB_DURATION = 300 * MS
+_TURN_COUNT = 200
+_COMPARED_WINDOWS = 6
+_WAITING_JOBS = 9  # one more than may be skipped in a turn
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class IdleInvoker:
-    """Attempts that never end, for a host whose work is not looked at."""
+class NullInvoker:
+    """An invoker that does nothing, for a host whose attempts are not of interest."""
 
     def start(self, attempt: object) -> None: ...
 
@@ -50,14 +51,14 @@
 
 
 def _cpu_ms(what: Callable[[], object]) -> float:
-    """CPU time of this process that a call takes, ms."""
+    """CPU time in ms that this process spends in a call."""
     began = time.process_time()
     what()
     return 1000 * (time.process_time() - began)
 
 
-def _lines(size: int, turns: int) -> list[bytes]:
-    """A whole list and changes of all weights, as the discovery service sends them."""
+def _list_lines(size: int, turns: int) -> list[bytes]:
+    """A full worker list, then updates of all weights, encoded as by the discovery service."""
     entries = worker_entries(size)
     addresses = addresses_of(entries)
     news = [News(1, True, tuple(entries))]
@@ -70,12 +71,12 @@
 
 
 class ListReader:
-    """The real client and host of one dispatcher, fed with the discovery service's bytes."""
+    """The discovery client and the host of one dispatcher, fed with encoded lists."""
 
     def __init__(self, dispatchers: int = 230) -> None:
         self._loop = Loop(self._failed)
         self.host = Host(self._loop, fleet_settings(dispatchers), 0)
-        self.host.invoker = IdleInvoker()
+        self.host.invoker = NullInvoker()
         self._client = Client(self._loop, ("127.0.0.1", 9), self.host.update_workers)
         self._objects = _ObjectSplitter()
 
@@ -84,41 +85,42 @@
         raise error
 
     def read(self, line: bytes) -> None:
-        """Takes in one line."""
+        """Decodes and applies one line."""
         for text in self._objects.feed(line):
             self._client._apply(self._client._source, json.loads(text))
 
     def close(self) -> None:
-        """Lets go of its descriptors."""
+        """Closes the loop's descriptors."""
         self._loop.close()
 
 
 def list_cpu_ms(size: int) -> float:
-    """CPU time to read a list in which all weights have changed, ms: the median of some."""
-    reader, lines = ListReader(), _lines(size, _LISTS)
+    """The median CPU time in ms of applying an update of all weights."""
+    reader, lines = ListReader(), _list_lines(size, _LIST_COUNT)
     reader.read(lines[0])
     took = [_cpu_ms(lambda line=line: reader.read(line)) for line in lines[1:]]  # type: ignore[misc]
     reader.close()
-    return _middle(took)
+    return _median(took)
 
 
 @dataclass(frozen=True, slots=True)
 class TurnCost:
-    """A turn of the decisions at so many workers, ms of CPU, and looks at a worker in it."""
+    """The CPU time of a turn of the decisions with ``workers`` listed, and how often a worker is examined in
+    it."""
 
     workers: int
-    placed_ms: float  # a job comes and there is room
-    full_ms: float  # jobs wait and no worker has room
+    placed_ms: float  # a job arrives and a worker has a free slot
+    full_ms: float  # jobs wait and all workers are full
     full_looks: int
 
 
 class CountingDispatcher(Dispatcher):
-    """Counts how often a worker is looked at for a job."""
+    """Counts how often a worker is checked for whether a job fits."""
 
-    looks = 0
+    fit_checks = 0
 
     def _fits(self, worker: Worker, job: object, reserve: float) -> bool:
-        self.looks += 1
+        self.fit_checks += 1
         return super()._fits(worker, job, reserve)  # type: ignore[arg-type]
 
 
@@ -127,13 +129,13 @@
 
 
 def turn_cost(size: int) -> TurnCost:
-    """Turns with room, then turns in which all workers are full and jobs wait."""
+    """Measures turns with free slots, then turns in which all workers are full and jobs wait."""
     now = 1_700_000_000 * SECOND
     dispatcher = CountingDispatcher(fleet_settings(230), 0)
-    dispatcher._service_time[TASK.name].mean = float(_RUNS)
-    dispatcher.handle(now, [whole_list(size)])
+    dispatcher._service_time[TASK.name].mean = float(_JOB_DURATION)
+    dispatcher.handle(now, [worker_list(size)])
     placed: list[float] = []
-    for number in range(1, _TURNS + 1):
+    for number in range(1, _TURN_COUNT + 1):
         now += TURN
         began = time.process_time()
         actions = dispatcher.handle(now, [_arrived(number)])
@@ -141,45 +143,48 @@
         dispatcher.handle(now + MS, _ends(actions))
     for worker in dispatcher._workers.values():
         worker.size, worker.peer_slots, worker.load_observed_at = 2.4, 24.0, now
-    # of sessions that are known: others would not be let in
-    waiting = [replace(_arrived(n), job=_TURNS + n) for n in range(_TURNS - _HELD, _TURNS)]
+    # jobs of known sessions: new sessions are not admitted while all workers are full
+    waiting = [
+        replace(_arrived(n), job=_TURN_COUNT + n) for n in range(_TURN_COUNT - _WAITING_JOBS, _TURN_COUNT)
+    ]
     dispatcher.handle(now, waiting)
     full: list[float] = []
     looks = 0
     for _ in range(20):
         now += 5 * MS
-        before, began = dispatcher.looks, time.process_time()
+        before, began = dispatcher.fit_checks, time.process_time()
         dispatcher.handle(now, [])
         full.append(1000 * (time.process_time() - began))
-        looks = dispatcher.looks - before
-    return TurnCost(size, _middle(placed), _middle(full), looks)
+        looks = dispatcher.fit_checks - before
+    return TurnCost(size, _median(placed), _median(full), looks)
 
 
 def _ends(actions: list[api.Action]) -> list[api.Event]:
-    """Good ends of all that was sent, and answers to all probes."""
+    """Successful ends of all sent attempts, and answers to all probes."""
     report, found = api.LoadReport(free_slots=2.4), list[api.Event]()
     for action in actions:
         if isinstance(action, api.Send):
             ok = api.Outcome.OK
-            found.append(api.AttemptEnded(action.job, 0, action.worker, ok, True, _RUNS, report))
+            found.append(api.AttemptEnded(action.job, 0, action.worker, ok, True, _JOB_DURATION, report))
         elif isinstance(action, api.Probe):
             found.append(api.ProbeEnded(action.worker, api.Outcome.OK, MS, report))
     return found
 
 
-def _middle(values: list[float]) -> float:
+def _median(values: list[float]) -> float:
     return sorted(values)[len(values) // 2]
 
 
 def member_cpu_ms(size: int, seconds: int = 10) -> float:
-    """CPU time of a member and second, calm, ms: machine, codec and the simulated network."""
+    """CPU time in ms per member and second without failures: state machine, codec and simulated network."""
     fleet = MemberFleet(size)
-    fleet.meet(20)
+    fleet.converge(20)
     return _cpu_ms(lambda: fleet.run(seconds)) / size / seconds
 
 
 def start_cpu_ms(jobs: int = 200) -> float:
-    """CPU time of one job at its writer and three replicas, ms: machines, codec and the simulated network."""
+    """CPU time in ms per job of its writer and three replicas: state machines, codec and simulated
+    network."""
     fleet = LedgerFleet(9)
     fleet.create()
     ledger = job_ledger(fleet.machines["m0"].me)
@@ -196,12 +201,13 @@
 def resident_kb() -> int:
     """Resident memory of this process, KiB."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
-    return pages * _PAGE // 1024
+    return pages * _PAGE_BYTES // 1024
 
 
 def workers_resident_kb(size: int) -> int:
-    """How much a dispatcher's resident memory grows by a list of so many workers and some changes, KiB."""
-    reader, lines = ListReader(), _lines(size, 3)
+    """The growth in KiB of a dispatcher's resident memory through a list of ``size`` workers and some
+    updates."""
+    reader, lines = ListReader(), _list_lines(size, 3)
     before = resident_kb()
     for line in lines:
         reader.read(line)
@@ -211,16 +217,17 @@
 
 
 def members_resident_kb(size: int) -> float:
-    """Resident memory of one member's machine in a fleet of that size, KiB: of all, divided."""
+    """Resident memory in KiB of one member's state machine: that of ``size`` members, divided by their
+    number."""
     before = resident_kb()
     fleet = MemberFleet(size)
-    fleet.meet(5)
+    fleet.converge(5)
     return (resident_kb() - before) / size
 
 
 def replicas_resident_kb(rows: int) -> float:
-    """Resident memory of one replica of a ledger with so many running jobs, KiB: of three and the writer,
-    divided."""
+    """Resident memory in KiB of one replica of a ledger with ``rows`` running jobs: that of the writer and
+    three replicas, divided by four."""
     fleet = LedgerFleet(9)
     fleet.create()
     ledger = job_ledger(fleet.machines["m0"].me)
@@ -232,23 +239,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LookCost:
-    """The end of a window and the look at it, ms of CPU in one turn: the mean and the longest."""
+class StarvationCheckCost:
+    """CPU time in ms of a turn that closes a window of waits or checks it for starvation."""
 
     tenants: int
     mean_ms: float
     longest_ms: float
 
 
-def look_cost(tenants: int, dispatchers: int = 4) -> LookCost:
-    """Windows with 20 jobs of each tenant, so that every pair is judged."""
+def starvation_check_cost(tenants: int, dispatchers: int = 4) -> StarvationCheckCost:
+    """Measures windows with 20 jobs of each tenant, enough for a verdict on every pair of tenant and
+    class."""
     rules = StarvationRules(tenants=max(64, tenants), table_bytes=1 << 20)
-    fleet = waits.waits_fleet(dispatchers, tenants, 20, _LOOK_WINDOWS + 4, rules)
-    fleet.net.run(_LOOK_WINDOWS * rules.window)
+    fleet = waits.waits_fleet(dispatchers, tenants, 20, _COMPARED_WINDOWS + 4, rules)
+    fleet.net.run(_COMPARED_WINDOWS * rules.window)
     machine = next(iter(fleet.machines.values()))
     took: list[float] = []
-    for _ in range(6):  # windows' ends and looks in turn
+    for _ in range(6):  # closes and checks of windows alternate
         due = machine.next_at()
         fleet.clock.run(due - 1)
         took.append(_cpu_ms(lambda due=due: fleet.clock.run(due)))  # type: ignore[misc]
-    return LookCost(tenants, sum(took) / len(took), max(took))
+    return StarvationCheckCost(tenants, sum(took) / len(took), max(took))
--- a/ironbarrow/lab/capacity/ledgers.py
+++ b/ironbarrow/lab/capacity/ledgers.py
@@ -1,4 +1,4 @@
-"""Counts of the replicated ledgers: by job start, by running job, by dispatcher, and in a region cut."""
+"""Counts of the replicated ledgers by job start, running job and dispatcher, and during a region cut."""
 
 from dataclasses import dataclass
 
@@ -11,20 +11,20 @@
 from ironbarrow.fleet.members import MemberMachine
 from ironbarrow.fleet.records import JobRecord, Stage, drop, put
 from ironbarrow.fleet.takeover.machine import Takeover
-from ironbarrow.lab.capacity.counting import ZONES, Sent, metered, region_of, zone_of
+from ironbarrow.lab.capacity.counting import ZONES, SentTotals, meter_traffic, region_of, zone_of
 from ironbarrow.lab.fleet.losses import LedgerFleet
 from ironbarrow.lab.fleet.work import WorkWorld
 from ironbarrow.runtime.clock import MS, SECOND
 
-_MEMBERS = 9  # of a fleet in which one writer is looked at
-_PAUSE = 20 * MS  # between two turns of a writer
-_BODY = 200  # bytes of a job's body
-_WORK_KINDS = (*LedgerMachine.handles, *Takeover.handles)
+_MEMBER_COUNT = 9  # of a fleet in which one writer is measured
+_TURN_INTERVAL = 20 * MS  # of a writer
+_BODY_BYTES = 200  # of a job
+_WORK_MESSAGES = (*LedgerMachine.handles, *Takeover.handles)
 _CLASS = api.JobClass("task", api.Effect.UNSAFE, aim=10 * SECOND, deadline=60 * SECOND)
 
 
-def record(number: int, stage: Stage = Stage.TAKEN, body: int = _BODY) -> JobRecord:
-    """A job as a dispatcher's ledger has it, with a body of so many bytes."""
+def record(number: int, stage: Stage = Stage.TAKEN, body: int = _BODY_BYTES) -> JobRecord:
+    """A job's ledger record with a body of ``body`` bytes."""
     return JobRecord(
         id=f"job-{number:012d}",
         job_class="task",
@@ -43,19 +43,20 @@
 
 @dataclass(frozen=True, slots=True)
 class WriterCount:
-    """What one writer and its replicas send for so many jobs, and what is held at the end."""
+    """What one writer and its replicas send for ``jobs`` jobs, and what a replica holds at the end."""
 
     jobs: int
-    appends: Sent  # writer to replicas
-    acknowledgements: Sent  # replicas to writer
-    replica_bytes: int  # of a replica's tables
+    appends: SentTotals  # from the writer to its replicas
+    acknowledgements: SentTotals  # from the replicas to the writer
+    replica_bytes: int  # size of a replica's table
     replica_rows: int
 
 
-def count_writer(jobs: int, *, keep: bool = False, replicas: int = 3, body: int = _BODY) -> WriterCount:
-    """Counts jobs one after another at one writer: taken, sent and ended, or (``keep``) left running."""
-    fleet = LedgerFleet(_MEMBERS, replicas)
-    traffic = metered(fleet.net, LedgerMachine.handles)
+def count_writer(jobs: int, *, keep: bool = False, replicas: int = 3, body: int = _BODY_BYTES) -> WriterCount:
+    """Counts jobs that one writer records one after another: taken, sent and ended, or with ``keep`` left
+    running."""
+    fleet = LedgerFleet(_MEMBER_COUNT, replicas)
+    traffic = meter_traffic(fleet.net, LedgerMachine.handles)
     fleet.create()
     fleet.net.run(SECOND)
     ledger = job_ledger(fleet.machines["m0"].me)
@@ -66,7 +67,7 @@
             changes.append(drop(record(number).id))
         for change in changes:
             fleet.append("m0", ledger, [change])
-            fleet.net.run(_PAUSE)
+            fleet.net.run(_TURN_INTERVAL)
     fleet.net.run(SECOND)
     writer = fleet.machines["m0"].writers[ledger]
     segment = fleet.machines[writer.at.replicas[0].name].replica.segments[ledger, writer.at.segment]
@@ -77,24 +78,24 @@
 
 @dataclass(frozen=True, slots=True)
 class StartCount:
-    """What whole dispatchers send for the jobs that they take, start and end."""
+    """What the dispatchers of a fleet send for the jobs that they accept, start and end."""
 
     dispatchers: int
     jobs: int
-    ledgers: Sent
-    acknowledged: int  # messages
+    ledgers: SentTotals
+    acknowledged: int  # acknowledgement messages
     changes: int
-    takeover: Sent
-    members: Sent
+    takeover: SentTotals
+    members: SentTotals
 
 
 def count_starts(jobs: int, dispatchers: int = 7, *, seconds: int = 10, seed: int = 1) -> StartCount:
-    """Counts so many jobs over so many seconds, by real hosts, decisions and machines."""
+    """Counts ``jobs`` jobs over ``seconds`` seconds with the real hosts, decisions and state machines."""
     settings = api.Settings(
         me=0, dispatchers=dispatchers, zone="a", zones=("a",), classes=(_CLASS,), tells_start=True
     )
     world = WorkWorld(settings, dispatchers, seed=seed, fleet=Fleet(listen="127.0.0.1:0"), workers=8)
-    traffic = metered(world.net, (*MemberMachine.handles, *_WORK_KINDS))
+    traffic = meter_traffic(world.net, (*MemberMachine.handles, *_WORK_MESSAGES))
     world.run(3 * SECOND)
     traffic.clear()
     for number in range(jobs):
@@ -115,16 +116,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveCount:
-    """What it takes to replace one replica of a ledger with so many running jobs."""
+    """The cost of replacing one replica of a ledger with ``running`` running jobs."""
 
     running: int
-    sent: Sent
+    sent: SentTotals
     seconds: float  # until the ledger is open at its new replicas
 
 
 def count_move(running: int) -> MoveCount:
-    """Counts the loss of one replica."""
-    fleet = LedgerFleet(_MEMBERS)
+    """Counts the replacement of one lost replica; raises RuntimeError if it takes more than 30 s."""
+    fleet = LedgerFleet(_MEMBER_COUNT)
     fleet.create()
     ledger = job_ledger(fleet.machines["m0"].me)
     for number in range(running):
@@ -132,13 +133,13 @@
     fleet.net.run(SECOND)
     writer = fleet.machines["m0"].writers[ledger]
     segment = writer.at.segment
-    traffic = metered(fleet.net, LedgerMachine.handles)
+    traffic = meter_traffic(fleet.net, LedgerMachine.handles)
     began = fleet.net.clock.now()
     fleet.kill(writer.at.replicas[0].name)
     while writer.at.segment == segment or not writer.opened:
         fleet.net.run(MS)
         if fleet.net.clock.now() - began > 30 * SECOND:
-            raise RuntimeError("the ledger did not move")
+            raise RuntimeError("lost ledger replica not replaced within 30 s")
     took = (fleet.net.clock.now() - began) / SECOND
     fleet.net.run(SECOND)
     return MoveCount(running, traffic.total(), took)
@@ -146,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CutShare:
-    """Ledgers whose writer can't reach a majority of its replicas once the regions are apart."""
+    """Ledgers whose writer cannot reach a majority of its replicas while the regions are partitioned."""
 
     dispatchers: int
     ledgers: int
@@ -154,7 +155,7 @@
 
 
 def share_without_majority(dispatchers: int, replicas: int = 3) -> CutShare:
-    """By the replicas that the real machines choose over the target's zones."""
+    """Counts them for the replicas that the ledger machines choose over the target's zones."""
     fleet = LedgerFleet(0, replicas)
     fleet.names = [f"dispatcher-{number}" for number in range(dispatchers)]
     for number, name in enumerate(fleet.names):
@@ -171,17 +172,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CutWork:
-    """What becomes of running jobs when regions lose each other. Workers are reached by all."""
+    """What happens to running jobs in a network partition between regions. Workers stay reachable by all."""
 
     dispatchers: int
     effect: str
-    running: int  # jobs out when the cut began
-    cut_s: int  # 0: there was none
-    second_copies: int  # runs of a job that another copy was out of
-    ends: dict[str, int]  # what clients heard
+    running: int  # jobs that ran when the cut began
+    cut_s: int  # 0: no cut
+    second_copies: int  # runs of a job while another copy of it was running
+    ends: dict[str, int]  # outcomes that clients received
     renewed: int  # dispatchers that began a new incarnation
-    ledgers: Sent
-    takeover: Sent
+    ledgers: SentTotals
+    takeover: SentTotals
 
 
 def count_cut_work(
@@ -193,8 +194,8 @@
     cut_s: int = 30,
     seed: int = 1,
 ) -> CutWork:
-    """Counts jobs that run for longer than the cut lasts; or (``cut`` False) the same without one, for
-    comparison."""
+    """Counts jobs that run for longer than the cut lasts, or the same jobs without a cut if ``cut`` is
+    False."""
     long = api.JobClass("long", effect, aim=60 * SECOND, deadline=200 * SECOND, stretch=2.0)
     settings = api.Settings(me=0, dispatchers=dispatchers, zone="a", zones=("a",), classes=(long,))
     world = WorkWorld(
@@ -205,12 +206,14 @@
         sites=len(ZONES),
         workers=4 * running,
     )
-    traffic = metered(world.net, (*MemberMachine.handles, *_WORK_KINDS))
+    traffic = meter_traffic(world.net, (*MemberMachine.handles, *_WORK_MESSAGES))
     world.run(5 * SECOND)
     world.lasts = ((cut_s + 10) * SECOND, (cut_s + 20) * SECOND)
     for number in range(running):
         world.order(f"long-{number:06d}", "long", 150 * SECOND, at=f"d{number % dispatchers}")
-        world.run(2 * MS)  # together: of workers whose size is not known, few sessions enter later
+        world.run(
+            2 * MS
+        )  # almost at once: few new sessions are admitted later, while worker sizes are unknown
     world.run(2 * SECOND)
     out = sum(len(worker.running) for worker in world.workers.all.values())
     traffic.clear()
--- a/ironbarrow/lab/capacity/lists.py
+++ b/ironbarrow/lab/capacity/lists.py
@@ -1,4 +1,4 @@
-"""Counts of the list of workers: bytes of a list and of a change, through the real client on a loopback
+"""Counts of the worker list: bytes of a full list and of updates, received by the real client over a loopback
 connection."""
 
 from collections.abc import Callable
@@ -13,29 +13,29 @@
 from ironbarrow.lab.model.randomness import Streams
 from ironbarrow.runtime.loop import SECOND, Loop
 
-_GIVE_UP = 20 * SECOND
+_TIMEOUT = 20 * SECOND
 _KINDS = ("type-a", "type-b", "type-c")
-_MOST_HELD = 5  # jobs by which a live weight falls
+_MAX_HELD_JOBS = 5  # the weight falls with the jobs held, from 0 to one less than this
 
 
 class CountingAgent(Agent):
-    """An agent that counts the bytes of what it tells."""
+    """A discovery agent that records the size of each line it sends, in bytes."""
 
-    lines: list[int]
+    line_sizes: list[int]
 
     @property
-    def watched(self) -> bool:
-        """Whether a client follows it."""
+    def has_watcher(self) -> bool:
+        """Whether a client is subscribed."""
         return bool(self._watches)
 
     def _line(self, news: News) -> bytes:
         line = super()._line(news)
-        self.lines.append(len(line))
+        self.line_sizes.append(len(line))
         return line
 
 
 def worker_entries(size: int) -> list[Entry]:
-    """So many workers over the target's zones, with weights that differ."""
+    """``size`` workers over the target's zones, with differing weights."""
     return [
         Entry(f"worker-{number:04d}", zone_of(number), _KINDS[number % 3], live_weight(number, 0), since=1)
         for number in range(size)
@@ -43,34 +43,35 @@
 
 
 def live_weight(number: int, turn: int) -> float:
-    """The weight of a worker by what it holds, as a discovery service with live weights tells it."""
-    held = (number * 7 + turn * 3) % _MOST_HELD
+    """A worker's weight by the number of jobs it holds, as a discovery service with live weights reports
+    it."""
+    held = (number * 7 + turn * 3) % _MAX_HELD_JOBS
     return round(4.0 / (1 + held / 4), 3)
 
 
 def addresses_of(entries: list[Entry]) -> dict[str, str]:
-    """An address for each."""
+    """A distinct address for each worker, by name."""
     return {entry.name: f"10.1.{n // 250}.{n % 250}:7001" for n, entry in enumerate(entries)}
 
 
 @dataclass(frozen=True, slots=True)
 class ListCount:
-    """One size of list. Bytes are those of the objects, without HTTP's own."""
+    """Counts at one list size. Bytes are those of the JSON lines, without HTTP framing."""
 
     workers: int
     whole_bytes: int
-    weights_bytes: float  # of a change of all weights, on the average
-    one_bytes: int  # of a change of one worker
-    entries_told: int  # that reached the decisions in all
+    weights_bytes: float  # of an update of all weights, the mean
+    one_bytes: int  # of an update of one worker
+    entries_told: int  # passed to the decisions, in total
     entries_told_by_weights: int
 
 
 def count_list(size: int, *, turns: int = 3) -> ListCount:
-    """Counts a whole list, so many changes of all weights, and one of one worker. On the loop's own clock:
-    what is counted does not depend on it."""
+    """Counts a full list, ``turns`` updates of all weights, and one update of one worker. It runs in real
+    time; the counts do not depend on timing."""
     errors: list[Exception] = []
     loop = Loop(errors.append)
-    told: list[api.WorkerList] = []
+    received: list[api.WorkerList] = []
     try:
         entries = worker_entries(size)
         model = Discovery(loop, spec.Discovery(soonest=0, latest=0, weights="live"), Streams(1))  # type: ignore[arg-type]
@@ -78,40 +79,40 @@
         agent = CountingAgent(
             loop, model, "dispatcher", addresses_of(entries), lambda name, up: None, ("127.0.0.1", 0)
         )
-        agent.lines = []
-        client = Client(loop, agent.address, told.append)
+        agent.line_sizes = []
+        client = Client(loop, agent.address, received.append)
         client.start({})
-        _run_until(loop, lambda: bool(told) and agent.watched)
+        _run_until(loop, lambda: bool(received) and agent.has_watcher)
         for turn in range(1, turns + 1):
-            before = len(told)
+            before = len(received)
             weights = {e.name: live_weight(n, turn) for n, e in enumerate(entries)}
             model.weigh(weights)
-            _run_until(loop, lambda before=before: len(told) > before)  # type: ignore[misc]
-        before = len(told)
+            _run_until(loop, lambda before=before: len(received) > before)  # type: ignore[misc]
+        before = len(received)
         model.change(replace(model.entries[entries[0].name], status="draining"))
-        _run_until(loop, lambda: len(told) > before)
+        _run_until(loop, lambda: len(received) > before)
         agent.close()
     finally:
         loop.close()
     if errors:
         raise errors[0]
-    lines = agent.lines
-    by_weights = told[-1 - turns : -1]
+    line_sizes = agent.line_sizes
+    by_weights = received[-1 - turns : -1]
     return ListCount(
         size,
-        max(lines),
-        sum(lines[-1 - turns : -1]) / turns,
-        lines[-1],
-        sum(len(news.entries) for news in told),
+        max(line_sizes),
+        sum(line_sizes[-1 - turns : -1]) / turns,
+        line_sizes[-1],
+        sum(len(news.entries) for news in received),
         sum(len(news.entries) for news in by_weights),
     )
 
 
-def _run_until(loop: Loop, holds: Callable[[], bool]) -> None:
-    """Runs the loop until something holds."""
-    until = loop.now() + _GIVE_UP
-    while not holds():
+def _run_until(loop: Loop, condition: Callable[[], bool]) -> None:
+    """Runs the loop until ``condition`` holds; raises RuntimeError after 20 s."""
+    until = loop.now() + _TIMEOUT
+    while not condition():
         if loop.now() > until:
-            raise RuntimeError("the list did not come in time")
+            raise RuntimeError("worker list update not received within 20 s")
         loop.call_at(loop.now() + SECOND // 100, lambda: None)
         loop.run_once()
--- a/ironbarrow/lab/capacity/members.py
+++ b/ironbarrow/lab/capacity/members.py
@@ -1,4 +1,5 @@
-"""Counts of the membership protocol by the number of members: calm, after a death, after a region cut."""
+"""Counts of the membership protocol by the number of members: without failures, after a death, after a region
+cut."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,28 +9,28 @@
 from ironbarrow.fleet.file import MemberRules
 from ironbarrow.fleet.members import MemberMachine
 from ironbarrow.fleet.node import Node
-from ironbarrow.lab.capacity.counting import ZONES, Rate, Sent, metered, region_of, zone_of
+from ironbarrow.lab.capacity.counting import ZONES, Rate, SentTotals, meter_traffic, region_of, zone_of
 from ironbarrow.lab.fleet.net import Seat, SimulatedNet
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS, SECOND
 
 _REPLICAS = 3
-_STEP = 50 * MS  # between two looks at whether a state is reached
-SETTLE_S = 40.0  # until the news of a start has been told to all
+_POLL_INTERVAL = 50 * MS  # between two checks of a condition
+SETTLE_S = 40.0  # until the events of the start have been disseminated
 
 
 class MemberFleet:
-    """Members over the target's zones, each with one ledger on its card, as in service."""
+    """Members over the target's zones, each with one ledger on its card as in production."""
 
     def __init__(self, size: int, seed: int = 1, rules: MemberRules | None = None) -> None:
         self.rules = rules or MemberRules()
         self.net = SimulatedNet(SimulatedClock(), Codec(MemberMachine.handles), seed)
-        self.traffic = metered(self.net, MemberMachine.handles)
+        self.traffic = meter_traffic(self.net, MemberMachine.handles)
         self.machines: dict[str, MemberMachine] = {}
-        self.deaths: list[tuple[str, str]] = []  # who was told, of whom
+        self.deaths: list[tuple[str, str]] = []  # observer and dead member
         self.names = [f"dispatcher-{number}" for number in range(size)]
         for number, name in enumerate(self.names):
-            self.net.add(name, zone_of(number), self._build).on_news = self._listener(name)
+            self.net.add(name, zone_of(number), self._build).on_news = self._death_listener(name)
         incarnations = {name: self.net.start(name) for name in self.names}
         for name in self.names:
             self._announce(name, incarnations)
@@ -49,19 +50,19 @@
         machine = self.machines[name]
         self.net.order(name, lambda node, now: node.carry_out(machine.announce_ledgers(at)))
 
-    def _listener(self, name: str) -> Callable[[FleetEvent], None]:
-        def told(news: FleetEvent) -> None:
+    def _death_listener(self, name: str) -> Callable[[FleetEvent], None]:
+        def record_death(news: FleetEvent) -> None:
             if isinstance(news, MemberChanged) and news.member.health is Health.DEAD:
                 self.deaths.append((name, news.member.card.incarnation.name))
 
-        return told
+        return record_death
 
     def running(self) -> list[str]:
-        """The members whose process runs."""
+        """Names of the members whose process runs."""
         return [name for name in self.names if self.net.seats[name].node is not None]
 
-    def agree(self, about: list[str], health: Health) -> bool:
-        """Whether all members that run hold these for that."""
+    def all_see(self, about: list[str], health: Health) -> bool:
+        """Whether all running members see the members in ``about`` with that health."""
         incarnations = [self.machines[name].me.incarnation for name in about]
         return all(
             self.machines[name].health(incarnation) is health
@@ -70,33 +71,35 @@
             if incarnation.name != name
         )
 
-    def seconds_until(self, holds: Callable[[], bool], limit_s: float) -> float:
-        """Virtual seconds until something holds; infinite if it does not within the limit."""
+    def seconds_until(self, condition: Callable[[], bool], limit_s: float) -> float:
+        """Runs until ``condition`` holds; returns the virtual seconds that took, or infinity after
+        ``limit_s``."""
         began = self.net.clock.now()
-        while not holds():
+        while not condition():
             if self.net.clock.now() - began > limit_s * SECOND:
                 return float("inf")
-            self.net.run(_STEP)
+            self.net.run(_POLL_INTERVAL)
         return (self.net.clock.now() - began) / SECOND
 
-    def meet(self, settle_s: float = SETTLE_S) -> float:
-        """Runs until all know each other, and on until that has been told; how long the meeting took, s."""
-        took = self.seconds_until(lambda: self.agree(self.names, Health.ALIVE), 120)
+    def converge(self, settle_s: float = SETTLE_S) -> float:
+        """Runs until all members know each other, then for ``settle_s``; returns the seconds until they
+        did."""
+        took = self.seconds_until(lambda: self.all_see(self.names, Health.ALIVE), 120)
         self.run(settle_s)
         return took
 
     def run(self, seconds: float) -> None:
-        """Lets virtual time pass."""
+        """Advances virtual time."""
         self.net.run(int(seconds * SECOND))
 
     def rate(self, seconds: float) -> Rate:
-        """What a member sends a second over the next seconds."""
+        """Runs for ``seconds`` and returns what a member sent per second."""
         self.traffic.clear()
         self.run(seconds)
         return Rate.of(self.traffic, len(self.running()), seconds)
 
     def cut_regions(self) -> None:
-        """From now on nothing gets from one region to the other."""
+        """Partitions the network between the regions, in both directions."""
         seats = list(self.net.seats.values())
         for one in seats:
             for other in seats:
@@ -104,7 +107,7 @@
                     self.net.cut(one.name, other.name, both=False)
 
     def regions_apart(self) -> bool:
-        """Whether every member holds all of the other region for dead."""
+        """Whether every member sees all members of the other region as dead."""
         return all(
             machine.health(other.me.incarnation) is Health.DEAD
             for machine in self.machines.values()
@@ -115,50 +118,51 @@
 
 @dataclass(frozen=True, slots=True)
 class CalmCount:
-    """What a fleet of one size sends while nothing happens."""
+    """What a fleet sends while no member starts or fails."""
 
     members: int
-    meet_s: float  # until all that started together know each other
+    meet_s: float  # until all members, started together, know each other
     rate: Rate
-    by_kind: dict[str, Sent]  # over all members
+    by_kind: dict[str, SentTotals]  # over all members
     seconds: float
-    entries: int  # members in the list of one
+    entries: int  # members that one member knows, itself included
 
 
 @dataclass(frozen=True, slots=True)
 class EventCount:
-    """What one event costs beyond a calm time of the same length, over all members."""
+    """The cost of one event over all members, in addition to that of the same time without events."""
 
     members: int
-    beyond: Sent
-    seconds: float  # that were counted
-    known_s: float  # until the last member that runs knows, s
-    told_dead: int  # deaths told to members, each to each
+    beyond: SentTotals
+    seconds: float  # length of the count
+    known_s: float  # until the last running member knows
+    told_dead: int  # deaths seen, counted once for each observer
 
     @property
-    def bytes_each(self) -> float:
-        """Bytes beyond a calm time, of one member and second."""
+    def bytes_per_member_s(self) -> float:
+        """Additional bytes per member and second."""
         return self.beyond.bytes / self.members / self.seconds
 
 
 def count_calm(size: int, seed: int = 1, *, seconds: float = 20, settle_s: float = SETTLE_S) -> CalmCount:
-    """Counts a calm time."""
+    """Counts a fleet without events for ``seconds``."""
     fleet = MemberFleet(size, seed)
-    meet_s = fleet.meet(settle_s)
+    meet_s = fleet.converge(settle_s)
     rate = fleet.rate(seconds)
     entries = len(fleet.machines[fleet.names[0]].known()) + 1
     return CalmCount(size, meet_s, rate, fleet.traffic.by_kind(), seconds, entries)
 
 
-def _count(fleet: MemberFleet, calm: Rate, seconds: float, holds: Callable[[], bool]) -> EventCount:
-    """Counts what begins now."""
+def _count_event(fleet: MemberFleet, calm: Rate, seconds: float, condition: Callable[[], bool]) -> EventCount:
+    """Counts the ``seconds`` from now on, of which ``calm`` is subtracted, and the time until
+    ``condition``."""
     fleet.deaths.clear()
     fleet.traffic.clear()
-    known_s = fleet.seconds_until(holds, seconds)
+    known_s = fleet.seconds_until(condition, seconds)
     if known_s < seconds:
         fleet.run(seconds - known_s)
     running, total = len(fleet.running()), fleet.traffic.total()
-    beyond = Sent(
+    beyond = SentTotals(
         round(total.messages - calm.messages * running * seconds),
         round(total.bytes - calm.bytes * running * seconds),
         total.items,
@@ -167,13 +171,13 @@
 
 
 def count_death(size: int, seed: int = 1, *, seconds: float = 15, settle_s: float = SETTLE_S) -> EventCount:
-    """Counts one process that ends without a word."""
+    """Counts the crash of one member."""
     fleet = MemberFleet(size, seed)
-    fleet.meet(settle_s)
+    fleet.converge(settle_s)
     calm = fleet.rate(10)
     dead = fleet.names[size // 2]
     fleet.net.crash(dead)
-    return _count(fleet, calm, seconds, lambda: fleet.agree([dead], Health.DEAD))
+    return _count_event(fleet, calm, seconds, lambda: fleet.all_see([dead], Health.DEAD))
 
 
 def count_region_cut(
@@ -185,24 +189,24 @@
     settle_s: float = SETTLE_S,
     rules: MemberRules | None = None,
 ) -> tuple[EventCount, EventCount]:
-    """Counts regions that lose each other: the cut itself, and the time from its end on."""
+    """Counts a network partition between the regions: the time of the cut, and the time after its end."""
     fleet = MemberFleet(size, seed, rules)
-    fleet.meet(settle_s)
+    fleet.converge(settle_s)
     calm = fleet.rate(10)
     fleet.cut_regions()
-    cut = _count(fleet, calm, cut_s, fleet.regions_apart)
+    cut = _count_event(fleet, calm, cut_s, fleet.regions_apart)
     fleet.net.mend()
-    return cut, _count(fleet, calm, seconds, lambda: fleet.agree(fleet.names, Health.ALIVE))
+    return cut, _count_event(fleet, calm, seconds, lambda: fleet.all_see(fleet.names, Health.ALIVE))
 
 
 def count_zone_loss(
     size: int, seed: int = 1, *, seconds: float = 30, settle_s: float = SETTLE_S
 ) -> EventCount:
-    """Counts the loss of all members of one zone at once."""
+    """Counts the simultaneous crash of all members of one zone."""
     fleet = MemberFleet(size, seed)
-    fleet.meet(settle_s)
+    fleet.converge(settle_s)
     calm = fleet.rate(10)
     lost = [name for name in fleet.names if fleet.net.seats[name].site == ZONES[0]]
     for name in lost:
         fleet.net.crash(name)
-    return _count(fleet, calm, seconds, lambda: fleet.agree(lost, Health.DEAD))
+    return _count_event(fleet, calm, seconds, lambda: fleet.all_see(lost, Health.DEAD))
--- a/ironbarrow/lab/capacity/rollouts.py
+++ b/ironbarrow/lab/capacity/rollouts.py
@@ -1,4 +1,4 @@
-"""Counts of a rollout under way: what members tell its coordinator, by members and by workers in use."""
+"""Counts of a rollout in progress: reports to its coordinator, by members and by workers used."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 from ironbarrow.fleet.members import MemberMachine
 from ironbarrow.fleet.rollout.commands import AgentStatus, Command, DispatcherReport
 from ironbarrow.fleet.rollout.signals import AttemptEnd
-from ironbarrow.lab.capacity.counting import Sent, metered
+from ironbarrow.lab.capacity.counting import SentTotals, meter_traffic
 from ironbarrow.lab.fleet.field import KINDS, RolloutField, targets_of
 from ironbarrow.runtime.clock import MS
 
@@ -29,25 +29,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutCount:
-    """What is sent while a rollout waits between two waves."""
+    """What is sent during the soak of a rollout."""
 
     members: int
-    workers_used: int  # by each member, in each second
+    workers_used: int  # by each member in each second
     seconds: int
-    observed: Sent  # to the coordinator
-    commands: Sent  # to the agents, and their answers
-    ledger: Sent
+    observed: SentTotals  # to the coordinator
+    commands: SentTotals  # to the agents, with their answers
+    ledger: SentTotals
 
     @property
     def coordinator_bytes(self) -> float:
-        """Bytes a second that the coordinator is told."""
+        """Bytes per second of reports to the coordinator."""
         return self.observed.bytes / self.seconds
 
 
 def count_rollout(members: int, workers_used: int, *, seconds: int = 8) -> RolloutCount:
-    """Counts a soak: every member tells each second of an attempt at so many workers."""
+    """Counts a soak in which every member reports an attempt at each of ``workers_used`` workers every
+    second."""
     field = RolloutField(targets_of(3, max(4, -(-workers_used // 3))), seed=1, members=members)
-    traffic = metered(field.net, (*KINDS, *MemberMachine.handles, *LedgerMachine.handles))
+    traffic = meter_traffic(field.net, (*KINDS, *MemberMachine.handles, *LedgerMachine.handles))
     field.start("m0", _PLAN)
     field.run(6)
     workers = sorted(field.boxes)[:workers_used]
--- a/ironbarrow/lab/capacity/tables.py
+++ b/ironbarrow/lab/capacity/tables.py
@@ -1,4 +1,4 @@
-"""The tables of the capacity page, as Markdown, from results."""
+"""Renders results as the Markdown tables of the capacity page."""
 
 from collections.abc import Iterable, Sequence
 
@@ -21,10 +21,10 @@
 
 
 def slopes(results: Results) -> str:
-    """Each series with its range and fit."""
+    """The table of all series with their ranges and fits."""
     rows = []
     for series in summary.SERIES:
-        found = summary.line(results, series)
+        found = summary.fit_series(results, series)
         if found is None:
             rows.append([series.name, series.unit, "not measured", "", "", "", "", ""])
             continue
@@ -32,36 +32,38 @@
             [
                 series.name,
                 series.unit,
-                f"{found.least:g} to {found.most:g} ({found.points})",
+                f"{found.min_size:g} to {found.max_size:g} ({found.points})",
                 _number(found.slope),
                 _number(found.intercept),
                 f"{found.r_squared:.3f}",
                 f"{found.residual:.1%}",
-                f"{found.bend:+.1%}",
+                f"{found.curvature:+.1%}",
             ]
         )
     head = ["what", "for each", "sizes (points)", "slope", "at 0", "R²", "residual", "bend"]
     return _table(head, rows)
 
 
-def lines(results: Results, dispatchers: int) -> str:
-    """Each line of the target."""
+def requirements(results: Results, dispatchers: int) -> str:
+    """The table of the target's requirements with their verdicts."""
     found = budget.evaluate(summary.slopes_of(results, IDLE_MB, dispatchers), dispatchers)
     rows = []
     for one in found:
         verdict = one.verdict.value
-        if one.over_by:
-            verdict += f", {one.over_by:.1f} times"
-        margin = f"{1 - one.used:.0%}" if one.used is not None and one.used <= 1 else "-"
+        if one.overrun:
+            verdict += f", {one.overrun:.1f} times"
+        margin = (
+            f"{1 - one.budget_share:.0%}" if one.budget_share is not None and one.budget_share <= 1 else "-"
+        )
         rows.append([one.name, one.target, f"**{verdict}**", one.figure, margin, one.mechanism])
     return _table(["line", "target", "verdict", "figure", "margin", "mechanism"], rows)
 
 
-def concerns(results: Results, sizes: Sequence[int]) -> str:
-    """Bytes a second by concern at several numbers of dispatchers."""
+def components(results: Results, sizes: Sequence[int]) -> str:
+    """The table of control traffic by component, in bytes per second, at several numbers of dispatchers."""
     found = {}
     for size in sizes:
-        found[size] = budget.bytes_by_concern(summary.slopes_of(results, IDLE_MB, size), size)
+        found[size] = budget.control_bytes_by_component(summary.slopes_of(results, IDLE_MB, size), size)
     names = list(next(iter(found.values())))
     rows = [[name, *(f"{found[size][name]:,.0f}" for size in sizes)] for name in names]
     rows.append(["all", *(f"{sum(found[size].values()):,.0f}" for size in sizes)])
@@ -69,7 +71,7 @@
 
 
 def sizes(results: Results, part: str) -> str:
-    """What each size of a part took, with the machine's load; failures are said."""
+    """The table of a part's runs: their duration, the machine's load, and failures."""
     rows = [
         [
             str(one.get("size", "-")),
@@ -82,10 +84,10 @@
     return _table(["size", "load", "wall s", "run"], rows)
 
 
-def page(results: Results) -> str:
-    """All tables."""
+def markdown(results: Results) -> str:
+    """All tables with headings."""
     parts = ["## Slopes", slopes(results), f"## Lines at {budget.DISPATCHERS}"]
-    parts.append(lines(results, budget.DISPATCHERS))
-    parts += ["## Bytes by concern", concerns(results, (28, 56, 115, 230))]
+    parts.append(requirements(results, budget.DISPATCHERS))
+    parts += ["## Bytes by concern", components(results, (28, 56, 115, 230))]
     parts += [f"## Runs: {part}\n\n{sizes(results, part)}" for part in results]
     return "\n\n".join(parts)
--- a/ironbarrow/lab/capacity/waits.py
+++ b/ironbarrow/lab/capacity/waits.py
@@ -1,46 +1,46 @@
-"""Counts of the tables of waits: by the number of tenants, and by the number of dispatchers."""
+"""Counts of the tables of waits by the number of tenants and of dispatchers."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.starvation.tables import UNTRACKED_TENANT, WaitReport, WaitReportReply
-from ironbarrow.lab.capacity.counting import Sent, metered, zone_of
+from ironbarrow.lab.capacity.counting import SentTotals, meter_traffic, zone_of
 from ironbarrow.lab.fleet.starved import Event, Fleet
 from ironbarrow.runtime.clock import MS
 
-_WAIT = 40 * MS  # of every job, from taken to started
+_JOB_WAIT = 40 * MS  # of every job, from acceptance to start
 _TAKEN, _STARTED = 0, 1
 _CLASSES = ("map", "decode", "booking")
-_WARM_UP = 7  # windows before the count: one more than are compared
-_NO_LOOK = 1 << 30  # jobs that a verdict needs: a verdict sends nothing, and looking for one takes time
+_WARM_UP_WINDOWS = 7  # before the count: one more than are compared for starvation
+_NO_COMPARISON = 1 << 30  # least number of jobs for a comparison: comparing takes time, and sends nothing
 
 
 @dataclass(frozen=True, slots=True)
 class WaitsCount:
-    """One fleet over so many windows."""
+    """Counts of one fleet over ``windows`` windows."""
 
     dispatchers: int
     tenants: int
     windows: int
-    tables: Sent  # to the collectors
-    answers: Sent  # from them
-    judged: int  # tenants with rows of their own in one dispatcher's window
-    most_bytes: int  # that one member sent in all windows
+    tables: SentTotals  # sent to the collectors
+    answers: SentTotals  # sent by the collectors
+    judged: int  # tenants with rows of their own in one dispatcher's table
+    most_bytes: int  # sent by the member with the largest total, over all windows
 
-    def bytes_each(self, window_s: float) -> float:
-        """Bytes a second of one member."""
+    def bytes_per_member_s(self, window_s: float) -> float:
+        """Bytes per second sent by one member."""
         return (self.tables.bytes + self.answers.bytes) / self.dispatchers / self.windows / window_s
 
 
-def _jobs(tenants: int, per_window: int, window: int, length: int) -> Iterator[Event]:
-    """Each tenant brings as many jobs in every window, of all classes in turn, spread evenly."""
+def _job_events(tenants: int, per_window: int, window: int, length: int) -> Iterator[Event]:
+    """Evenly spaced jobs, the same number from each tenant in every window, of all classes in turn."""
     number, every = 0, window // max(1, tenants * per_window)
     at = 0
     while at < length:
         tenant, job_class = f"team-{number % tenants:03d}", _CLASSES[number // tenants % len(_CLASSES)]
         yield at, _TAKEN, number, tenant, job_class, 1.0
-        yield min(at + min(_WAIT, every // 2), length), _STARTED, number, tenant, job_class, 1.0
+        yield min(at + min(_JOB_WAIT, every // 2), length), _STARTED, number, tenant, job_class, 1.0
         at += every
         number += 1
 
@@ -48,11 +48,11 @@
 def waits_fleet(
     dispatchers: int, tenants: int, per_window: int, windows: int, rules: StarvationRules
 ) -> Fleet:
-    """A fleet that is about to see jobs for so many windows."""
+    """A fleet with events scheduled for ``windows`` windows of jobs."""
     names = [f"dispatcher-{number}" for number in range(dispatchers)]
     fleet = Fleet({name: zone_of(number) for number, name in enumerate(names)}, {}, rules, 1)
     for name in names:
-        fleet.tell(name, _jobs(tenants, per_window, rules.window, windows * rules.window))
+        fleet.tell(name, _job_events(tenants, per_window, rules.window, windows * rules.window))
     return fleet
 
 
@@ -62,14 +62,14 @@
     *,
     per_window: int = 3,
     windows: int = 2,
-    warm_up: int = _WARM_UP,
+    warm_up: int = _WARM_UP_WINDOWS,
     rules: StarvationRules | None = None,
 ) -> WaitsCount:
-    """Counts whole windows of a fleet in which every dispatcher serves every tenant alike, after so many
-    windows of ``warm_up``."""
-    rules = rules or StarvationRules(least_jobs=_NO_LOOK)
+    """Counts full windows of a fleet in which every dispatcher serves every tenant alike, after ``warm_up``
+    windows that are not counted."""
+    rules = rules or StarvationRules(least_jobs=_NO_COMPARISON)
     fleet = waits_fleet(dispatchers, tenants, per_window, warm_up + windows + 1, rules)
-    traffic = metered(fleet.net, (WaitReport, WaitReportReply))
+    traffic = meter_traffic(fleet.net, (WaitReport, WaitReportReply))
     fleet.net.run(warm_up * rules.window)
     traffic.clear()
     fleet.net.run(windows * rules.window)
@@ -82,5 +82,5 @@
         traffic.of_kinds(WaitReport),
         traffic.of_kinds(WaitReportReply),
         len(judged),
-        traffic.most_of_a_sender().bytes,
+        traffic.busiest_sender().bytes,
     )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,5 @@
-"""What each part costs as the fleet grows: slopes of counts in virtual time, and mutants that bend them."""
+"""Cost of each part by fleet size: slopes of counts in virtual time, and mutants that the bounds must
+catch."""
 
 import sys
 from pathlib import Path
@@ -31,25 +32,25 @@
 from ironbarrow.lab.capacity.fit import Fit, fit
 from ironbarrow.lab.fleet import starved
 
-BEND = 0.05  # most of a value that may come from the quadratic term, at the largest size
-RESIDUAL = 0.05  # most that a point may be off the line, as a part of the mean
+MAX_CURVATURE = 0.05  # largest share of the quadratic term in the value at the largest size
+MAX_RESIDUAL = 0.05  # largest distance of a point from the line, relative to the mean
 
 
 def assert_line(found: Fit, least: float, most: float) -> None:
-    """A line whose slope is within the stated bound."""
-    assert abs(found.bend) <= BEND, found
-    assert found.residual <= RESIDUAL, found
+    """Asserts that the points lie on a line whose slope is within the bounds."""
+    assert abs(found.curvature) <= MAX_CURVATURE, found
+    assert found.residual <= MAX_RESIDUAL, found
     assert least <= found.slope <= most, found
 
 
 def mutant(module: ModuleType, *changes: tuple[str, str]) -> ModuleType:
-    """A module with some places of its text changed."""
+    """A copy of a module in whose source each ``old`` text, which must occur once, is replaced by ``new``."""
     text = Path(str(module.__file__)).read_text()
     for old, new in changes:
         assert text.count(old) == 1, old
         text = text.replace(old, new)
     made = ModuleType(f"{module.__name__}_mutant")
-    sys.modules[made.__name__] = made  # dataclasses look for it
+    sys.modules[made.__name__] = made  # dataclasses look the module up here
     exec(compile(text, made.__name__, "exec"), made.__dict__)
     return made
 
@@ -57,15 +58,15 @@
 # The fits
 
 
-def test_a_line_and_a_parabola_are_told_apart() -> None:
+def test_fit_distinguishes_a_line_from_a_parabola() -> None:
     line = fit([1, 2, 4, 8], [5, 7, 11, 19])
     assert (line.intercept, line.slope) == (pytest.approx(3), pytest.approx(2))
-    assert line.r_squared == pytest.approx(1) and line.residual < 1e-9 and abs(line.bend) < 1e-9
+    assert line.r_squared == pytest.approx(1) and line.residual < 1e-9 and abs(line.curvature) < 1e-9
     assert line.at(100) == pytest.approx(203)
-    assert line.extrapolates_to(9) and not line.extrapolates_to(8)
+    assert line.is_extrapolated(9) and not line.is_extrapolated(8)
     parabola = fit([1, 2, 4, 8], [1, 4, 16, 64])
-    assert parabola.quadratic == pytest.approx(1) and parabola.bend == pytest.approx(1)
-    assert parabola.residual > RESIDUAL
+    assert parabola.quadratic == pytest.approx(1) and parabola.curvature == pytest.approx(1)
+    assert parabola.residual > MAX_RESIDUAL
     with pytest.raises(ValueError, match="three sizes"):
         fit([1, 2, 2], [1, 2, 2])
 
@@ -76,7 +77,7 @@
 
 
 def calm_fits(sizes: tuple[int, ...] = CALM_SIZES) -> tuple[Fit, Fit]:
-    """Messages of the whole fleet, and bytes of one member, a second."""
+    """Messages per second of the whole fleet, and bytes per second of one member."""
     found = [members.count_calm(size, seconds=10, settle_s=25) for size in sizes]
     assert all(count.entries == count.members for count in found)
     return (
@@ -86,11 +87,11 @@
 
 
 def test_calm_members_send_seven_messages_a_second_each_at_any_size() -> None:
-    messages, bytes_each = calm_fits()
+    messages, bytes_per_member_s = calm_fits()
     assert_line(messages, 6.5, 7.2)
-    # a part of the list of up to 64 members is compared every 5 s: its rumours are what grows
-    assert_line(bytes_each, 4.0, 8.0)
-    assert bytes_each.intercept < 450
+    # up to 64 members are compared every 5 s: only these messages grow with the fleet
+    assert_line(bytes_per_member_s, 4.0, 8.0)
+    assert bytes_per_member_s.intercept < 450
 
 
 @pytest.mark.parametrize(
@@ -113,9 +114,9 @@
             ),
         ),
     ],
-    ids=["asks all in each period", "compares with all"],
+    ids=["probes all members in each period", "synchronizes with all members"],
 )
-def test_members_that_talk_to_all_are_caught(
+def test_a_membership_protocol_that_contacts_all_members_is_caught(
     module: ModuleType, name: str, change: tuple[str, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     broken = mutant(module, change)
@@ -125,26 +126,26 @@
         assert_line(messages, 6.5, 7.2)
 
 
-def test_a_death_costs_each_member_a_bounded_rate_and_is_known_in_time() -> None:
+def test_a_death_costs_each_member_a_bounded_rate_and_is_detected_in_time() -> None:
     sizes = (8, 16, 24, 32)
     found = [members.count_death(size, settle_s=20) for size in sizes]
     assert all(count.known_s < 3.5 and count.told_dead == count.members for count in found)
     assert_line(fit(sizes, [count.beyond.messages for count in found]), 30, 45)
-    # one of the dead is asked each second, with the part of the list that it would be in
-    assert max(count.bytes_each for count in found) < 1500
+    # each second one dead member is contacted, with the part of the list that is compared
+    assert max(count.bytes_per_member_s for count in found) < 1500
 
 
-def test_regions_that_lose_each_other_come_together_and_none_dies_of_it() -> None:
+def test_regions_merge_after_a_partition_without_new_deaths() -> None:
     sizes = (7, 14, 28)
     found = [members.count_region_cut(size, settle_s=20) for size in sizes]
     for size, (cut, heal) in zip(sizes, found, strict=True):
         north = sum(zone.startswith("north") for zone in map(counting.zone_of, range(size)))
         assert cut.told_dead == 2 * north * (size - north)
         assert heal.told_dead == 0 and heal.known_s < 6
-        assert heal.bytes_each < 250 * size
+        assert heal.bytes_per_member_s < 250 * size
 
 
-def test_a_lost_zone_is_known_to_the_rest_and_nobody_else_dies() -> None:
+def test_the_loss_of_a_zone_is_detected_and_causes_no_other_death() -> None:
     for size in (14, 28):
         found = members.count_zone_loss(size, seconds=15, settle_s=20)
         lost = size // len(counting.ZONES)
@@ -158,7 +159,7 @@
 
 
 def writer_fits() -> tuple[Fit, Fit, Fit]:
-    """Messages, changes and bytes from a writer to its replicas, by jobs."""
+    """Messages between a writer and its replicas, and changes and bytes to the replicas, by jobs."""
     found = [ledgers.count_writer(jobs) for jobs in JOBS]
     assert all(count.replica_rows == 0 and count.replica_bytes == 0 for count in found)
     return (
@@ -170,16 +171,18 @@
 
 def assert_writer(found: tuple[Fit, Fit, Fit]) -> None:
     messages, changes, size = found
-    assert_line(messages, 17.9, 18.1)  # three changes, three replicas, both ways
+    assert_line(
+        messages, 17.9, 18.1
+    )  # three changes and three replicas, an append and an acknowledgement each
     assert_line(changes, 8.9, 9.1)
     assert_line(size, 2500, 2800)
 
 
-def test_a_job_costs_its_writer_the_same_whatever_came_before() -> None:
+def test_the_cost_of_a_job_does_not_depend_on_earlier_jobs() -> None:
     assert_writer(writer_fits())
 
 
-def test_a_writer_that_sends_its_history_again_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_writer_that_resends_its_whole_log_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     broken = mutant(
         writer,
         ("            if acknowledged > 0:\n", "            if acknowledged < 0:\n"),
@@ -190,39 +193,43 @@
     found = writer_fits()
     with pytest.raises(AssertionError):
         assert_writer(found)
-    assert found[1].bend > 0.5
+    assert found[1].curvature > 0.5
 
 
-def test_a_running_job_is_one_row_at_each_replica() -> None:
+def test_a_running_job_takes_one_row_at_each_replica() -> None:
     found = [ledgers.count_writer(jobs, keep=True) for jobs in JOBS]
     assert_line(fit(JOBS, [count.replica_rows for count in found]), 0.99, 1.01)
     assert_line(fit(JOBS, [count.replica_bytes for count in found]), 440, 480)
 
 
-def test_each_byte_of_a_body_goes_out_six_times() -> None:
+def test_each_byte_of_a_body_is_sent_six_times() -> None:
     sizes = (100, 400, 1600)
     found = [ledgers.count_writer(10, body=size) for size in sizes]
     assert_line(fit(sizes, [count.appends.bytes / count.jobs for count in found]), 5.9, 6.1)
 
 
-def test_a_replica_is_replaced_at_the_cost_of_the_running_jobs() -> None:
+def test_the_cost_of_replacing_a_replica_grows_with_the_running_jobs() -> None:
     found = [ledgers.count_move(running) for running in JOBS]
     assert_line(fit(JOBS, [count.sent.bytes for count in found]), 1400, 2000)
     assert max(count.seconds for count in found) < 1
 
 
-def test_starts_cost_ledgers_the_same_in_a_larger_fleet() -> None:
+def test_the_ledger_cost_of_a_job_start_does_not_grow_with_the_fleet() -> None:
     jobs = (15, 30, 60)
     found = [ledgers.count_starts(number) for number in jobs]
     messages = fit(jobs, [count.ledgers.messages for count in found])
-    # what comes within one turn goes in one message, so that busy writers need fewer for a job
-    assert messages.bend <= BEND and messages.residual <= RESIDUAL and 11 <= messages.slope <= 20, messages
+    # changes of one turn share a message, so that a busy writer sends fewer messages per job
+    assert (
+        messages.curvature <= MAX_CURVATURE
+        and messages.residual <= MAX_RESIDUAL
+        and 11 <= messages.slope <= 20
+    ), messages
     assert_line(fit(jobs, [count.changes for count in found]), 8, 11)
     sizes = (5, 10, 15)
     by_size = [ledgers.count_starts(30, size) for size in sizes]
     each = [count.ledgers.messages / count.jobs for count in by_size]
     assert max(each) < 1.1 * min(each)
-    # a call-back that comes to another dispatcher is asked for at all members
+    # a dispatcher that gets a call-back for a job it does not know asks all members
     assert max(count.takeover.messages / count.jobs / count.dispatchers for count in by_size) < 1.5
 
 
@@ -233,20 +240,20 @@
 
 
 def rows_by_dispatchers() -> Fit:
-    """Rows sent in a window, with the same tenants everywhere."""
+    """Rows sent in a window, by dispatchers; all dispatchers have the same tenants."""
     found = [waits.count_waits(size, 8, windows=1, warm_up=3) for size in DISPATCHERS]
     return fit(DISPATCHERS, [count.tables.items for count in found])
 
 
-def test_rows_of_waits_grow_with_dispatchers_and_with_tenants_alone() -> None:
-    # two collectors of each tenant, three classes; a collector does not send to itself
+def test_rows_of_waits_grow_linearly_with_dispatchers_and_with_tenants() -> None:
+    # each tenant has two collectors and three classes; a collector does not send to itself
     assert_line(rows_by_dispatchers(), 47, 49)
     by_tenants = [waits.count_waits(4, tenants, windows=1, warm_up=3) for tenants in TENANTS]
     assert_line(fit(TENANTS, [c.tables.items + c.answers.items for c in by_tenants]), 35, 37)
     assert_line(fit(TENANTS, [c.tables.bytes + c.answers.bytes for c in by_tenants]), 800, 1000)
 
 
-def test_a_partition_that_sends_all_rows_to_each_collector_is_caught(
+def test_sending_all_rows_to_each_collector_is_caught(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     broken = mutant(
@@ -257,10 +264,10 @@
     found = rows_by_dispatchers()
     with pytest.raises(AssertionError):
         assert_line(found, 47, 49)
-    assert found.bend > 0.5
+    assert found.curvature > 0.5
 
 
-def test_a_table_has_no_more_tenants_than_its_bound() -> None:
+def test_a_table_has_at_most_its_limit_of_tenants() -> None:
     rules = StarvationRules(tenants=8, least_jobs=1 << 30)
     found = [waits.count_waits(3, tenants, windows=1, warm_up=3, rules=rules) for tenants in (8, 16, 32)]
     assert [count.judged for count in found] == [8, 8, 8]
@@ -270,7 +277,7 @@
 # Rollouts
 
 
-def test_a_coordinator_is_told_by_each_member_of_the_workers_that_it_used() -> None:
+def test_each_member_reports_the_workers_it_used_to_the_coordinator() -> None:
     sizes = (4, 8, 16)
     by_members = [rollouts.count_rollout(size, 8) for size in sizes]
     assert_line(fit(sizes, [count.observed.messages / count.seconds for count in by_members]), 0.99, 1.01)
@@ -280,33 +287,35 @@
     assert all(count.commands.messages == count.ledger.messages == 0 for count in by_members)
 
 
-def test_a_dispatcher_that_tells_all_it_ever_saw_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_dispatcher_that_reports_workers_of_earlier_periods_is_caught(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     broken = mutant(
         signals, ("        self._entries = {}\n        self._own_slots = ", "        self._own_slots = ")
     )
-    taken: list[int] = []
+    reported_workers: list[int] = []
     for seconds in (4, 8, 16):
-        told = broken.Signals("a")
+        signal_counts = broken.Signals("a")
         for second in range(seconds):
-            told.attempt_sent(f"worker-{second}", 0, "map", 1, 1.0)
-            observed = told.take_report(0.0)
-        taken.append(len(observed.counts))
-    assert taken == [4, 8, 16]
-    told = signals.Signals("a")
+            signal_counts.attempt_sent(f"worker-{second}", 0, "map", 1, 1.0)
+            observed = signal_counts.take_report(0.0)
+        reported_workers.append(len(observed.counts))
+    assert reported_workers == [4, 8, 16]
+    signal_counts = signals.Signals("a")
     for second in range(16):
-        told.attempt_sent(f"worker-{second}", 0, "map", 1, 1.0)
-        observed = told.take_report(0.0)
+        signal_counts.attempt_sent(f"worker-{second}", 0, "map", 1, 1.0)
+        observed = signal_counts.take_report(0.0)
     assert len(observed.counts) == 1
 
 
-# The list of workers
+# Worker list
 
 
-def test_a_list_grows_by_each_worker_and_a_change_by_those_that_changed() -> None:
+def test_a_list_grows_with_all_workers_and_an_update_with_the_changed_ones() -> None:
     sizes = (25, 50, 100, 200)
     found = [lists.count_list(size) for size in sizes]
     assert_line(fit(sizes, [count.whole_bytes for count in found]), 130, 145)
-    # live weights: every list tells of every worker
+    # with live weights each update contains every worker
     assert_line(fit(sizes, [count.weights_bytes for count in found]), 130, 145)
     assert_line(fit(sizes, [count.entries_told_by_weights for count in found]), 2.99, 3.01)
     assert len({count.one_bytes for count in found}) == 1 and found[0].one_bytes < 250
@@ -316,7 +325,7 @@
 
 
 def probes(sizes: tuple[int, ...] = (25, 50, 100)) -> list[int]:
-    """Probes of four dispatchers over six seconds, by workers."""
+    """Probes sent by four dispatchers in six seconds, by workers."""
     return [decisions.count_decisions(4, size, 2.0).probes for size in sizes]
 
 
@@ -326,23 +335,23 @@
     assert max(found) <= 1.05 * min(found)
 
 
-def test_probes_are_paid_by_jobs_and_not_by_workers() -> None:
+def test_the_number_of_probes_depends_on_jobs_and_not_on_workers() -> None:
     assert_probes(probes())
     sizes = (4, 8, 16)
     by_dispatchers = [decisions.count_decisions(size, 50, 2.0).probes for size in sizes]
     assert_line(fit(sizes, by_dispatchers), 20, 30)
 
 
-def test_probes_of_every_quiet_worker_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def always(self: Any, keep: float = 0.0) -> bool:
+def test_probing_without_a_budget_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+    def always_granted(self: Any, keep: float = 0.0) -> bool:
         return True
 
-    monkeypatch.setattr(probing.ProbeBudget, "take", always)
+    monkeypatch.setattr(probing.ProbeBudget, "take", always_granted)
     with pytest.raises(AssertionError):
         assert_probes(probes())
 
 
-def test_what_a_dispatcher_holds_grows_with_workers_and_with_jobs_out() -> None:
+def test_records_of_a_dispatcher_grow_with_workers_and_with_running_jobs() -> None:
     sizes = (25, 50, 100)
     found = [decisions.count_decisions(1, size, 8.0).records for size in sizes]
     assert [records.workers for records in found] == list(sizes)
@@ -350,8 +359,8 @@
     assert found[0].agenda < 60
 
 
-def test_a_cold_worker_is_planned_for_once_with_each_list() -> None:
-    found = [decisions.agenda_after_cold_lists(cold, 5) for cold in (10, 20, 40)]
+def test_each_list_sets_one_timer_for_a_cold_worker() -> None:
+    found = [decisions.timers_after_cold_lists(cold, 5) for cold in (10, 20, 40)]
     assert_line(fit((10, 20, 40), found), 4.9, 5.1)
 
 
@@ -361,7 +370,7 @@
     assert decisions.count_cold_share(28, 10.0, workers=10).with_a_part == 0.0
 
 
-def test_a_full_fleet_is_looked_through_once_for_each_waiting_job_and_reserve() -> None:
+def test_a_full_fleet_is_scanned_once_for_each_waiting_job_and_reserve() -> None:
     sizes = (25, 50, 100)
     found = [costs.turn_cost(size).full_looks for size in sizes]
     assert_line(fit(sizes, found), 17.99, 18.01)  # nine jobs, two reserves
@@ -381,7 +390,7 @@
     list_bytes=line_of(140.0),
     change_bytes=190,
     start_bytes=line_of(1700.0),
-    stray_bytes=78.0,
+    callback_lookup_bytes=78.0,
     waits_bytes=900.0,
     observed_bytes=line_of(50.0),
     replica_row_bytes=line_of(457.0),
@@ -396,49 +405,51 @@
 )
 
 
-def test_each_line_of_the_target_has_its_verdict() -> None:
+def test_each_requirement_of_the_target_has_its_verdict() -> None:
     found = {one.name: one for one in evaluate(SLOPES, 230)}
-    assert found["worker view, nominal weights"].verdict is Verdict.CARRIED
+    assert found["worker view, nominal weights"].verdict is Verdict.WITHIN_BUDGET
     live = found["worker view, live weights"]
     assert live.verdict is Verdict.OVER_BUDGET
-    assert live.over_by == pytest.approx(140 * 830 / 15_000)
+    assert live.overrun == pytest.approx(140 * 830 / 15_000)
     changed = found["worker view, live weights that have changed alone"]
-    assert changed.over_by == pytest.approx(140 * 140 / 15_000)
-    assert found["worker view, live weights: CPU"].used == pytest.approx(0.0166 / 0.032)
-    assert found["members, calm"].used == pytest.approx(1400 / 15_000)
+    assert changed.overrun == pytest.approx(140 * 140 / 15_000)
+    assert found["worker view, live weights: CPU"].budget_share == pytest.approx(0.0166 / 0.032)
+    assert found["members, calm"].budget_share == pytest.approx(1400 / 15_000)
     assert found["members, a minute after a region cut"].verdict is Verdict.OVER_BUDGET
-    assert found["starts written down"].used == pytest.approx(2 * 1700 * 70 / 230 / 15_000)
-    assert found["running tasks, as connections of clients"].used == pytest.approx(3800 / 542 / 230)
+    assert found["starts written down"].budget_share == pytest.approx(2 * 1700 * 70 / 230 / 15_000)
+    assert found["running tasks, as connections of clients"].budget_share == pytest.approx(3800 / 542 / 230)
     assert found["ledgers while regions are apart"].verdict is Verdict.OVER_BUDGET
-    assert found["a rollout under way, its coordinator"].used == pytest.approx(50 * 3800 / 230 * 229 / 15_000)
+    assert found["a rollout under way, its coordinator"].budget_share == pytest.approx(
+        50 * 3800 / 230 * 229 / 15_000
+    )
     scan = found["jobs that wait while all workers are full"]
-    assert scan.over_by == pytest.approx(0.0166 * (5 + 1 + 140 / 230) / 0.032)
-    memory = found["control, memory"].used
+    assert scan.overrun == pytest.approx(0.0166 * (5 + 1 + 140 / 230) / 0.032)
+    memory = found["control, memory"].budget_share
     assert memory == pytest.approx((32 + (830 + 460) / 1024) / 64)
-    missing = [one.name for one in found.values() if one.verdict is Verdict.NO_MECHANISM]
+    missing = [one.name for one in found.values() if one.verdict is Verdict.UNSUPPORTED]
     assert missing == [
         "configuration in force everywhere",
         "quotas over all dispatchers",
         "urgent work",
         "gangs",
     ]
-    assert all(one.over_by == 0 for one in found.values() if one.verdict is not Verdict.OVER_BUDGET)
+    assert all(one.overrun == 0 for one in found.values() if one.verdict is not Verdict.OVER_BUDGET)
 
 
-def test_too_few_dispatchers_can_not_hold_the_running_tasks() -> None:
+def test_too_few_dispatchers_cannot_hold_the_running_tasks() -> None:
     found = {one.name: one for one in evaluate(SLOPES, 7)}
     held = found["running tasks, as connections of clients"]
-    assert held.verdict is Verdict.OVER_BUDGET and held.over_by == pytest.approx(3800 / 542 / 7)
+    assert held.verdict is Verdict.OVER_BUDGET and held.overrun == pytest.approx(3800 / 542 / 7)
 
 
-def test_sizes_that_failed_are_left_out_of_a_line_and_named_in_the_tables() -> None:
+def test_failed_sizes_are_left_out_of_a_fit_and_listed_in_the_tables() -> None:
     series = next(one for one in summary.SERIES if one.part == "cpu_list")
     runs = [{"size": size, "load": 1.0, "wall_s": 2.0, "found": 0.02 * size} for size in (100, 200, 400)]
     results = {"cpu_list": [*runs, {"size": 800, "load": 9.0, "wall_s": 1.0, "failed": ["MemoryError"]}]}
-    found = summary.line(results, series)
-    assert found is not None and found.most == 400 and found.slope == pytest.approx(0.02)
+    found = summary.fit_series(results, series)
+    assert found is not None and found.max_size == 400 and found.slope == pytest.approx(0.02)
     assert "failed: ['MemoryError']" in tables.sizes(results, "cpu_list")
-    assert summary.line({"cpu_list": runs[:2]}, series) is None
+    assert summary.fit_series({"cpu_list": runs[:2]}, series) is None
     row = next(text for text in tables.slopes(results).splitlines() if text.startswith(f"| {series.name} "))
     assert "100 to 400 (3)" in row
     assert "not measured" in tables.slopes({})
