--- a/ironbarrow/lab/capacity/budget.py
+++ b/ironbarrow/lab/capacity/budget.py
@@ -67,17 +67,15 @@
 class Slopes:
     """Measured costs; a ``Fit`` where a cost grows with a size."""
 
-    member_bytes: (
-        float  # sent by a member per second while nothing fails, at the assumed number of dispatchers
-    )
+    # at the assumed number of dispatchers, sent by a member per second while nothing fails
+    member_bytes: float
     death_bytes: float  # in addition, per member and second, after a death
     heal_bytes: float  # in addition, per member and second, in the minute after a region cut
     list_bytes: Fit  # of an update of all live weights, by workers
     change_bytes: int  # of an update of one worker
     start_bytes: Fit  # of ledger messages in the whole fleet, by job starts
-    callback_lookup_bytes: (
-        float  # of take-over messages per job and member, where a call-back may reach any dispatcher
-    )
+    # of take-over messages per job and member, where a call-back may reach any dispatcher
+    callback_lookup_bytes: float
     waits_bytes: float  # for starvation, sent by a member per second at the assumed number of dispatchers
     observed_bytes: Fit  # of one member's report per second in a rollout, by workers used
     replica_row_bytes: Fit  # held by a replica, by running jobs
