--- a/ironbarrow/lab/scale/parties.py
+++ b/ironbarrow/lab/scale/fleet.py
@@ -44,7 +44,7 @@
     jobs: dict[str, int] = field(default_factory=dict)
 
 
-class Parties:
+class ScaleFleet:
     """Lists, links, loads and processes of one run."""
 
     def __init__(self, loop: Loop, layout: Layout, lives_s: float) -> None:
--- a/ironbarrow/lab/scale/live.py
+++ b/ironbarrow/lab/scale/live.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from types import FrameType
 
+from ironbarrow.lab.scale.fleet import ScaleFleet
 from ironbarrow.lab.scale.layout import Layout
 from ironbarrow.lab.scale.limits import LimitError, Limits
 from ironbarrow.lab.scale.meters import LatenessMeter
-from ironbarrow.lab.scale.parties import Parties
 from ironbarrow.lab.scale.phases import Lengths, Phases
 from ironbarrow.lab.scale.result import Phase, ScaleResult
 from ironbarrow.lab.scale.target import Size
@@ -28,7 +28,7 @@
 
 
 class StartError(Exception):
-    """Parties that did not come up."""
+    """ScaleFleet that did not come up."""
 
 
 class ScaleRun:
@@ -50,7 +50,7 @@
         self._layout.folder.mkdir(parents=True, exist_ok=True)
         self._loop = Loop(self._failed)
         self._fatal: Exception | None = None
-        self._parties = Parties(self._loop, self._layout, self._lengths.whole + _SLACK_S)
+        self._fleet = ScaleFleet(self._loop, self._layout, self._lengths.whole + _SLACK_S)
         self._lateness = LatenessMeter(self._loop)
         self._result = ScaleResult(
             size.name,
@@ -61,7 +61,7 @@
             size.starts_per_second,
             all_met_after_s=-1.0,
             peak_memory_mb=0.0,
-            processes=Parties.process_count(self._layout),
+            processes=ScaleFleet.process_count(self._layout),
             took_s=0.0,
             phases=[],
         )
@@ -73,12 +73,12 @@
         begun = time.monotonic()
         earlier = signal.signal(signal.SIGTERM, self._told_to_stop)
         try:
-            self._parties.start()
+            self._fleet.start()
             self._loop.spawn(self._watch_limits())
             self._loop.spawn(self._play())
             self._loop.run()
         finally:
-            self._parties.close()
+            self._fleet.close()
             self._loop.close()
             signal.signal(signal.SIGTERM, earlier)
         self._result.took_s = time.monotonic() - begun
@@ -104,7 +104,7 @@
     def _watch_limits(self) -> Coroutine[None]:
         while True:
             try:
-                held_mb = self._limits.check([os.getpid(), *self._parties.pids()])
+                held_mb = self._limits.check([os.getpid(), *self._fleet.pids()])
             except LimitError as error:
                 self._stop(str(error))
                 return
@@ -115,10 +115,10 @@
         try:
             yield from self._until_ready()
             yield from self._until_met()
-            self._parties.load.start()
-            self._parties.weights.start()
+            self._fleet.load.start()
+            self._fleet.weights.start()
             yield from sleep(self._loop.now() + int(self._lengths.warm_up * SECOND))
-            phases = Phases(self._parties, self._lateness, self._lengths, self._phase_done)
+            phases = Phases(self._fleet, self._lateness, self._lengths, self._phase_done)
             yield from phases.play()
         except Exception as error:
             self._fatal = error
@@ -133,7 +133,7 @@
 
     def _until_ready(self) -> Coroutine[None]:
         limit = self._loop.now() + _READY_LIMIT
-        while len(self._parties.ready) < len(self._parties.real):
+        while len(self._fleet.ready) < len(self._fleet.real):
             if self._loop.now() > limit:
                 raise StartError(f"not all real dispatchers are ready; see {self._layout.folder}")
             yield from sleep(self._loop.now() + _LOOK_EVERY)
@@ -142,7 +142,7 @@
         """Waits until each hollow dispatcher knows all members, or for so long as that may take."""
         begun = self._loop.now()
         while self._loop.now() < begun + _MEET_LIMIT:
-            reports = (yield from self._parties.collect()).dispatchers
+            reports = (yield from self._fleet.collect()).dispatchers
             states = [report.states for report in reports]
             running = sum(one.dispatchers for one in states)
             least = min((one.least_members for one in states), default=0)
--- a/ironbarrow/lab/scale/measuring.py
+++ b/ironbarrow/lab/scale/measuring.py
@@ -5,9 +5,9 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
+from ironbarrow.lab.scale.fleet import Collected, ScaleFleet
 from ironbarrow.lab.scale.messages import Lateness, MemberNews, States, Traffic
 from ironbarrow.lab.scale.meters import LATE_MS, LatenessMeter, Usage, percentile, usage
-from ironbarrow.lab.scale.parties import Collected, Parties
 from ironbarrow.lab.scale.result import HOLLOW, LEADER, REAL, WORKERS, Held, Phase, Process, Rate, Told
 from ironbarrow.runtime.loop import Coroutine
 
@@ -19,8 +19,8 @@
 class Measurement:
     """One phase, from ``begin`` to ``end``. ``started_at``: ns on the machine's monotonic clock."""
 
-    def __init__(self, parties: Parties, lateness: LatenessMeter, name: str) -> None:
-        self._parties, self._lateness, self.name = parties, lateness, name
+    def __init__(self, fleet: ScaleFleet, lateness: LatenessMeter, name: str) -> None:
+        self._fleet, self._lateness, self.name = fleet, lateness, name
         self.started_at = 0
         self._first_version = 0
         self._usages: dict[str, dict[int, Usage]] = {}
@@ -28,10 +28,10 @@
 
     def begin(self) -> Coroutine[None]:
         """Counts from now on."""
-        yield from self._parties.collect()
+        yield from self._fleet.collect()
         self._lateness.take()
         self._usages = self._usages_now()
-        self._first_version = self._parties.workers.version + 1
+        self._first_version = self._fleet.workers.version + 1
         self.started_at = time.monotonic_ns()
 
     def end(self, ended: frozenset[str] = frozenset()) -> Coroutine[Phase]:
@@ -39,11 +39,11 @@
         ended_at = time.monotonic_ns()
         seconds = (ended_at - self.started_at) / _NS_PER_S
         usages, own_lateness = self._usages_now(), self._lateness.take()
-        self.collected = yield from self._parties.collect()
+        self.collected = yield from self._fleet.collect()
         worst = self._worst_lateness(own_lateness)
-        size = self._parties.layout.size
+        size = self._fleet.layout.size
         running = max(1, sum(report.states.dispatchers for report in self.collected.dispatchers))
-        all_dispatchers = max(1, running + len(self._parties.ready))
+        all_dispatchers = max(1, running + len(self._fleet.ready))
         reports = self.collected.dispatchers
         probes = _sum(report.requests for report in self.collected.workers).get("probes", Traffic())
         return Phase(
@@ -120,7 +120,7 @@
     def _list_told(self, running: int, ended_at: int) -> Told:
         changed_at = {
             version: at
-            for version, at in self._parties.workers.changed_at.items()
+            for version, at in self._fleet.workers.changed_at.items()
             if version >= self._first_version and at <= ended_at - _LIST_SETTLES
         }
         took = [
@@ -133,7 +133,7 @@
 
     def _agent_delay(self, dispatcher: str) -> int:
         """ns until its agent tells of a change: no part of what the program takes."""
-        return self._parties.agents[int(dispatcher[1:])].delay
+        return self._fleet.agents[int(dispatcher[1:])].delay
 
     def _worst_lateness(self, own: Lateness) -> Lateness:
         collected = self.collected
@@ -157,14 +157,14 @@
         own = usage(os.getpid())
         assert own is not None
         return {
-            REAL: self._parties.real_usage(),
-            HOLLOW: self._parties.hollow_usage(),
-            WORKERS: self._parties.worker_usage(),
+            REAL: self._fleet.real_usage(),
+            HOLLOW: self._fleet.hollow_usage(),
+            WORKERS: self._fleet.worker_usage(),
             LEADER: {os.getpid(): own},
         }
 
     def _processes(self, now: dict[str, dict[int, Usage]], seconds: float) -> list[Process]:
-        size = self._parties.layout.size
+        size = self._fleet.layout.size
         parties = {HOLLOW: size.hollow, WORKERS: size.workers}
         return [
             _process(role, parties.get(role, len(found)), self._usages[role], found, seconds)
--- a/ironbarrow/lab/scale/phases.py
+++ b/ironbarrow/lab/scale/phases.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 
 from ironbarrow.lab.scale.children import RealDispatcher
+from ironbarrow.lab.scale.fleet import ScaleFleet
 from ironbarrow.lab.scale.measuring import Measurement
 from ironbarrow.lab.scale.messages import Begin, End, MemberNews, Pause
 from ironbarrow.lab.scale.meters import LatenessMeter
-from ironbarrow.lab.scale.parties import Parties
 from ironbarrow.lab.scale.result import Phase
 from ironbarrow.lab.scale.target import ZONES, region_of, zone_of
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine, Loop, sleep
@@ -46,10 +46,10 @@
     """Plays them one after another. ``done`` is told of each."""
 
     def __init__(
-        self, parties: Parties, lateness: LatenessMeter, lengths: Lengths, done: Callable[[Phase], None]
+        self, fleet: ScaleFleet, lateness: LatenessMeter, lengths: Lengths, done: Callable[[Phase], None]
     ) -> None:
-        self._parties, self._lateness, self._lengths, self._done = parties, lateness, lengths, done
-        self._loop: Loop = parties.loop
+        self._fleet, self._lateness, self._lengths, self._done = fleet, lateness, lengths, done
+        self._loop: Loop = fleet.loop
 
     def play(self) -> Coroutine[None]:
         """All of them."""
@@ -64,7 +64,7 @@
         yield from sleep(self._loop.now() + int(seconds * SECOND))
 
     def _measure(self, name: str) -> Coroutine[Measurement]:
-        made = Measurement(self._parties, self._lateness, name)
+        made = Measurement(self._fleet, self._lateness, name)
         yield from made.begin()
         return made
 
@@ -76,38 +76,38 @@
     # Workers
 
     def _workers_fail(self) -> Coroutine[None]:
-        names = self._spread(self._parties.layout.size.failures)
+        names = self._spread(self._fleet.layout.size.failures)
         measured = yield from self._measure("workers fail")
-        self._parties.tell_workers(End(names))
+        self._fleet.tell_workers(End(names))
         yield from sleep(self._loop.now() + _LISTED_AFTER)
-        self._parties.workers.mark(names, "removed")
+        self._fleet.workers.mark(names, "removed")
         yield from self._sleep(self._lengths.workers - _LISTED_AFTER / SECOND)
         self._done((yield from measured.end()))
         self._workers_back(names)
 
     def _spread(self, count: int) -> list[str]:
         """So many workers, over all zones."""
-        names = self._parties.layout.workers
+        names = self._fleet.layout.workers
         step = max(1, len(names) // count)
         return names[::step][:count]
 
     def _workers_back(self, names: list[str]) -> None:
         """New processes of these workers are listed."""
-        self._parties.tell_workers(Begin(names))
-        entry = self._parties.layout.entry
-        self._parties.workers.change(*(entry(name, time.time_ns()) for name in names))
+        self._fleet.tell_workers(Begin(names))
+        entry = self._fleet.layout.entry
+        self._fleet.workers.change(*(entry(name, time.time_ns()) for name in names))
 
     def _rolling_restart(self) -> Coroutine[None]:
-        names = self._spread(self._parties.layout.size.replaced)
+        names = self._spread(self._fleet.layout.size.replaced)
         measured = yield from self._measure("rolling restart")
         batch = -(-len(names) // _BATCHES)
         pause = self._lengths.rolling / _BATCHES - (_DRAINING + _DOWN) / SECOND
         for start in range(0, len(names), batch):
             some = names[start : start + batch]
-            self._parties.workers.mark(some, "draining")
+            self._fleet.workers.mark(some, "draining")
             yield from sleep(self._loop.now() + _DRAINING)
-            self._parties.tell_workers(End(some))
-            self._parties.workers.mark(some, "removed")
+            self._fleet.tell_workers(End(some))
+            self._fleet.workers.mark(some, "removed")
             yield from sleep(self._loop.now() + _DOWN)
             self._workers_back(some)
             yield from self._sleep(max(0.0, pause))
@@ -116,7 +116,7 @@
     # Dispatchers and workers together
 
     def _rack_lost(self) -> Coroutine[None]:
-        layout = self._parties.layout
+        layout = self._fleet.layout
         workers = self._workers_of(_RACK_ZONE)[: layout.size.rack_workers]
         count = max(1, round(len(workers) * layout.size.dispatchers / layout.size.workers))
         dispatchers = self._hollow_of(_RACK_ZONE)[-count:]
@@ -137,20 +137,20 @@
         self, measured: Measurement, dispatchers: list[str], workers: list[str], seconds: float
     ) -> Coroutine[None]:
         """They stand still and say nothing, as machines without power or behind a dead switch."""
-        parties = self._parties
+        fleet = self._fleet
         lost = frozenset(dispatchers) | {
-            f"d{instance.number}" for instance in parties.real if instance.stands_still
+            f"d{instance.number}" for instance in fleet.real if instance.stands_still
         }
-        parties.load.excluded = {int(name[1:]) for name in lost}
-        parties.tell_dispatchers(Pause(dispatchers))
-        parties.tell_workers(Pause(workers))
+        fleet.load.excluded = {int(name[1:]) for name in lost}
+        fleet.tell_dispatchers(Pause(dispatchers))
+        fleet.tell_workers(Pause(workers))
         since = time.monotonic_ns()
         yield from sleep(self._loop.now() + _LISTED_AFTER)
-        parties.workers.mark(workers, "removed")
+        fleet.workers.mark(workers, "removed")
         yield from self._sleep(seconds - _LISTED_AFTER / SECOND)
         phase = yield from measured.end(lost)
         deaths = [news for news in measured.deaths() if news.subject in lost and news.observer not in lost]
-        observers = parties.layout.size.hollow - len(dispatchers)
+        observers = fleet.layout.size.hollow - len(dispatchers)
         deaths = measured.first_of_each(deaths)
         phase.told.append(measured.told("deaths of members", deaths, since, observers * len(lost)))
         self._done(phase)
@@ -159,10 +159,10 @@
         self, name: str, dispatchers: list[str], workers: list[str], seconds: float
     ) -> Coroutine[None]:
         """New processes of all that were lost. ``seconds``: how long is measured; 0: that is no phase."""
-        parties = self._parties
+        fleet = self._fleet
         measured = yield from self._measure(name)
         lost = frozenset(dispatchers) | {
-            f"d{instance.number}" for instance in parties.real if instance.stands_still
+            f"d{instance.number}" for instance in fleet.real if instance.stands_still
         }
         since = time.monotonic_ns()
         yield from self._start_again(dispatchers, workers)
@@ -175,7 +175,7 @@
             for news in measured.member_news()
             if news.health == "alive" and news.subject in lost and news.observer not in lost
         ]
-        observers = parties.layout.size.hollow - len(dispatchers)
+        observers = fleet.layout.size.hollow - len(dispatchers)
         what = "members known that are back"
         alive = measured.first_of_each(alive)
         phase.told.append(measured.told(what, alive, since, observers * len(lost)))
@@ -183,22 +183,22 @@
         self._done(phase)
 
     def _start_again(self, dispatchers: list[str], workers: list[str]) -> Coroutine[None]:
-        parties = self._parties
-        stopped = [instance for instance in parties.real if instance.stands_still]
+        fleet = self._fleet
+        stopped = [instance for instance in fleet.real if instance.stands_still]
         for instance in stopped:
             instance.kill()
-        parties.tell_dispatchers(End(dispatchers))
-        parties.tell_dispatchers(Begin(dispatchers))
-        parties.tell_workers(End(workers))
+        fleet.tell_dispatchers(End(dispatchers))
+        fleet.tell_dispatchers(Begin(dispatchers))
+        fleet.tell_workers(End(workers))
         self._workers_back(workers)
         for instance in stopped:
             while instance.pid is not None:
                 yield from sleep(self._loop.now() + _LOOKS_FOR_END)
             instance.start()
-        parties.load.excluded = set()
+        fleet.load.excluded = set()
 
     def _note_members(self, phase: Phase) -> None:
-        expected = self._parties.layout.size.dispatchers
+        expected = self._fleet.layout.size.dispatchers
         if phase.held.least_members < expected:
             phase.notes.append(f"at the end one knew {phase.held.least_members} of {expected} members")
 
@@ -206,7 +206,7 @@
 
     def _regions_apart(self) -> Coroutine[None]:
         measured = yield from self._measure("regions apart")
-        self._parties.cut_regions(True)
+        self._fleet.cut_regions(True)
         since = time.monotonic_ns()
         yield from self._sleep(self._lengths.cut)
         phase = yield from measured.end()
@@ -223,7 +223,7 @@
 
     def _regions_together(self) -> Coroutine[None]:
         measured = yield from self._measure("regions together again")
-        self._parties.cut_regions(False)
+        self._fleet.cut_regions(False)
         since = time.monotonic_ns()
         yield from self._sleep(self._lengths.heal)
         phase = yield from measured.end()
@@ -242,7 +242,7 @@
 
     def _pairs_apart(self) -> int:
         """Views of members across regions, by hollow dispatchers."""
-        layout = self._parties.layout
+        layout = self._fleet.layout
         regions = [region_of(zone_of(n)) for n in layout.numbers]
         return sum(sum(region != regions[observer] for region in regions) for observer in layout.hollow)
 
@@ -253,11 +253,11 @@
         return region_of(zone_of(int(name[1:])))
 
     def _hollow_of(self, zone: str) -> list[str]:
-        return [f"d{n}" for n in self._parties.layout.hollow if zone_of(n) == zone]
+        return [f"d{n}" for n in self._fleet.layout.hollow if zone_of(n) == zone]
 
     def _workers_of(self, zone: str) -> list[str]:
-        layout = self._parties.layout
+        layout = self._fleet.layout
         return [name for name in layout.workers if layout.worker_zone(name) == zone]
 
     def _real_of(self, zone: str) -> list[RealDispatcher]:
-        return [instance for instance in self._parties.real if zone_of(instance.number) == zone]
+        return [instance for instance in self._fleet.real if zone_of(instance.number) == zone]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -24,6 +24,7 @@
 from ironbarrow.lab.live.wire import HttpClient
 from ironbarrow.lab.model.discovery import Entry
 from ironbarrow.lab.scale.discovery import DispatcherAgent, RegionLines, WorkerList
+from ironbarrow.lab.scale.fleet import Collected
 from ironbarrow.lab.scale.hollow_dispatchers import Counts, HollowMember, LoopGroup
 from ironbarrow.lab.scale.hollow_workers import Party, dispatcher_of
 from ironbarrow.lab.scale.kinds import KINDS, kind_of
@@ -39,7 +40,6 @@
     WorkersSpec,
 )
 from ironbarrow.lab.scale.meters import LATE_MS, LatenessMeter, memory_total_mb, percentile, usage
-from ironbarrow.lab.scale.parties import Collected
 from ironbarrow.lab.scale.phases import Lengths
 from ironbarrow.lab.scale.result import (
     HOLLOW,
