--- a/ironbarrow/lab/scale/__init__.py
+++ b/ironbarrow/lab/scale/__init__.py
@@ -1,1 +1,2 @@
-"""Live scale runs: a few real processes beside many hollow dispatchers and workers, on loopback sockets."""
+"""Scale runs: a few real dispatcher processes with many hollow dispatchers and workers, on loopback
+sockets."""
--- a/ironbarrow/lab/scale/children.py
+++ b/ironbarrow/lab/scale/children.py
@@ -1,4 +1,4 @@
-"""The processes of a scale run as its leader has them: hollow parties by pipes, real ones by signals."""
+"""The leader's handles of the child processes: hollow ones are controlled by pipes, real ones by signals."""
 
 import os
 import subprocess
@@ -13,19 +13,19 @@
 from ironbarrow.lab.scale.messages import Command, Report, Stop
 from ironbarrow.runtime.loop import READ, SECOND, Coroutine, Loop, Wait
 
-_CHUNK = 1 << 20
-_REPORT_LIMIT = 30 * SECOND
-_ENDS_WITHIN_S = 3.0
+_READ_BYTES = 1 << 20
+_REPORT_TIMEOUT = 30 * SECOND
+_EXIT_TIMEOUT_S = 3.0
 
 ReportT = TypeVar("ReportT", bound=msgspec.Struct)
 
 
 class ChildError(Exception):
-    """A process of hollow parties that has ended, or does not answer."""
+    """A process of hollow dispatchers or workers has ended or does not answer."""
 
 
 class Child(Generic[ReportT]):
-    """A process of hollow parties, and the names of those that live in it."""
+    """A process of hollow dispatchers or workers. ``names``: those that it runs."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
     ) -> None:
         self._loop, self.label, self.names = loop, label, names
         self._decoder = msgspec.json.Decoder(report)
-        self._data = bytearray()
+        self._buffer = bytearray()
         path = folder / f"{label}.json"
         path.write_bytes(msgspec.json.encode(spec))
         with (folder / f"{label}.log").open("ab") as log:
@@ -57,11 +57,11 @@
 
     @property
     def pid(self) -> int:
-        """Of the process."""
+        """The process id."""
         return self._process.pid
 
-    def tell(self, command: Command) -> None:
-        """Gives an order; a ChildError if the process has ended."""
+    def send(self, command: Command) -> None:
+        """Sends a command; raises ChildError if the process has ended."""
         try:
             self._input.write(msgspec.json.encode(command) + b"\n")
             self._input.flush()
@@ -69,28 +69,29 @@
             raise ChildError(f"{self.label} has ended: {error}; see its log") from None
 
     def report(self) -> Coroutine[ReportT]:
-        """What it has counted since the last report; a ChildError if it does not answer."""
-        self.tell(Report())
-        until = self._loop.now() + _REPORT_LIMIT
-        while b"\n" not in self._data:
+        """Requests and returns the counts since the last report; raises ChildError if there is no answer in
+        30 s."""
+        self.send(Report())
+        until = self._loop.now() + _REPORT_TIMEOUT
+        while b"\n" not in self._buffer:
             if not (yield Wait(self._output.fileno(), READ, until)):
-                raise ChildError(f"{self.label} gives no report")
+                raise ChildError(f"{self.label} sent no report within 30 s")
             try:
-                data = os.read(self._output.fileno(), _CHUNK)
+                data = os.read(self._output.fileno(), _READ_BYTES)
             except BlockingIOError:
                 continue
             if not data:
                 raise ChildError(f"{self.label} has ended; see its log")
-            self._data += data
-        line, _, rest = bytes(self._data).partition(b"\n")
-        self._data = bytearray(rest)
+            self._buffer += data
+        line, _, rest = bytes(self._buffer).partition(b"\n")
+        self._buffer = bytearray(rest)
         return self._decoder.decode(line)
 
     def close(self) -> None:
-        """Ends the process and waits for that."""
+        """Ends the process and waits for it; kills it after 3 s."""
         try:
-            self.tell(Stop())
-            self._process.wait(_ENDS_WITHIN_S)
+            self.send(Stop())
+            self._process.wait(_EXIT_TIMEOUT_S)
         except (ChildError, subprocess.TimeoutExpired):
             self._process.kill()
             self._process.wait()
@@ -102,7 +103,7 @@
 
 
 class RealDispatcher(Instance):
-    """A ``serve`` process with a fleet file, and with the teams as its tenants."""
+    """A ``serve`` process with a fleet file and the layout's settings, in which teams are tenants."""
 
     layout: Layout
 
--- a/ironbarrow/lab/scale/hollow_dispatchers.py
+++ b/ironbarrow/lab/scale/hollow_dispatchers.py
@@ -1,7 +1,7 @@
-"""A process with many hollow dispatchers: the whole program as an object each, without clients of its own.
+"""Runs many hollow dispatchers in one process, each the complete program as an object.
 
-Each has a loop of its own, so that one can be stopped or ended as a process would be; one poll over all loops
-runs those that have something to do.
+Each has its own event loop, so that it can be paused or ended like a process; one epoll over all loops runs
+those that have work.
 
     python -m ironbarrow.lab.scale.hollow_dispatchers SPEC.json
 """
@@ -25,7 +25,7 @@
 from ironbarrow.fleet.file import Fleet
 from ironbarrow.fleet.service import FleetService
 from ironbarrow.fleet.takeover.participant import FleetParticipant
-from ironbarrow.lab.scale.control import Control
+from ironbarrow.lab.scale.control import CommandReader
 from ironbarrow.lab.scale.kinds import kind_of
 from ironbarrow.lab.scale.messages import (
     AnyCommand,
@@ -35,11 +35,11 @@
     DispatchersReport,
     DispatchersSpec,
     End,
-    ListNews,
-    MemberNews,
+    ListUpdate,
+    MemberUpdate,
     Pause,
     Report,
-    States,
+    StateTotals,
     Traffic,
 )
 from ironbarrow.lab.scale.meters import LatenessMeter
@@ -47,30 +47,30 @@
 from ironbarrow.runtime.loop import Loop
 
 
-class Counts:
-    """What the hollow dispatchers of this process have sent, received and learnt since the last report."""
+class Counters:
+    """Messages and membership and list updates of this process's hollow dispatchers since the last report."""
 
     def __init__(self, real: list[str]) -> None:
         self._real = frozenset(real)
-        self.cut = False  # between regions
-        self.clear()
+        self.cut = False  # whether the regions are partitioned
+        self.reset()
 
-    def clear(self) -> None:
-        """Begins anew."""
+    def reset(self) -> None:
+        """Resets all counts."""
         self.sent: dict[str, Traffic] = defaultdict(Traffic)
         self.sent_by_type: dict[str, Traffic] = defaultdict(Traffic)
         self.received: dict[str, Traffic] = defaultdict(Traffic)
         self.from_real: dict[str, Traffic] = defaultdict(Traffic)
-        self.member_news: list[MemberNews] = []
-        self.list_news: list[ListNews] = []
+        self.member_news: list[MemberUpdate] = []
+        self.list_news: list[ListUpdate] = []
 
-    def note_sent(self, message: type[Message], size: int) -> None:
-        """A message was written out."""
+    def count_sent(self, message: type[Message], size: int) -> None:
+        """Counts an encoded message."""
         self.sent[kind_of(message)].add(size)
         self.sent_by_type[message.__name__].add(size)
 
-    def note_received(self, sender: str, kind: str, size: int) -> None:
-        """A message came in."""
+    def count_received(self, sender: str, kind: str, size: int) -> None:
+        """Counts a received message."""
         self.received[kind].add(size)
         if sender in self._real:
             self.from_real[kind].add(size)
@@ -79,21 +79,21 @@
 class CountingCodec(Codec):
     """Counts messages and bytes by kind as they are encoded and decoded."""
 
-    def __init__(self, counts: Counts) -> None:
+    def __init__(self, counters: Counters) -> None:
         super().__init__(())
-        self._counts = counts
+        self._counters = counters
 
     def encode(self, sender: Incarnation, to_start: int, message: Message) -> bytes:
-        """One frame, counted."""
+        """Encodes and counts a message."""
         data = super().encode(sender, to_start, message)
-        self._counts.note_sent(type(message), len(data))
+        self._counters.count_sent(type(message), len(data))
         return data
 
     def decode(self, frame: bytes) -> tuple[Incarnation, int, Message] | None:
-        """What a frame holds, counted."""
+        """Decodes and counts a frame."""
         found = super().decode(frame)
         if found is not None:
-            self._counts.note_received(found[0].name, kind_of(type(found[2])), len(frame))
+            self._counters.count_received(found[0].name, kind_of(type(found[2])), len(frame))
         return found
 
 
@@ -103,16 +103,18 @@
 
 
 class HollowMember(FleetService):
-    """A member whose messages to and from the other region are dropped while regions are apart."""
+    """A member that drops messages to and from the other region while the regions are partitioned."""
 
-    def __init__(self, loop: Loop, fleet: Fleet, name: str, site: str, front: str, *, counts: Counts) -> None:
-        self._counts = counts
+    def __init__(
+        self, loop: Loop, fleet: Fleet, name: str, site: str, front: str, *, counters: Counters
+    ) -> None:
+        self._counters = counters
         self._region = region_of_name(name)
-        super().__init__(loop, fleet, name, site, front, codec=CountingCodec(counts))
-        self.subscribe(self._note)
+        super().__init__(loop, fleet, name, site, front, codec=CountingCodec(counters))
+        self.subscribe(self._on_event)
 
     def _is_cut_from(self, name: str) -> bool:
-        return self._counts.cut and region_of_name(name) != self._region
+        return self._counters.cut and region_of_name(name) != self._region
 
     def _send(self, action: Send) -> None:
         if not self._is_cut_from(action.to.name):
@@ -122,18 +124,18 @@
         if not self._is_cut_from(sender.name):
             super()._received(sender, to_start, message)
 
-    def _note(self, news: FleetEvent) -> None:
+    def _on_event(self, news: FleetEvent) -> None:
         if isinstance(news, MemberChanged):
             life, health = news.member.card.incarnation, news.member.health.value
             now = time.monotonic_ns()
-            self._counts.member_news.append(MemberNews(now, self.name, life.name, life.start, health))
+            self._counters.member_news.append(MemberUpdate(now, self.name, life.name, life.start, health))
 
 
 class HollowDispatcher(Dispatcher):
-    """The whole program, with a member that can be cut off and is counted."""
+    """The complete program with a ``HollowMember``, whose messages are counted and can be cut off."""
 
-    def __init__(self, config: Config, counts: Counts) -> None:
-        self._counts, self._name = counts, config.name
+    def __init__(self, config: Config, counters: Counters) -> None:
+        self._counters, self._name = counters, config.name
         super().__init__(config)
 
     def _join_fleet(self, config: Config, path: Path) -> None:
@@ -145,16 +147,16 @@
             config.name,
             config.settings.zone,
             self.listener.getsockname()[:2],
-            make_service=partial(HollowMember, counts=self._counts),
+            make_service=partial(HollowMember, counters=self._counters),
         )
         self.server.fleet_jobs = self.fleet.adapter
 
     def _on_worker_list(self, news: api.WorkerList) -> None:
         super()._on_worker_list(news)
-        self._counts.list_news.append(ListNews(time.monotonic_ns(), self._name, news.version))
+        self._counters.list_news.append(ListUpdate(time.monotonic_ns(), self._name, news.version))
 
-    def add_states(self, states: States) -> None:
-        """Adds what this dispatcher holds."""
+    def add_states(self, states: StateTotals) -> None:
+        """Adds the sizes of this dispatcher's state."""
         members = len(self.fleet.service.members.alive())
         replica = self.fleet.ledgers.replica
         states.least_members = min(states.least_members, members) if states.dispatchers else members
@@ -167,7 +169,7 @@
 
 
 class LoopGroup:
-    """Runs many loops in one thread, until the first one is stopped."""
+    """Runs many loops in one thread until the leading one is stopped."""
 
     def __init__(self, leading: Loop) -> None:
         self._leading = leading
@@ -176,17 +178,17 @@
         self.add(leading)
 
     def add(self, loop: Loop) -> None:
-        """Runs this one too."""
+        """Adds a loop."""
         self._loops[loop.fileno()] = loop
         self._epoll.register(loop.fileno(), select.EPOLLIN)
 
     def remove(self, loop: Loop) -> None:
-        """Runs this one no more; harmless if it was not run."""
+        """Removes a loop, which then stands still; does nothing if it is not in the group."""
         if self._loops.pop(loop.fileno(), None) is not None:
             self._epoll.unregister(loop.fileno())
 
     def run(self) -> None:
-        """Until the leading loop is stopped."""
+        """Runs the loops until the leading one is stopped."""
         while not self._leading.stopped:
             wait = min(loop.poll_timeout_s() for loop in self._loops.values())
             ready = {fd for fd, _ in self._epoll.poll(wait)}
@@ -195,11 +197,11 @@
                     loop.run_once(wait=False)
 
 
-class Party:
-    """The hollow dispatchers of this process."""
+class HollowDispatcherProcess:
+    """The hollow dispatchers of this process, and their control."""
 
     def __init__(self, spec: DispatchersSpec) -> None:
-        self._counts = Counts(spec.real)
+        self._counters = Counters(spec.real)
         self._specs = {one.name: one for one in spec.dispatchers}
         self._running: dict[str, HollowDispatcher] = {}
         self._paused: set[str] = set()
@@ -207,25 +209,25 @@
         self.loop = Loop(self._failed)
         self._group = LoopGroup(self.loop)
         self._lateness = LatenessMeter(self.loop)
-        Control(self.loop, self._carry_out, spec.lives_s)
+        CommandReader(self.loop, self._execute, spec.lives_s)
         for one in spec.dispatchers:
-            self._begin(one)
+            self._start(one)
 
     def _failed(self, error: Exception) -> None:
         self._errors += 1
         print(f"control failed: {error!r}", file=sys.stderr, flush=True)
 
     def run(self) -> None:
-        """Until the process is told to stop."""
+        """Runs the dispatchers until the leading loop is stopped, then ends them."""
         self._group.run()
         for name in list(self._running):
             self._end(name)
 
-    def _begin(self, spec: DispatcherSpec) -> None:
+    def _start(self, spec: DispatcherSpec) -> None:
         config = load({"BALANCER_CONFIG": spec.config, "BALANCER_FLEET": spec.fleet})
-        made = HollowDispatcher(config, self._counts)
-        self._running[spec.name] = made
-        self._group.add(made.loop)
+        dispatcher = HollowDispatcher(config, self._counters)
+        self._running[spec.name] = dispatcher
+        self._group.add(dispatcher.loop)
 
     def _end(self, name: str) -> None:
         self._paused.discard(name)
@@ -234,58 +236,58 @@
             self._group.remove(ended.loop)
             ended.close()
 
-    def _carry_out(self, command: AnyCommand) -> DispatchersReport | None:
+    def _execute(self, command: AnyCommand) -> DispatchersReport | None:
         match command:
             case CutRegions():
-                self._counts.cut = command.cut
+                self._counters.cut = command.cut
             case Pause():
-                for name in self._mine(command.names):
+                for name in self._running_of(command.names):
                     self._group.remove(self._running[name].loop)
                     self._paused.add(name)
             case End():
-                for name in self._mine(command.names):
+                for name in self._running_of(command.names):
                     self._end(name)
             case Begin():
                 for name in command.names:
                     if name in self._specs and name not in self._running:
-                        self._begin(self._specs[name])
+                        self._start(self._specs[name])
             case Report():
                 return self._report()
         return None
 
-    def _mine(self, names: list[str]) -> list[str]:
+    def _running_of(self, names: list[str]) -> list[str]:
         return [name for name in names if name in self._running]
 
     def _report(self) -> DispatchersReport:
         lateness = self._lateness.take()
-        states = States()
+        states = StateTotals()
         for name, dispatcher in self._running.items():
             if name not in self._paused:
                 dispatcher.add_states(states)
-        counts = self._counts
+        counters = self._counters
         report = DispatchersReport(
             lateness,
-            dict(counts.sent),
-            dict(counts.received),
-            dict(counts.from_real),
-            counts.member_news,
-            counts.list_news,
+            dict(counters.sent),
+            dict(counters.received),
+            dict(counters.from_real),
+            counters.member_news,
+            counters.list_news,
             states,
             self._errors,
-            dict(counts.sent_by_type),
+            dict(counters.sent_by_type),
         )
-        counts.clear()
+        counters.reset()
         return report
 
 
 def main() -> None:
-    """The process of one party."""
+    """Runs the hollow dispatchers of a specification file."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR),
         logger_factory=structlog.WriteLoggerFactory(file=sys.stderr),
     )
     spec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=DispatchersSpec)
-    Party(spec).run()
+    HollowDispatcherProcess(spec).run()
 
 
 if __name__ == "__main__":
--- a/ironbarrow/lab/scale/kinds.py
+++ b/ironbarrow/lab/scale/kinds.py
@@ -1,14 +1,14 @@
-"""The kinds of messages between members, as the numbers of ``fleet.api.Message.KIND`` are dealt out."""
+"""Kinds of messages between members, by the number ranges of ``fleet.api.Message.KIND``."""
 
 from ironbarrow.fleet.api import Message
 
 MEMBERS, LEDGERS, TAKEOVER, ROLLOUTS, WAITS = "members", "ledgers", "take-over", "rollouts", "tables of waits"
 KINDS = (MEMBERS, LEDGERS, TAKEOVER, ROLLOUTS, WAITS)
-_NUMBERS_OF_A_KIND = 20
+_NUMBERS_PER_KIND = 20
 _OTHER = "other"
 
 
 def kind_of(message: type[Message]) -> str:
-    """The part of the fleet to which a kind of message belongs."""
-    place = message.KIND // _NUMBERS_OF_A_KIND
-    return KINDS[place] if place < len(KINDS) else _OTHER
+    """The part of the fleet protocol that a message type belongs to."""
+    index = message.KIND // _NUMBERS_PER_KIND
+    return KINDS[index] if index < len(KINDS) else _OTHER
--- a/ironbarrow/lab/scale/layout.py
+++ b/ironbarrow/lab/scale/layout.py
@@ -1,4 +1,4 @@
-"""Names, addresses and files of all parties of a scale run."""
+"""Names, addresses and files of all dispatchers and workers of a scale run."""
 
 import json
 import os
@@ -13,9 +13,9 @@
 from ironbarrow.runtime.sockets import Address
 
 FRONT_PORT, FLEET_PORT = 9000, 9100
-_DISPATCHERS_FROM, _WORKERS_FROM, _SECOND_BYTES = 16, 176, 40  # second bytes of 127.0.0.0/8
+_FIRST_DISPATCHER_NET, _FIRST_WORKER_NET, _NETS = 16, 176, 40  # second bytes of 127.0.0.0/8
 _FIRST_WORKER_PORT = 10_000
-_SEEDS_A_ZONE = 2
+_SEEDS_PER_ZONE = 2
 _SOCKETS = 1024
 SLOTS = -(-RUNNING_TASKS // WORKERS)  # of a worker, rounded up
 CORES = ACCELERATORS / WORKERS
@@ -26,15 +26,15 @@
 
 
 class Layout:
-    """Where everything of one run is. ``folder``: takes the files."""
+    """Addresses, names and settings of one run. ``folder``: for its files."""
 
     def __init__(self, size: Size, folder: Path) -> None:
         self.size, self.folder = size, folder
-        # addresses of this run's own on the loopback net, outside of those that live runs reserve
-        # (``lab.live.ports``); ports of outgoing connections are elsewhere
-        third = 1 + os.getpid() % 200
-        self._net = f"127.{_DISPATCHERS_FROM + os.getpid() // 200 % _SECOND_BYTES}.{third}"
-        self._worker_net = f"127.{_WORKERS_FROM + os.getpid() // 200 % _SECOND_BYTES}.{third}"
+        # each run has its own loopback addresses, outside of those that live runs reserve
+        # (``lab.live.ports``); the ports are not among those of outgoing connections
+        third_byte = 1 + os.getpid() % 200
+        self._net = f"127.{_FIRST_DISPATCHER_NET + os.getpid() // 200 % _NETS}.{third_byte}"
+        self._worker_net = f"127.{_FIRST_WORKER_NET + os.getpid() // 200 % _NETS}.{third_byte}"
         self.world = self._world()
 
     def _world(self) -> spec.World:
@@ -68,17 +68,17 @@
 
     @property
     def numbers(self) -> range:
-        """Of all dispatchers, the real ones first."""
+        """Numbers of all dispatchers, the real ones first."""
         return range(self.size.dispatchers)
 
     @property
     def real(self) -> range:
-        """Numbers of those with a process of their own."""
+        """Numbers of the dispatchers with a process of their own."""
         return range(self.size.real)
 
     @property
     def hollow(self) -> range:
-        """Numbers of the others."""
+        """Numbers of the hollow dispatchers."""
         return range(self.size.real, self.size.dispatchers)
 
     def host(self, number: int) -> str:
@@ -86,11 +86,11 @@
         return f"{self._net}.{number + 1}"
 
     def front(self, number: int) -> Address:
-        """Where a dispatcher takes jobs and call-backs."""
+        """A dispatcher's address for jobs and call-backs."""
         return self.host(number), FRONT_PORT
 
     def member(self, number: int) -> Address:
-        """Where the other members reach a dispatcher."""
+        """A dispatcher's address for other members."""
         return self.host(number), FLEET_PORT
 
     @property
@@ -105,9 +105,9 @@
         return {**settings_object(self.world, number), "realms": teams}
 
     def write_config(self, number: int, discovery: Address, known: dict[str, object]) -> Path:
-        """The configuration file of a hollow dispatcher."""
+        """Writes a hollow dispatcher's configuration file and returns its path."""
         path = self.folder / f"d{number}.json"
-        said = {
+        config = {
             "name": f"d{number}",
             "listen": "{}:{}".format(*self.front(number)),
             "discovery": "{}:{}".format(*discovery),
@@ -116,18 +116,18 @@
             "known": known,
             "settings": self.settings(number),
         }
-        path.write_text(json.dumps(said))
+        path.write_text(json.dumps(config))
         return path
 
     def fleet_text(self, number: int, routes: dict[str, str]) -> str:
-        """The fleet file of a dispatcher: the usual rules, waits compared for all teams, and two seeds of
-        each zone. ``routes``: where it finds members that are not reached at their own addresses."""
-        seeds = [other for other in self.numbers[: _SEEDS_A_ZONE * len(ZONES)] if other != number]
-        found = {f"d{other}": "{}:{}".format(*self.member(other)) for other in seeds} | routes
+        """A dispatcher's fleet file: default rules, comparison of waits for all teams, and two seeds from
+        each zone. ``routes``: addresses of members that are reached through a relay, by name."""
+        seeds = [other for other in self.numbers[: _SEEDS_PER_ZONE * len(ZONES)] if other != number]
+        addresses = {f"d{other}": "{}:{}".format(*self.member(other)) for other in seeds} | routes
         lines = [
             f"listen = {json.dumps('{}:{}'.format(*self.member(number)))}",
             f"site = {json.dumps(zone_of(number))}",
-            f"seeds = {json.dumps([f'{name}={address}' for name, address in sorted(found.items())])}",
+            f"seeds = {json.dumps([f'{name}={address}' for name, address in sorted(addresses.items())])}",
             "[starvation]",
             f"tenants = {max(64, self.size.teams)}",
             "[routes]",
@@ -136,7 +136,7 @@
         return "\n".join(lines) + "\n"
 
     def write_fleet_file(self, number: int) -> Path:
-        """The fleet file of a hollow dispatcher."""
+        """Writes a hollow dispatcher's fleet file and returns its path."""
         path = self.folder / f"d{number}.fleet.toml"
         path.write_text(self.fleet_text(number, {}))
         return path
@@ -154,14 +154,14 @@
         return zone_of(int(name[1:]))
 
     def worker_address(self, name: str, region: str) -> str:
-        """Where a region's dispatchers find a worker."""
+        """A worker's address for a region's dispatchers."""
         port = _FIRST_WORKER_PORT + int(name[1:])
         return f"{self._worker_net}.{1 + REGIONS.index(region)}:{port}"
 
     def worker_addresses(self, region: str) -> dict[str, str]:
-        """Where a region's dispatchers find all of them."""
+        """The addresses of all workers for a region's dispatchers, by name."""
         return {name: self.worker_address(name, region) for name in self.workers}
 
     def entry(self, name: str, since: int = 0) -> Entry:
-        """A worker's line as it is at first, or after a start at that time (ns of Unix time)."""
+        """A worker's initial entry, or the entry after a start at ``since`` (ns of Unix time)."""
         return Entry(name, self.worker_zone(name), "", float(SLOTS), since=since)
--- a/ironbarrow/lab/scale/load.py
+++ b/ironbarrow/lab/scale/load.py
@@ -1,4 +1,5 @@
-"""Jobs at an even rate through all dispatchers, and changes of weights that as many starts and ends make."""
+"""Generates jobs at a constant rate through all dispatchers, and weight changes as from their starts and
+ends."""
 
 import random
 from collections import Counter
@@ -11,14 +12,15 @@
 from ironbarrow.runtime.loop import SECOND, Coroutine, Loop, sleep
 
 WEIGHT_PERIOD = SECOND
-_MOST_HELD = 2  # jobs that the weights tell of, so that workers are neither all free nor full
+# jobs at a worker that its weight reflects, so that workers are neither all idle nor all full
+_MAX_HELD_JOBS = 2
 _BODY = b"x" * 200
 _TIME_LEFT_MS = 30_000
-_SLACK = 2 * SECOND
+_ANSWER_GRACE = 2 * SECOND
 
 
-class Load:
-    """The clients. What becomes of jobs is counted in ``outcomes``."""
+class LoadGenerator:
+    """Sends jobs as the clients would, and counts their outcomes in ``outcomes``."""
 
     def __init__(self, loop: Loop, layout: Layout, seed: int) -> None:
         self._loop, self._layout = loop, layout
@@ -30,20 +32,20 @@
         self.excluded: set[int] = set()  # dispatchers that get no new jobs
 
     def start(self) -> None:
-        """Jobs are sent from now on."""
+        """Starts sending jobs."""
         self._loop.spawn(self._send_jobs())
 
     def stop(self) -> None:
-        """No new ones."""
+        """Stops sending jobs."""
         self._stopped = True
 
     def close(self) -> None:
-        """Lets go of all connections."""
+        """Closes all connections."""
         for client in self._clients:
             client.close()
 
     def take_outcomes(self) -> dict[str, int]:
-        """Jobs that ended since the last call, by how."""
+        """Numbers of jobs ended since the last call, by outcome."""
         taken = dict(self.outcomes)
         self.outcomes.clear()
         return taken
@@ -59,16 +61,16 @@
             due += int(SECOND / self._layout.size.starts_per_second)
 
     def _send(self, number: int, serial: int) -> Coroutine[None]:
-        cls = CLASSES[self._random.random() < BOOKING_SHARE]
+        job_class = CLASSES[self._random.random() < BOOKING_SHARE]
         headers = [
             ("X-Request-ID", f"j-{number}-{serial}"),
             ("X-Timeout-Ms", str(_TIME_LEFT_MS)),
             ("X-Tenant-ID", self._random.choice(self._layout.teams)),
         ]
-        until = self._loop.now() + _TIME_LEFT_MS * SECOND // 1000 + _SLACK
+        until = self._loop.now() + _TIME_LEFT_MS * SECOND // 1000 + _ANSWER_GRACE
         try:
             answer = yield from self._clients[number].exchange(
-                "POST", f"/{cls}/{serial}", headers, _BODY, until
+                "POST", f"/{job_class}/{serial}", headers, _BODY, until
             )
         except ConnectionEndedError:
             self.outcomes["no answer"] += 1
@@ -78,21 +80,23 @@
 
 
 class LiveWeights:
-    """Tells new weights each second, of as many workers as starts and ends of jobs would change. Which ones
-    and to what is drawn: the list does not know where jobs run."""
+    """Changes weights each second, of about as many workers as job starts and ends would change.
+
+    Workers and weights are drawn at random, since the worker list does not know where jobs run.
+    """
 
     def __init__(self, loop: Loop, layout: Layout, workers: WorkerList, seed: int) -> None:
         self._loop, self._workers = loop, workers
         self._random = random.Random(seed)
-        self._changes = max(1, round(2 * layout.size.list_starts_per_second))  # each job starts and ends
+        self._changes = max(1, round(2 * layout.size.list_starts_per_second))  # each job starts and ends once
         self._stopped = False
 
     def start(self) -> None:
-        """Weights change from now on."""
+        """Starts changing weights."""
         self._loop.spawn(self._change())
 
     def stop(self) -> None:
-        """No more."""
+        """Stops changing weights."""
         self._stopped = True
 
     def _change(self) -> Coroutine[None]:
@@ -108,5 +112,5 @@
                 self._workers.change(*changed)
 
     def _weight(self) -> float:
-        held = self._random.uniform(0, _MOST_HELD)
+        held = self._random.uniform(0, _MAX_HELD_JOBS)
         return round(SLOTS / (1 + held / CORES), 3)
--- a/ironbarrow/lab/scale/measuring.py
+++ b/ironbarrow/lab/scale/measuring.py
@@ -1,4 +1,4 @@
-"""From counts of all processes to the figures of one phase."""
+"""Computes the measured values of one phase from the counts of all processes."""
 
 import os
 import time
@@ -6,18 +6,28 @@
 from collections.abc import Iterable
 
 from ironbarrow.lab.scale.fleet import Collected, ScaleFleet
-from ironbarrow.lab.scale.messages import Lateness, MemberNews, States, Traffic
+from ironbarrow.lab.scale.messages import Lateness, MemberUpdate, StateTotals, Traffic
 from ironbarrow.lab.scale.meters import LATE_MS, LatenessMeter, Usage, percentile, usage
-from ironbarrow.lab.scale.result import HOLLOW, LEADER, REAL, WORKERS, Held, Phase, Process, Rate, Told
+from ironbarrow.lab.scale.result import (
+    HOLLOW,
+    LEADER,
+    REAL,
+    WORKERS,
+    Phase,
+    Process,
+    PropagationTime,
+    Rate,
+    StateSizes,
+)
 from ironbarrow.runtime.loop import Coroutine
 
 _NS_PER_MS = 1e6
 _NS_PER_S = 1e9
-_LIST_SETTLES = 2_000_000_000  # ns: changes of the list in the last 2 s of a phase are not counted
+_LIST_SETTLE_NS = 2_000_000_000  # changes of the worker list in the last 2 s of a phase are not counted
 
 
 class Measurement:
-    """One phase, from ``begin`` to ``end``. ``started_at``: ns on the machine's monotonic clock."""
+    """Measures one phase, from ``begin`` to ``end``. ``started_at``: ns on the machine's monotonic clock."""
 
     def __init__(self, fleet: ScaleFleet, lateness: LatenessMeter, name: str) -> None:
         self._fleet, self._lateness, self.name = fleet, lateness, name
@@ -27,7 +37,7 @@
         self.collected = Collected()
 
     def begin(self) -> Coroutine[None]:
-        """Counts from now on."""
+        """Starts the measurement."""
         yield from self._fleet.collect()
         self._lateness.take()
         self._usages = self._usages_now()
@@ -35,7 +45,8 @@
         self.started_at = time.monotonic_ns()
 
     def end(self, ended: frozenset[str] = frozenset()) -> Coroutine[Phase]:
-        """The phase's figures. ``ended``: dispatchers that were stopped or ended in it on purpose."""
+        """Ends the measurement and returns the phase. ``ended``: dispatchers that the phase itself paused or
+        ended, whose deaths are not false ones."""
         ended_at = time.monotonic_ns()
         seconds = (ended_at - self.started_at) / _NS_PER_S
         usages, own_lateness = self._usages_now(), self._lateness.take()
@@ -59,80 +70,83 @@
             discovery=_rates(self.collected.discovery, all_dispatchers * seconds),
             probes=_rate("probes", probes, all_dispatchers * seconds),
             processes=self._processes(usages, seconds),
-            told=[self._list_told(running, ended_at)],
-            held=_held(report.states for report in reports),
+            told=[self._list_propagation_time(running, ended_at)],
+            held=_mean_state_sizes(report.states for report in reports),
             jobs=self.collected.jobs,
             late_p99_by_role_ms=self._lateness_by_role(own_lateness),
             false_deaths=sum(
-                news.subject not in ended and news.observer not in ended for news in self.deaths()
+                update.subject not in ended and update.observer not in ended for update in self.deaths()
             ),
             replaced_incarnations=len(self._replaced_incarnations()),
             sent_by_type=_rates(_sum(report.sent_by_type for report in reports), running * seconds),
         )
 
-    def member_news(self) -> Iterable[MemberNews]:
-        """What hollow dispatchers have learnt of each other in this phase."""
+    def member_updates(self) -> Iterable[MemberUpdate]:
+        """Membership changes that hollow dispatchers saw in this phase."""
         for report in self.collected.dispatchers:
             yield from report.member_news
 
-    def deaths(self) -> list[MemberNews]:
-        """News of deaths, but for those of incarnations that a later one of the same member has followed."""
+    def deaths(self) -> list[MemberUpdate]:
+        """Deaths, without those of incarnations that a later one of the same member has replaced."""
         latest = self._latest_incarnations()
         return [
-            news
-            for news in self.member_news()
-            if news.health == "dead" and news.start >= latest.get((news.observer, news.subject), 0)
+            update
+            for update in self.member_updates()
+            if update.health == "dead" and update.start >= latest.get((update.observer, update.subject), 0)
         ]
 
     def _replaced_incarnations(self) -> set[tuple[str, int]]:
-        """Lives that have been followed by a later one, by name and start."""
+        """Incarnations that a later one has replaced, by name and start."""
         latest = self._latest_incarnations()
         return {
-            (news.subject, news.start)
-            for news in self.member_news()
-            if news.start < latest.get((news.observer, news.subject), 0)
+            (update.subject, update.start)
+            for update in self.member_updates()
+            if update.start < latest.get((update.observer, update.subject), 0)
         }
 
     def _latest_incarnations(self) -> dict[tuple[str, str], int]:
-        """The latest incarnation that each observer holds alive, by member."""
+        """The start of the latest incarnation seen alive, by observer and member."""
         found: dict[tuple[str, str], int] = {}
-        for news in self.member_news():
-            if news.health == "alive":
-                key = (news.observer, news.subject)
-                found[key] = max(news.start, found.get(key, 0))
+        for update in self.member_updates():
+            if update.health == "alive":
+                key = (update.observer, update.subject)
+                found[key] = max(update.start, found.get(key, 0))
         return found
 
-    def told(self, what: str, news: Iterable[MemberNews], since: int, expected: int) -> Told:
-        """How long these news took from a time on the monotonic clock, ns."""
-        return _told(what, [(one.at - since) / _NS_PER_MS for one in news], expected)
+    def propagation_time(
+        self, what: str, updates: Iterable[MemberUpdate], since: int, expected: int
+    ) -> PropagationTime:
+        """How long these updates took from ``since``, ns on the monotonic clock."""
+        return _propagation_time(what, [(one.at - since) / _NS_PER_MS for one in updates], expected)
 
-    def first_of_each(self, news: Iterable[MemberNews]) -> list[MemberNews]:
-        """The first news of each member at each observer."""
-        found: dict[tuple[str, str], MemberNews] = {}
-        for one in news:
+    def first_of_each(self, updates: Iterable[MemberUpdate]) -> list[MemberUpdate]:
+        """The first update for each pair of observer and member."""
+        found: dict[tuple[str, str], MemberUpdate] = {}
+        for one in updates:
             found.setdefault((one.observer, one.subject), one)
         return list(found.values())
 
-    def last_of_each(self, news: Iterable[MemberNews]) -> list[MemberNews]:
-        """The last news of each member at each observer."""
-        return list({(one.observer, one.subject): one for one in news}.values())
+    def last_of_each(self, updates: Iterable[MemberUpdate]) -> list[MemberUpdate]:
+        """The last update for each pair of observer and member."""
+        return list({(one.observer, one.subject): one for one in updates}.values())
 
-    def _list_told(self, running: int, ended_at: int) -> Told:
+    def _list_propagation_time(self, running: int, ended_at: int) -> PropagationTime:
         changed_at = {
             version: at
             for version, at in self._fleet.workers.changed_at.items()
-            if version >= self._first_version and at <= ended_at - _LIST_SETTLES
+            if version >= self._first_version and at <= ended_at - _LIST_SETTLE_NS
         }
         took = [
-            (news.at - changed_at[news.version] - self._agent_delay(news.observer)) / _NS_PER_MS
+            (update.at - changed_at[update.version] - self._agent_delay(update.observer)) / _NS_PER_MS
             for report in self.collected.dispatchers
-            for news in report.list_news
-            if news.version in changed_at
+            for update in report.list_news
+            if update.version in changed_at
         ]
-        return _told("changes of the list of workers", took, len(changed_at) * running)
+        return _propagation_time("changes of the list of workers", took, len(changed_at) * running)
 
     def _agent_delay(self, dispatcher: str) -> int:
-        """ns until its agent tells of a change: no part of what the program takes."""
+        """The configured delay of a dispatcher's discovery agent, ns; subtracted since it is not the
+        program's."""
         return self._fleet.agents[int(dispatcher[1:])].delay
 
     def _worst_lateness(self, own: Lateness) -> Lateness:
@@ -175,7 +189,7 @@
 def _process(
     role: str, parties: int, before: dict[int, Usage], after: dict[int, Usage], seconds: float
 ) -> Process:
-    """Of processes that ran all the time."""
+    """Measured values of the processes that ran during the whole phase."""
     both = [pid for pid in after if pid in before]
     percents = [100 * (after[pid].cpu_s - before[pid].cpu_s) / seconds for pid in both] or [0.0]
     resident = [after[pid].resident_mb for pid in both] or [0.0]
@@ -209,15 +223,17 @@
     return [_rate(kind, found, party_seconds) for kind, found in sorted(traffic.items())]
 
 
-def _told(what: str, took_ms: list[float], expected: int) -> Told:
+def _propagation_time(what: str, took_ms: list[float], expected: int) -> PropagationTime:
     last = max(took_ms, default=0.0)
-    return Told(what, percentile(took_ms, 0.5), percentile(took_ms, 0.99), last, len(took_ms), expected)
+    return PropagationTime(
+        what, percentile(took_ms, 0.5), percentile(took_ms, 0.99), last, len(took_ms), expected
+    )
 
 
-def _held(states: Iterable[States]) -> Held:
+def _mean_state_sizes(states: Iterable[StateTotals]) -> StateSizes:
     found = [one for one in states if one.dispatchers]
     count = max(1, sum(one.dispatchers for one in found))
-    return Held(
+    return StateSizes(
         members=sum(one.members for one in found) / count,
         least_members=min((one.least_members for one in found), default=0),
         workers=sum(one.workers for one in found) / count,
--- a/ironbarrow/lab/scale/messages.py
+++ b/ironbarrow/lab/scale/messages.py
@@ -1,4 +1,5 @@
-"""What the process that leads a scale run and those with the hollow parties say to each other: JSON lines."""
+"""Messages between the leader of a scale run and its processes of hollow dispatchers and workers: JSON
+lines."""
 
 from typing import Union
 
@@ -7,7 +8,7 @@
 
 
 class Lateness(Struct, frozen=True):
-    """How late a process was against its own schedule, ms."""
+    """Lateness of a process against its own schedule, ms."""
 
     p50_ms: float
     p99_ms: float
@@ -15,54 +16,54 @@
 
 
 class Traffic(Struct):
-    """Messages and bytes of one kind."""
+    """Number and bytes of messages of one kind."""
 
     messages: int = 0
     bytes: int = 0
 
     def add(self, size: int) -> None:
-        """One more message."""
+        """Counts one message of ``size`` bytes."""
         self.messages += 1
         self.bytes += size
 
 
-# Orders
+# Commands
 
 
 class Command(Struct, frozen=True, tag=True):
-    """An order to a process of hollow parties."""
+    """A command to a process of hollow dispatchers or workers."""
 
 
 class CutRegions(Command, frozen=True):
-    """From now on nothing passes between regions, or everything does again."""
+    """Partitions the regions, or ends the partition."""
 
     cut: bool
 
 
 class Pause(Command, frozen=True):
-    """These parties stand still: their connections stay open and say nothing."""
+    """Makes these dispatchers or workers unresponsive; their connections stay open."""
 
     names: list[str]
 
 
 class End(Command, frozen=True):
-    """These parties end at once, and their connections with them."""
+    """Ends these dispatchers or workers and their connections at once."""
 
     names: list[str]
 
 
 class Begin(Command, frozen=True):
-    """These parties begin again, with nothing left of what they knew."""
+    """Starts these dispatchers or workers again, without their earlier state."""
 
     names: list[str]
 
 
 class Report(Command, frozen=True):
-    """Tell what was counted since the last report."""
+    """Requests a report of the counts since the last one."""
 
 
 class Stop(Command, frozen=True):
-    """The process ends."""
+    """Ends the process."""
 
 
 AnyCommand = Union[CutRegions, Pause, End, Begin, Report, Stop]  # noqa: UP007 - the decoder wants a union
@@ -71,52 +72,52 @@
 # Reports
 
 
-class MemberNews(Struct, frozen=True, array_like=True):
-    """A hollow dispatcher has learnt of another's health."""
+class MemberUpdate(Struct, frozen=True, array_like=True):
+    """A hollow dispatcher saw another member's health change."""
 
     at: int  # ns on the machine's monotonic clock
     observer: str
     subject: str
-    start: int  # of the incarnation that is meant
+    start: int  # of the subject's incarnation
     health: str
 
 
-class ListNews(Struct, frozen=True, array_like=True):
-    """A hollow dispatcher has taken in a version of the list of workers."""
+class ListUpdate(Struct, frozen=True, array_like=True):
+    """A hollow dispatcher applied a version of the worker list."""
 
     at: int  # ns on the machine's monotonic clock
     observer: str
     version: int
 
 
-class States(Struct):
-    """What the hollow dispatchers of a process hold, added up."""
+class StateTotals(Struct):
+    """Sizes of the state of a process's hollow dispatchers, added up."""
 
     dispatchers: int = 0
     members: int = 0
-    least_members: int = 0  # at any one of them
+    least_members: int = 0  # the least that any of them knows
     workers: int = 0
-    segments: int = 0  # of ledgers that they keep for others
+    segments: int = 0  # of other members' ledgers, held as replicas
     segment_entries: int = 0
     segment_bytes: int = 0
 
 
 class DispatchersReport(Struct):
-    """What a process of hollow dispatchers has counted. ``from_real``: of ``received``, from real ones."""
+    """Counts of a process of hollow dispatchers. ``from_real``: the part of ``received`` from real ones."""
 
     lateness: Lateness
     sent: dict[str, Traffic] = {}
     received: dict[str, Traffic] = {}
     from_real: dict[str, Traffic] = {}
-    member_news: list[MemberNews] = []
-    list_news: list[ListNews] = []
-    states: States = msgspec.field(default_factory=States)
+    member_news: list[MemberUpdate] = []
+    list_news: list[ListUpdate] = []
+    states: StateTotals = msgspec.field(default_factory=StateTotals)
     errors: int = 0
-    sent_by_type: dict[str, Traffic] = {}  # the same as ``sent``, by type of message
+    sent_by_type: dict[str, Traffic] = {}  # ``sent`` by type of message
 
 
 class WorkersReport(Struct):
-    """What a process of hollow workers has counted: requests and their answers, and call-backs."""
+    """Counts of a process of hollow workers: requests with their answers, and call-backs."""
 
     lateness: Lateness
     requests: dict[str, Traffic] = {}
@@ -126,11 +127,11 @@
     errors: int = 0
 
 
-# What a process is told at its start
+# Specifications of processes
 
 
 class DispatcherSpec(Struct, frozen=True):
-    """One hollow dispatcher: its files."""
+    """One hollow dispatcher: its name and the paths of its files."""
 
     name: str
     config: str
@@ -142,11 +143,11 @@
 
     dispatchers: list[DispatcherSpec]
     real: list[str]  # names of dispatchers with a process of their own
-    lives_s: float  # the process ends by itself after so long
+    lives_s: float  # the process ends by itself after this time
 
 
 class WorkerSpec(Struct, frozen=True):
-    """One hollow worker; ``addresses``: where each region reaches it, ``host:port``."""
+    """One hollow worker; ``addresses``: its address ``host:port`` for each region."""
 
     name: str
     zone: str
@@ -157,7 +158,7 @@
     """The hollow workers of a process."""
 
     workers: list[WorkerSpec]
-    fronts: list[str]  # of the dispatchers, by number
+    fronts: list[str]  # addresses of the dispatchers for call-backs, by number
     slots: int
-    job_s: float  # how long a job runs
+    job_s: float  # duration of a job
     lives_s: float
--- a/ironbarrow/lab/scale/result.py
+++ b/ironbarrow/lab/scale/result.py
@@ -1,4 +1,4 @@
-"""What a scale run has found, as typed data, as JSON and as the tables of a page."""
+"""Results of a scale run as typed data, as JSON and as Markdown tables."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -9,21 +9,21 @@
 from ironbarrow.lab.scale.meters import LATE_MS
 from ironbarrow.lab.scale.target import CPU_BUDGET_PERCENT, MEMORY_BUDGET_MB, TRAFFIC_BUDGET_BYTES
 
-LATE = "late"  # in place of a figure
+LATE = "late"  # shown in place of a value
 REAL, HOLLOW, WORKERS = "real dispatcher", "hollow dispatchers", "hollow workers"  # roles of processes
 LEADER = "lists and jobs"
 
 
 class Rate(Struct):
-    """Messages and bytes a second of one kind, for one dispatcher."""
+    """Messages and bytes per second of one kind, for one dispatcher."""
 
     kind: str
     messages: float
     bytes: float
 
 
-class Told(Struct):
-    """How long news took, from the change to those that had to hear it. ``told`` of ``expected`` did."""
+class PropagationTime(Struct):
+    """How long a change took until its recipients saw it. ``told`` of ``expected`` recipients did."""
 
     what: str
     p50_ms: float
@@ -34,12 +34,12 @@
 
 
 class Process(Struct):
-    """What the processes of a role spent. For real dispatchers each figure is of one process."""
+    """Resource usage of the processes of a role. For real dispatchers each value is of one process."""
 
     role: str
     processes: int
-    parties: int  # dispatchers or workers in all of them
-    cpu_percent_mean: float  # of one core, a process
+    parties: int  # dispatchers or workers in these processes
+    cpu_percent_mean: float  # of one core, per process
     cpu_percent_most: float
     resident_mb_mean: float
     resident_mb_most: float
@@ -47,8 +47,8 @@
     resident_mbs: list[float] = []
 
 
-class Held(Struct):
-    """What a dispatcher holds, the mean over hollow ones."""
+class StateSizes(Struct):
+    """Sizes of a dispatcher's state, the mean over hollow ones."""
 
     members: float
     least_members: int
@@ -59,11 +59,11 @@
 
 
 class Phase(Struct):
-    """One part of a run: calm, or one kind of fault."""
+    """One part of a run: without faults, or with one kind of fault."""
 
     name: str
     seconds: float
-    late: bool  # then its figures are the generator's
+    late: bool  # the generator was late, so that the values are not the program's
     late_p50_ms: float
     late_p99_ms: float
     load_average: float
@@ -73,12 +73,12 @@
     discovery: list[Rate]  # to a dispatcher
     probes: Rate  # by a dispatcher, requests and answers
     processes: list[Process]
-    told: list[Told]
-    held: Held
+    told: list[PropagationTime]
+    held: StateSizes
     jobs: dict[str, int]
-    false_deaths: int  # told of members that ran and could be reached
-    # incarnations that were given up for a later one of the same process, or followed by it
-    replaced_incarnations: int = msgspec.field(name="replaced_lives")  # the key of results that are kept
+    false_deaths: int  # seen of members that ran and were reachable
+    # incarnations that a later one of the same process has replaced
+    replaced_incarnations: int = msgspec.field(name="replaced_lives")  # the key in stored results
     late_p99_by_role_ms: dict[str, float] = {}
     notes: list[str] = []
     sent_by_type: list[Rate] = []  # by a hollow dispatcher, by type of message
@@ -93,12 +93,13 @@
     real: int
     teams: int
     starts_per_second: float
-    all_met_after_s: float  # from when the real ones were ready until each knew all members; below 0: never
+    # from the readiness of the real dispatchers until all members were known; negative: never
+    all_met_after_s: float
     peak_memory_mb: float
     processes: int
     took_s: float
     phases: list[Phase]
-    stopped: str = ""  # why it ended before its time
+    stopped: str = ""  # the reason why it ended early
     errors: int = 0
 
     @property
@@ -108,18 +109,18 @@
 
     @property
     def calm(self) -> Phase | None:
-        """The calm phase, if it was played."""
+        """The phase without faults; None if it was not run."""
         return next((phase for phase in self.phases if phase.name == "calm"), None)
 
 
 def write(result: ScaleResult, path: Path) -> None:
-    """The result as a JSON file, indented."""
+    """Writes a result as an indented JSON file."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
 
 
 def read(path: Path) -> ScaleResult:
-    """A result that was written."""
+    """Reads a result file."""
     return msgspec.json.decode(path.read_bytes(), type=ScaleResult)
 
 
@@ -127,10 +128,10 @@
 
 
 def tables(results: list[ScaleResult]) -> str:
-    """All tables of a page, as Markdown."""
+    """All tables as Markdown."""
     ordered = sorted(results, key=lambda result: result.dispatchers)
     parts = [_runs_table(ordered), _calm_table(ordered), _budget_table(ordered), _phases_table(ordered)]
-    parts.append(_told_table(ordered))
+    parts.append(_propagation_table(ordered))
     return "\n\n".join(parts) + "\n"
 
 
@@ -162,27 +163,29 @@
 
 
 def _calm_table(results: list[ScaleResult]) -> str:
-    head = ["a dispatcher, calm", *(_size_head(result) for result in results)]
+    head = ["a dispatcher, calm", *(_size_heading(result) for result in results)]
     calm = [result.calm for result in results]
     rows = []
-    picks: list[tuple[str, Callable[[Phase], list[Rate]]]] = [
+    sections: list[tuple[str, Callable[[Phase], list[Rate]]]] = [
         ("sent", lambda phase: phase.sent),
         ("received", lambda phase: phase.received),
         ("sent by a real one to hollow ones", lambda phase: phase.from_real),
         ("list of workers", lambda phase: phase.discovery),
     ]
-    for title, pick in picks:
-        kinds = sorted({rate.kind for phase in calm if phase is not None for rate in pick(phase)})
+    for title, select_rates in sections:
+        kinds = sorted({rate.kind for phase in calm if phase is not None for rate in select_rates(phase)})
         for kind in kinds:
             cells = []
             for phase in calm:
-                found = [rate for rate in pick(phase) if rate.kind == kind] if phase is not None else []
-                cells.append(_shown(phase, _rate(found[0])) if found else "-")
+                found = (
+                    [rate for rate in select_rates(phase) if rate.kind == kind] if phase is not None else []
+                )
+                cells.append(_cell(phase, _rate(found[0])) if found else "-")
             rows.append([f"{title}: {kind}", *cells])
     rows.append(
-        ["probes, with answers", *(_shown(phase, _rate(phase.probes)) if phase else "-" for phase in calm)]
+        ["probes, with answers", *(_cell(phase, _rate(phase.probes)) if phase else "-" for phase in calm)]
     )
-    values: list[tuple[str, Callable[[Held], float]]] = [
+    values: list[tuple[str, Callable[[StateSizes], float]]] = [
         ("members known", lambda held: held.members),
         ("workers known", lambda held: held.workers),
         ("segments kept for others", lambda held: held.segments),
@@ -190,17 +193,17 @@
         ("bytes of them", lambda held: held.segment_bytes),
     ]
     for title, value in values:
-        rows.append([title, *(_shown(phase, f"{value(phase.held):.0f}") if phase else "-" for phase in calm)])
+        rows.append([title, *(_cell(phase, f"{value(phase.held):.0f}") if phase else "-" for phase in calm)])
     return "Messages a second; bytes a second:\n\n" + _table(head, rows)
 
 
-def _size_head(result: ScaleResult) -> str:
-    mark = " (late)" if result.calm is not None and result.calm.late else ""
-    return f"{result.size}{mark}"
+def _size_heading(result: ScaleResult) -> str:
+    suffix = " (late)" if result.calm is not None and result.calm.late else ""
+    return f"{result.size}{suffix}"
 
 
-def _shown(phase: Phase | None, text: str) -> str:
-    """Figures of a late phase are the generator's, and not shown as the program's."""
+def _cell(phase: Phase | None, text: str) -> str:
+    """The text of a cell; ``LATE`` for a late phase, whose values are not the program's."""
     if phase is None:
         return "-"
     return LATE if phase.late else text
@@ -211,7 +214,7 @@
 
 
 def control_bytes(phase: Phase) -> float:
-    """Bytes a second that a dispatcher sends and receives for control: members, ledgers, lists, probes."""
+    """Bytes per second that a dispatcher sends and receives for control: members, ledgers, lists, probes."""
     rates = [*phase.sent, *phase.received, *phase.discovery, phase.probes]
     return sum(rate.bytes for rate in rates)
 
@@ -223,7 +226,7 @@
 
 
 def _budget_table(results: list[ScaleResult]) -> str:
-    head = ["calm, against the budget", *(_size_head(result) for result in results), "budget"]
+    head = ["calm, against the budget", *(_size_heading(result) for result in results), "budget"]
     rows: list[list[str]] = [[title] for title in _BUDGET_TITLES]
     for result in results:
         phase = result.calm
@@ -256,12 +259,12 @@
     real, hollow = _role(phase, REAL), _role(phase, HOLLOW)
     if phase is None or real is None or hollow is None:
         return ["-"] * len(_BUDGET_TITLES)
-    a_hollow_one = hollow.cpu_percent_mean * hollow.processes / max(1, hollow.parties)
+    per_hollow_dispatcher = hollow.cpu_percent_mean * hollow.processes / max(1, hollow.parties)
     return [
-        _shown(phase, f"{real.cpu_percent_mean:.1f} ({real.cpu_percent_most:.1f})"),
-        _shown(phase, f"{real.resident_mb_mean:.0f} ({real.resident_mb_most:.0f})"),
-        _shown(phase, f"{a_hollow_one:.2f}"),
-        _shown(phase, f"{control_bytes(phase):.0f}"),
+        _cell(phase, f"{real.cpu_percent_mean:.1f} ({real.cpu_percent_most:.1f})"),
+        _cell(phase, f"{real.resident_mb_mean:.0f} ({real.resident_mb_most:.0f})"),
+        _cell(phase, f"{per_hollow_dispatcher:.2f}"),
+        _cell(phase, f"{control_bytes(phase):.0f}"),
         f"{phase.late_p50_ms:.1f} / {phase.late_p99_ms:.1f}",
         f"{phase.load_average:.1f}",
     ]
@@ -283,7 +286,7 @@
 
 def _phase_row(result: ScaleResult, phase: Phase) -> list[str]:
     real = _role(phase, REAL)
-    figures = [
+    cells = [
         f"{sum(rate.bytes for rate in phase.sent):.0f}",
         f"{sum(rate.bytes for rate in phase.discovery):.0f}",
         f"{real.cpu_percent_mean:.1f}" if real else "-",
@@ -296,27 +299,30 @@
         result.size,
         phase.name,
         f"{phase.seconds:.0f}",
-        *(_shown(phase, figure) for figure in figures),
+        *(_cell(phase, cell) for cell in cells),
         f"{phase.late_p50_ms:.1f} / {phase.late_p99_ms:.1f}",
         f"{phase.load_average:.1f}",
     ]
 
 
-def _told_table(results: list[ScaleResult]) -> str:
+def _propagation_table(results: list[ScaleResult]) -> str:
     head = ["size", "phase", "what", "p50, ms", "p99, ms", "last, ms", "told of expected", "late by p99, ms"]
     rows = [
-        _told_row(result, phase, told) for result in results for phase in result.phases for told in phase.told
+        _propagation_row(result, phase, told)
+        for result in results
+        for phase in result.phases
+        for told in phase.told
     ]
     return _table(head, rows)
 
 
-def _told_row(result: ScaleResult, phase: Phase, told: Told) -> list[str]:
-    figures = [f"{told.p50_ms:.0f}", f"{told.p99_ms:.0f}", f"{told.last_ms:.0f}"]
+def _propagation_row(result: ScaleResult, phase: Phase, told: PropagationTime) -> list[str]:
+    cells = [f"{told.p50_ms:.0f}", f"{told.p99_ms:.0f}", f"{told.last_ms:.0f}"]
     return [
         result.size,
         phase.name,
         told.what,
-        *(_shown(phase, figure) for figure in figures),
+        *(_cell(phase, cell) for cell in cells),
         f"{told.told} of {told.expected}" if told.expected else str(told.told),
         f"{phase.late_p99_ms:.1f}",
     ]
--- a/ironbarrow/lab/scale/target.py
+++ b/ironbarrow/lab/scale/target.py
@@ -1,13 +1,13 @@
-"""The size that the fleet is expected to reach, and the parts of it at which a scale run is played."""
+"""The expected size of the fleet, and the fractions of it that scale runs use."""
 
 import math
 from dataclasses import dataclass
 from fractions import Fraction
 
-# What is expected, in whole
+# Expected size
 WORKERS = 830
 ACCELERATORS = 2_000
-DISPATCHERS = 230  # assumed: as many as the largest trials of the program have had
+DISPATCHERS = 230  # assumed: the size of the largest runs
 TEAMS = 290
 RUNNING_TASKS = 3_800
 STARTS_PER_SECOND = 70.0  # at the peak
@@ -15,12 +15,12 @@
 REPLACED_WORKERS = 250  # machines restarted or replaced in a day
 RACK_WORKERS = 40  # assumed: workers that one rack holds
 
-# What one dispatcher may spend for control
+# Budgets of one dispatcher for control traffic and its processing
 CPU_BUDGET_PERCENT = 3.2  # of one core
 MEMORY_BUDGET_MB = 64.0
-TRAFFIC_BUDGET_BYTES = 15_000.0  # a second
+TRAFFIC_BUDGET_BYTES = 15_000.0  # per second
 
-# Where it runs: zones by region. They do not shrink with the size.
+# Regions and zones, the same at every size
 REGIONS = ("north", "south")
 ZONES = ("north-1", "north-2", "north-3", "north-4", "south-1", "south-2", "south-3")
 
@@ -33,36 +33,36 @@
 
 
 def region_of(zone: str) -> str:
-    """The region in which a zone is."""
+    """The region of a zone."""
     return zone.partition("-")[0]
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """A fleet of a part of the expected size."""
+    """A fleet at a fraction of the expected size."""
 
     name: str
     workers: int
     dispatchers: int
-    real: int  # of the dispatchers, those that are processes of their own
+    real: int  # dispatchers with a process of their own
     teams: int
-    starts_per_second: float  # that are sent
-    list_starts_per_second: float  # that the weights in the list tell of
+    starts_per_second: float  # of jobs that are sent
+    list_starts_per_second: float  # that the weight changes correspond to
     failures: int
     rack_workers: int
     replaced: int
 
     @property
     def hollow(self) -> int:
-        """Dispatchers that share processes."""
+        """Number of dispatchers that share processes."""
         return self.dispatchers - self.real
 
 
 def size_of(name: str, dispatchers: int = 0, real: int = 8) -> Size:
-    """The fleet of one of ``SIZES``; a KeyError for another name.
+    """The fleet of one of ``SIZES``; raises KeyError for another name.
 
-    ``dispatchers``: another number of them than that size has, each with its part of the jobs, so that one
-    thing grows at a time.
+    ``dispatchers``: their number, in place of the size's own; each keeps its rate of jobs. That varies one
+    dimension at a time.
     """
     part = SIZES[name]
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Live scale runs: their bounds, what hollow workers say, results and tables, and one tiny run."""
+"""Scale runs: limits, hollow workers and dispatchers, results and tables, and one small run."""
 
 import json
 import os
@@ -23,10 +23,10 @@
 from ironbarrow.fleet.takeover.messages import JobAnswer
 from ironbarrow.lab.live.wire import HttpClient
 from ironbarrow.lab.model.discovery import Entry
-from ironbarrow.lab.scale.discovery import DispatcherAgent, RegionLines, WorkerList
+from ironbarrow.lab.scale.discovery import DispatcherAgent, RegionFeed, WorkerList
 from ironbarrow.lab.scale.fleet import Collected
-from ironbarrow.lab.scale.hollow_dispatchers import Counts, HollowMember, LoopGroup
-from ironbarrow.lab.scale.hollow_workers import Party, dispatcher_of
+from ironbarrow.lab.scale.hollow_dispatchers import Counters, HollowMember, LoopGroup
+from ironbarrow.lab.scale.hollow_workers import HollowWorkerProcess, dispatcher_of
 from ironbarrow.lab.scale.kinds import KINDS, kind_of
 from ironbarrow.lab.scale.limits import LimitError, Limits
 from ironbarrow.lab.scale.live import ScaleRun
@@ -34,22 +34,22 @@
 from ironbarrow.lab.scale.messages import (
     DispatchersReport,
     Lateness,
-    MemberNews,
+    MemberUpdate,
     Traffic,
     WorkerSpec,
     WorkersSpec,
 )
 from ironbarrow.lab.scale.meters import LATE_MS, LatenessMeter, memory_total_mb, percentile, usage
-from ironbarrow.lab.scale.phases import Lengths
+from ironbarrow.lab.scale.phases import PhaseDurations
 from ironbarrow.lab.scale.result import (
     HOLLOW,
     REAL,
-    Held,
     Phase,
     Process,
+    PropagationTime,
     Rate,
     ScaleResult,
-    Told,
+    StateSizes,
     control_bytes,
     read,
     tables,
@@ -78,7 +78,7 @@
 # Sizes
 
 
-def test_sizes_are_the_whole_fleet_and_its_parts():
+def test_sizes_are_the_whole_fleet_and_fractions_of_it():
     assert [size_of(name).dispatchers for name in SIZES] == [29, 58, 115, 230]
     assert [size_of(name).workers for name in SIZES] == [104, 208, 415, 830]
     whole = size_of("whole")
@@ -86,18 +86,18 @@
     assert whole.hollow == 222
 
 
-def test_dispatchers_may_grow_alone():
+def test_the_number_of_dispatchers_can_be_set_alone():
     few = size_of("whole", dispatchers=23)
     assert (few.name, few.workers, few.dispatchers, few.teams) == ("whole-23d", 830, 23, 290)
-    assert few.starts_per_second == pytest.approx(7.0)  # a dispatcher's part is that of the whole fleet
+    assert few.starts_per_second == pytest.approx(7.0)  # per dispatcher as in the whole fleet
     assert few.list_starts_per_second == 70.0
 
 
-# Bounds
+# Limits
 
 
 def test_too_many_processes_are_refused_before_any_is_started():
-    with pytest.raises(LimitError, match="4 processes are over the bound of 3"):
+    with pytest.raises(LimitError, match="4 processes exceed the limit of 3"):
         Limits(3, 1000.0).check_plan(4)
     Limits(4, 1000.0).check_plan(4)
 
@@ -106,21 +106,21 @@
     own = os.getpid()
     held = usage(own)
     assert held is not None
-    with pytest.raises(LimitError, match="over the bound of 1 MB"):
+    with pytest.raises(LimitError, match="exceed the limit of 1 MB"):
         Limits(10, 1.0).check([own])
     assert Limits(10, 10 * held.resident_mb).check([own, 0]) == pytest.approx(held.resident_mb, rel=0.2)
 
 
-def test_no_more_than_half_of_the_machine_is_taken():
+def test_limits_allow_at_most_half_of_the_machines_memory():
     limits = Limits.of_machine()
     assert limits.memory_mb <= memory_total_mb() / 2
     assert limits.processes == 300
 
 
-def test_a_run_over_its_memory_stops_itself(tmp_path: Path):
-    run = ScaleRun(TINY, lengths=Lengths(calm=60), limits=Limits(300, 20.0), folder=tmp_path)
+def test_a_run_that_exceeds_its_memory_limit_stops_itself(tmp_path: Path):
+    run = ScaleRun(TINY, durations=PhaseDurations(calm=60), limits=Limits(300, 20.0), folder=tmp_path)
     result = run.run()
-    assert "over the bound of 20 MB" in result.stopped
+    assert "exceed the limit of 20 MB" in result.stopped
     assert result.phases == []
     assert result.took_s < 30
 
@@ -140,13 +140,13 @@
     assert percentile([float(n) for n in range(100)], 0.99) == 99.0
 
 
-def test_a_loop_that_stands_still_is_late():
+def test_a_blocked_loop_is_late():
     loop = Loop(_fail)
     meter = LatenessMeter(loop)
-    stands_until = loop.now() + 300 * MS
+    blocked_until = loop.now() + 300 * MS
 
     def stand_still() -> None:
-        while loop.now() < stands_until:
+        while loop.now() < blocked_until:
             pass
         loop.call_at(loop.now() + 120 * MS, loop.stop)
 
@@ -159,7 +159,7 @@
     assert meter.take().most_ms == 0.0
 
 
-def test_messages_are_counted_by_the_part_of_the_fleet():
+def test_messages_are_classified_by_the_part_of_the_fleet():
     kinds = [kind_of(kind) for kind in (Ping, Append, JobAnswer, WaitReport)]
     assert kinds == [KINDS[0], KINDS[1], KINDS[2], KINDS[4]]
 
@@ -171,13 +171,13 @@
 # Hollow workers
 
 
-class Fronts:
-    """A dispatcher's front that notes call-backs."""
+class CallBackServer:
+    """A dispatcher's server that records call-backs."""
 
     def __init__(self, loop: Loop) -> None:
         from ironbarrow.lab.live.wire import Server, next_message
 
-        self.heard: list[dict[str, Any]] = []
+        self.messages: list[dict[str, Any]] = []
         listener = listen(("127.0.0.1", 0))
         self.address: Address = listener.getsockname()[:2]
 
@@ -185,7 +185,7 @@
             while True:
                 _, request = yield from next_message(loop, connection, SECOND, SECOND)
                 assert (request.method, request.target) == ("POST", "/callback")
-                self.heard.append(msgspec.json.decode(request.body))
+                self.messages.append(msgspec.json.decode(request.body))
                 yield from connection.write(connection.response_bytes(204), loop.now() + SECOND)
                 if not connection.next_cycle():
                     return
@@ -194,10 +194,10 @@
 
 
 class WorkerWorld:
-    """One hollow worker of the north with two slots, and one dispatcher's front."""
+    """One hollow worker in region north with two slots, and one dispatcher's server."""
 
     def __init__(self) -> None:
-        # ports that are free now: the spec has to name them
+        # reserve free ports, since the specification has to name them
         probes = [listen(("127.0.0.1", 0)) for _ in range(2)]
         self.addresses = [f"127.0.0.1:{probe.getsockname()[1]}" for probe in probes]
         for probe in probes:
@@ -207,24 +207,24 @@
         front = listen(("127.0.0.1", 0))
         address = "{}:{}".format(*front.getsockname()[:2])
         front.close()
-        self.party = Party(WorkersSpec([spec], [address], 2, 0.05, 10.0))
-        self.loop = self.party.loop
-        self.fronts = Fronts(self.loop)
-        self.party._fronts = [HttpClient(self.loop, self.fronts.address)]
+        self.process = HollowWorkerProcess(WorkersSpec([spec], [address], 2, 0.05, 10.0))
+        self.loop = self.process.loop
+        self.call_backs = CallBackServer(self.loop)
+        self.process._dispatcher_clients = [HttpClient(self.loop, self.call_backs.address)]
         self.answers: list[tuple[int, dict[str, str], bytes]] = []
 
     def ask(self, *requests: tuple[str, str, str], region: int = 0, lasts: int = 400 * MS) -> None:
-        """Sends requests (method, target, job id) one after another, then lets time pass."""
+        """Sends requests (method, target, job id) in sequence; runs the loop for ``lasts`` ns."""
         host, _, port = self.addresses[region].rpartition(":")
         client = HttpClient(self.loop, (host, int(port)))
 
-        def talk() -> Coroutine[None]:
+        def send_requests() -> Coroutine[None]:
             for method, target, job_id in requests:
                 headers = [("X-Request-ID", job_id)] if job_id else []
                 answer = yield from client.exchange(method, target, headers, b"", self.loop.now() + SECOND)
                 self.answers.append((answer.status, answer.headers, answer.body))
 
-        self.loop.spawn(talk())
+        self.loop.spawn(send_requests())
         self.loop.call_at(self.loop.now() + lasts, self.loop.stop)
         self.loop.stopped = False
         self.loop.run()
@@ -240,18 +240,20 @@
     made.close()
 
 
-def test_a_hollow_worker_takes_a_job_and_tells_of_it(workers: WorkerWorld):
+def test_a_hollow_worker_accepts_a_job_and_calls_back(workers: WorkerWorld):
     workers.ask(("POST", "/task/1", "j-0-1"))
     assert [status for status, _, _ in workers.answers] == [202]
-    assert [(said["id"], said["from"], said["state"]) for said in workers.fronts.heard] == [
+    assert [
+        (message["id"], message["from"], message["state"]) for message in workers.call_backs.messages
+    ] == [
         ("j-0-1", "w0", "started"),
         ("j-0-1", "w0", "done"),
     ]
-    assert workers.fronts.heard[1]["result"] == "done j-0-1"
-    assert workers.fronts.heard[1]["load"] == {"eps": 0.0, "queue": 0.0, "x0": 2.0}
+    assert workers.call_backs.messages[1]["result"] == "done j-0-1"
+    assert workers.call_backs.messages[1]["load"] == {"eps": 0.0, "queue": 0.0, "x0": 2.0}
 
 
-def test_a_full_hollow_worker_says_that_nothing_ran(workers: WorkerWorld):
+def test_a_full_hollow_worker_answers_that_the_job_was_not_processed(workers: WorkerWorld):
     jobs = [("POST", "/task/1", f"j-0-{n}") for n in (1, 2, 3)]
     workers.ask(*jobs, lasts=40 * MS)
     assert [status for status, _, _ in workers.answers] == [202, 202, 503]
@@ -271,12 +273,12 @@
     assert [status for status, _, _ in workers.answers] == [200, 202, 200, 204, 200, 404, 400]
     assert workers.answers[2][2] == b"eps=0,queue=0,x0=1"
     assert workers.answers[4][2] == b"eps=0,queue=0,x0=2"
-    assert [said["state"] for said in workers.fronts.heard] == ["started"]
-    assert set(workers.party.requests) == {"probes", "jobs", "cancellations", "other"}
+    assert [message["state"] for message in workers.call_backs.messages] == ["started"]
+    assert set(workers.process.requests) == {"probes", "jobs", "cancellations", "other"}
 
 
-def test_a_hollow_worker_is_silent_to_a_region_that_is_cut_off(workers: WorkerWorld):
-    workers.party.cut = True
+def test_a_hollow_worker_does_not_answer_a_partitioned_region(workers: WorkerWorld):
+    workers.process.cut = True
     workers.ask(("GET", "/-/healthy", ""), region=1, lasts=200 * MS)
     assert workers.answers == []
     workers.ask(("GET", "/-/healthy", ""), region=0, lasts=200 * MS)
@@ -288,13 +290,13 @@
     assert [dispatcher_of(text) for text in ("", "j-17", "j-x-3", "k-17-3")] == [None] * 4
 
 
-# The list of workers
+# Worker list
 
 
-def test_an_agent_tells_a_change_after_its_own_delay():
+def test_an_agent_publishes_a_change_after_its_own_delay():
     loop = Loop(_fail)
     workers = WorkerList([Entry("w0", "north-1", "", 5.0)])
-    region = RegionLines(workers, {"w0": "127.0.0.1:1", "w1": "127.0.0.1:2"})
+    region = RegionFeed(workers, {"w0": "127.0.0.1:1", "w1": "127.0.0.1:2"})
     traffic: dict[str, Traffic] = {name: Traffic() for name in ("heads", "changes", "whole lists")}
     agent = DispatcherAgent(loop, region, 100 * MS, traffic)
     changed_at, heard_at = 0, 0
@@ -316,9 +318,9 @@
         assert workers.change(Entry("w1", "north-2", "", 5.0)) == 2
         event = yield from connection.next_event(until)
         heard_at = loop.now()
-        said = msgspec.json.decode(bytes(event.data))  # type: ignore[union-attr]
-        assert (said["index"], said["snapshot"]) == (2, False)
-        assert [line["name"] for line in said["endpoints"]] == ["w1"]
+        change = msgspec.json.decode(bytes(event.data))  # type: ignore[union-attr]
+        assert (change["index"], change["snapshot"]) == (2, False)
+        assert [line["name"] for line in change["endpoints"]] == ["w1"]
         loop.stop()
 
     loop.spawn(follow())
@@ -333,9 +335,9 @@
 # Hollow dispatchers' members
 
 
-def test_members_of_two_regions_lose_each_other_while_these_are_apart():
+def test_members_of_two_regions_see_each_other_dead_during_a_partition():
     loop = Loop(_fail)
-    counts = Counts(["d0"])
+    counters = Counters(["d0"])
     listeners = {name: listen(("127.0.0.1", 0)) for name in ("d0", "d1", "d4")}
     addresses = {name: f"127.0.0.1:{one.getsockname()[1]}" for name, one in listeners.items()}
     members = {}
@@ -344,37 +346,39 @@
         listener.close()
         text = f"listen = {json.dumps(addresses[name])}\nseeds = {json.dumps(seeds)}\n"
         fleet = parse(text.encode(), "test", name)
-        members[name] = HollowMember(loop, fleet, name, zone_of(int(name[1:])), "", counts=counts)
+        members[name] = HollowMember(loop, fleet, name, zone_of(int(name[1:])), "", counters=counters)
 
     def alive(name: str) -> list[str]:
         return [member.card.incarnation.name for member in members[name].members.alive()]
 
-    def turn_until(holds: Callable[[], bool]) -> bool:
+    def run_until(condition: Callable[[], bool]) -> bool:
         limit = loop.now() + 30 * SECOND
-        while not holds() and loop.now() < limit:
+        while not condition() and loop.now() < limit:
             loop.call_at(loop.now() + 20 * MS, lambda: None)
             loop.run_once()
-        return holds()
+        return condition()
 
     try:
-        assert turn_until(lambda: all(len(alive(name)) == 3 for name in members))
-        counts.cut = True
-        assert turn_until(lambda: alive("d0") == ["d0", "d1"] and alive("d4") == ["d4"])
-        counts.cut = False
-        assert turn_until(lambda: all(len(alive(name)) == 3 for name in members))
-        dead = {(news.observer, news.subject) for news in counts.member_news if news.health == "dead"}
+        assert run_until(lambda: all(len(alive(name)) == 3 for name in members))
+        counters.cut = True
+        assert run_until(lambda: alive("d0") == ["d0", "d1"] and alive("d4") == ["d4"])
+        counters.cut = False
+        assert run_until(lambda: all(len(alive(name)) == 3 for name in members))
+        dead = {
+            (update.observer, update.subject) for update in counters.member_news if update.health == "dead"
+        }
         assert dead >= {("d0", "d4"), ("d1", "d4"), ("d4", "d0"), ("d4", "d1")}
-        sent, received = counts.sent["members"], counts.received["members"]
+        sent, received = counters.sent["members"], counters.received["members"]
         assert 0 < received.messages <= sent.messages
-        assert 0 < counts.from_real["members"].messages < received.messages
-        assert sent.messages == sum(traffic.messages for traffic in counts.sent_by_type.values())
+        assert 0 < counters.from_real["members"].messages < received.messages
+        assert sent.messages == sum(traffic.messages for traffic in counters.sent_by_type.values())
     finally:
         for member in members.values():
             member.close()
         loop.close()
 
 
-def test_a_loop_that_is_taken_out_of_its_group_stands_still():
+def test_a_loop_removed_from_its_group_does_not_run():
     leading, other = Loop(_fail), Loop(_fail)
     group = LoopGroup(leading)
     ticks: list[str] = []
@@ -395,31 +399,31 @@
     leading.close()
 
 
-# What is made of counts
+# Measurements
 
 
-def test_deaths_are_told_from_incarnations_that_a_later_one_follows():
-    news = [
-        MemberNews(1, "d0", "d1", 10, "alive"),
-        MemberNews(2, "d0", "d1", 10, "dead"),
-        MemberNews(3, "d0", "d1", 20, "alive"),  # a later incarnation of the same member
-        MemberNews(4, "d0", "d2", 10, "suspect"),
-        MemberNews(5, "d0", "d2", 10, "dead"),
-        MemberNews(6, "d3", "d2", 10, "dead"),
-        MemberNews(7, "d3", "d2", 10, "alive"),  # held dead, and back in the same incarnation
+def test_deaths_exclude_incarnations_that_a_later_one_replaces():
+    updates = [
+        MemberUpdate(1, "d0", "d1", 10, "alive"),
+        MemberUpdate(2, "d0", "d1", 10, "dead"),
+        MemberUpdate(3, "d0", "d1", 20, "alive"),  # a later incarnation of the same member
+        MemberUpdate(4, "d0", "d2", 10, "suspect"),
+        MemberUpdate(5, "d0", "d2", 10, "dead"),
+        MemberUpdate(6, "d3", "d2", 10, "dead"),
+        MemberUpdate(7, "d3", "d2", 10, "alive"),  # seen dead, then alive again in the same incarnation
     ]
-    measured = Measurement(None, None, "calm")  # type: ignore[arg-type]
-    report = DispatchersReport(Lateness(0, 0, 0), member_news=news)
-    measured.collected = Collected(dispatchers=[report])
-    assert [(one.observer, one.subject) for one in measured.deaths()] == [("d0", "d2"), ("d3", "d2")]
-    assert measured._replaced_incarnations() == {("d1", 10)}
-
-
-def test_news_count_once_for_each_pair_of_members():
-    news = [MemberNews(at, "d0", "d1", 10, "dead") for at in (2_000_000, 5_000_000)]
-    measured = Measurement(None, None, "calm")  # type: ignore[arg-type]
-    first = measured.told("deaths", measured.first_of_each(news), 0, 1)
-    last = measured.told("deaths", measured.last_of_each(news), 0, 1)
+    measurement = Measurement(None, None, "calm")  # type: ignore[arg-type]
+    report = DispatchersReport(Lateness(0, 0, 0), member_news=updates)
+    measurement.collected = Collected(dispatchers=[report])
+    assert [(one.observer, one.subject) for one in measurement.deaths()] == [("d0", "d2"), ("d3", "d2")]
+    assert measurement._replaced_incarnations() == {("d1", 10)}
+
+
+def test_updates_count_once_for_each_pair_of_members():
+    updates = [MemberUpdate(at, "d0", "d1", 10, "dead") for at in (2_000_000, 5_000_000)]
+    measurement = Measurement(None, None, "calm")  # type: ignore[arg-type]
+    first = measurement.propagation_time("deaths", measurement.first_of_each(updates), 0, 1)
+    last = measurement.propagation_time("deaths", measurement.last_of_each(updates), 0, 1)
     assert (first.last_ms, first.told, first.expected) == (2.0, 1, 1)
     assert (last.last_ms, last.told) == (5.0, 1)
 
@@ -427,7 +431,7 @@
 # Results
 
 
-def phase(name: str = "calm", *, late: bool = False) -> Phase:
+def make_phase(name: str = "calm", *, late: bool = False) -> Phase:
     rates = [Rate("members", 7.0, 500.0)]
     processes = [Process(REAL, 8, 8, 2.5, 3.5, 30.0, 31.0), Process(HOLLOW, 2, 10, 10.0, 12.0, 60.0, 61.0)]
     return Phase(
@@ -443,53 +447,55 @@
         [Rate("changes", 1.0, 2000.0)],
         Rate("probes", 0.5, 100.0),
         processes,
-        [Told("changes of the list of workers", 5.0, 20.0, 33.0, 10, 10)],
-        Held(29.0, 29, 104.0, 3.0, 8.0, 6000.0),
+        [PropagationTime("changes of the list of workers", 5.0, 20.0, 33.0, 10, 10)],
+        StateSizes(29.0, 29, 104.0, 3.0, 8.0, 6000.0),
         {"served": 12, "refused": 1},
         0,
         0,
     )
 
 
-def result(size: str = "1-8", dispatchers: int = 29, *, late: bool = False) -> ScaleResult:
-    return ScaleResult(size, 104, dispatchers, 8, 37, 8.75, 0.5, 400.0, 11, 120.0, [phase(late=late)])
+def make_result(size: str = "1-8", dispatchers: int = 29, *, late: bool = False) -> ScaleResult:
+    return ScaleResult(size, 104, dispatchers, 8, 37, 8.75, 0.5, 400.0, 11, 120.0, [make_phase(late=late)])
 
 
-def test_a_result_is_read_as_it_was_written(tmp_path: Path):
+def test_a_result_is_read_back_as_written(tmp_path: Path):
     path = tmp_path / "results" / "scale-1-8.json"
-    write(result(), path)
-    assert read(path) == result()
+    write(make_result(), path)
+    assert read(path) == make_result()
 
 
 def test_tables_have_a_column_for_each_size_and_the_budget():
-    text = tables([result("1-4", 58), result("1-8", 29)])
-    assert "| a dispatcher, calm | 1-8 | 1-4 |" in text  # the smaller one first
+    text = tables([make_result("1-4", 58), make_result("1-8", 29)])
+    assert "| a dispatcher, calm | 1-8 | 1-4 |" in text  # in order of size
     assert "| CPU of a real process, % of a core, mean (most) | 2.5 (3.5) | 2.5 (3.5) | 3.2 |" in text
     assert "| control, bytes/s both ways | 3100 | 3100 | 15000 |" in text
     assert "| CPU of a hollow one, % of a core, mean | 2.00 | 2.00 | 3.2 |" in text
     for block in text.split("\n\n"):
         lines = [line for line in block.splitlines() if line.startswith("|")]
-        assert len({line.count("|") for line in lines}) <= 1  # as many cells in each row
+        assert len({line.count("|") for line in lines}) <= 1  # the same number of cells in each row
 
 
-def test_no_figure_of_a_late_run_is_shown_as_the_programs():
-    text = tables([result(late=True)])
+def test_tables_show_no_values_of_a_late_run():
+    text = tables([make_result(late=True)])
     assert "1-8 (late)" in text
     assert "| control, bytes/s both ways | late | 15000 |" in text
     assert "2.5 (3.5)" not in text
     assert "| 1.0 / 150.0 |" in text
 
 
-def test_control_is_all_but_the_jobs_themselves():
-    assert control_bytes(phase()) == 500 + 500 + 2000 + 100
+def test_control_bytes_exclude_the_jobs():
+    assert control_bytes(make_phase()) == 500 + 500 + 2000 + 100
 
 
-# A tiny run
+# A small run
 
 
-def test_a_tiny_run_counts_what_real_and_hollow_parties_say(tmp_path: Path):
-    lengths = Lengths(1, calm=4, workers=2, rack=2, zone=1.5, zone_back=1, cut=2, heal=2, rolling=1.5)
-    found = ScaleRun(TINY, lengths=lengths, folder=tmp_path).run()
+def test_a_small_run_counts_messages_of_real_and_hollow_dispatchers(tmp_path: Path):
+    durations = PhaseDurations(
+        1, calm=4, workers=2, rack=2, zone=1.5, zone_back=1, cut=2, heal=2, rolling=1.5
+    )
+    found = ScaleRun(TINY, durations=durations, folder=tmp_path).run()
     assert (found.stopped, found.errors) == ("", 0)
     assert found.all_met_after_s >= 0
     names = ["calm", "workers fail", "rack lost", "zone lost", "zone back", "regions apart"]
@@ -508,7 +514,7 @@
     assert not [line for log in tmp_path.glob("*.log") for line in _errors(log)]
 
 
-def test_a_run_that_is_told_to_stop_leaves_no_process_behind(tmp_path: Path):
+def test_a_run_ended_by_sigterm_leaves_no_process_behind(tmp_path: Path):
     code = (
         "from pathlib import Path; from ironbarrow.lab.scale.live import ScaleRun; "
         "from tests.test_scale import TINY; "
@@ -519,15 +525,15 @@
     while not (tmp_path / "d0.log").exists() and time.monotonic() < limit:
         time.sleep(0.05)
     time.sleep(1)
-    assert len(_processes_of(tmp_path)) >= 3  # two hollow parties, one real dispatcher
+    assert len(_processes_of(tmp_path)) >= 3  # two hollow processes, one real dispatcher
     process.send_signal(signal.SIGTERM)
-    said, _ = process.communicate(timeout=30)
-    assert said.strip() == "told to stop"
+    output, _ = process.communicate(timeout=30)
+    assert output.strip() == "told to stop"
     assert _processes_of(tmp_path) == []
 
 
 def _processes_of(folder: Path) -> list[int]:
-    """Processes that were started with files of the folder, in arguments or environment."""
+    """Ids of processes with a file of the folder in their arguments or environment."""
     found = []
     for place in Path("/proc").iterdir():
         if place.name.isdigit():
@@ -547,35 +553,37 @@
 # The command
 
 
-def play(monkeypatch: pytest.MonkeyPatch, tmp_path: Path, *, late: bool, stopped: str = "") -> list[str]:
-    """The sizes that the command plays when asked for a quarter, and every run ends like this."""
-    played: list[str] = []
+def run_command(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path, *, late: bool, stopped: str = ""
+) -> list[str]:
+    """The sizes that the command runs when asked for 1-4 and every run has this outcome."""
+    sizes_run: list[str] = []
 
     def run(name: str, dispatchers: int) -> ScaleResult:
-        played.append(name)
-        made = result(name, late=late)
+        sizes_run.append(name)
+        made = make_result(name, late=late)
         made.stopped = stopped
         return made
 
     monkeypatch.setattr(command, "_run_size", run)
     CliRunner().invoke(main.app, ["lab", "scale", "--size", "1-4", "--out", str(tmp_path)])
-    assert [path.name for path in sorted(tmp_path.iterdir())] == sorted(f"scale-{n}.json" for n in played)
-    return played
+    assert [path.name for path in sorted(tmp_path.iterdir())] == sorted(f"scale-{n}.json" for n in sizes_run)
+    return sizes_run
 
 
-def test_a_late_run_is_repeated_smaller(monkeypatch: pytest.MonkeyPatch, tmp_path: Path):
-    assert play(monkeypatch, tmp_path, late=True) == ["1-4", "1-8"]
+def test_a_late_run_is_repeated_at_the_next_smaller_size(monkeypatch: pytest.MonkeyPatch, tmp_path: Path):
+    assert run_command(monkeypatch, tmp_path, late=True) == ["1-4", "1-8"]
 
 
 def test_a_run_in_time_is_not_repeated(monkeypatch: pytest.MonkeyPatch, tmp_path: Path):
-    assert play(monkeypatch, tmp_path, late=False) == ["1-4"]
+    assert run_command(monkeypatch, tmp_path, late=False) == ["1-4"]
 
 
 def test_nothing_follows_a_run_that_was_stopped(monkeypatch: pytest.MonkeyPatch, tmp_path: Path):
-    assert play(monkeypatch, tmp_path, late=True, stopped="told to stop") == ["1-4"]
+    assert run_command(monkeypatch, tmp_path, late=True, stopped="told to stop") == ["1-4"]
 
 
-def test_an_unknown_size_and_a_folder_without_results_are_refused(tmp_path: Path):
+def test_an_unknown_size_and_a_folder_without_results_are_errors(tmp_path: Path):
     asked = CliRunner().invoke(main.app, ["lab", "scale", "--size", "1-3"])
     assert (asked.exit_code, asked.output.count("1-3")) == (2, 1)
     asked = CliRunner().invoke(main.app, ["lab", "scale", "--tables", "--out", str(tmp_path)])
