--- a/ironbarrow/lab/scale/discovery.py
+++ b/ironbarrow/lab/scale/discovery.py
@@ -48,9 +48,9 @@
             else:
                 self.entries[entry.name] = entry
         self.changed_at[self.version] = time.monotonic_ns()
-        news = News(self.version, False, entries)
+        update = News(self.version, False, entries)
         for region in self.regions:
-            region.publish(news)
+            region.publish(update)
         return self.version
 
     def set_status(self, names: list[str], status: str) -> int:
@@ -80,9 +80,9 @@
         """The full list as one JSON line."""
         return _line(self.known())
 
-    def publish(self, news: News) -> None:
+    def publish(self, update: News) -> None:
         """Encodes a change and notifies the agents."""
-        self.lines.append(_line(list_object(news, self._addresses)))
+        self.lines.append(_line(list_object(update, self._addresses)))
         for agent in self.agents:
             agent.lines_available(len(self.lines))
 
--- a/ironbarrow/lab/scale/hollow_dispatchers.py
+++ b/ironbarrow/lab/scale/hollow_dispatchers.py
@@ -124,11 +124,13 @@
         if not self._is_cut_from(sender.name):
             super()._received(sender, to_start, message)
 
-    def _on_event(self, news: FleetEvent) -> None:
-        if isinstance(news, MemberChanged):
-            life, health = news.member.card.incarnation, news.member.health.value
+    def _on_event(self, event: FleetEvent) -> None:
+        if isinstance(event, MemberChanged):
+            subject, health = event.member.card.incarnation, event.member.health.value
             now = time.monotonic_ns()
-            self._counters.member_news.append(MemberUpdate(now, self.name, life.name, life.start, health))
+            self._counters.member_news.append(
+                MemberUpdate(now, self.name, subject.name, subject.start, health)
+            )
 
 
 class HollowDispatcher(Dispatcher):
@@ -151,9 +153,9 @@
         )
         self.server.fleet_jobs = self.fleet.adapter
 
-    def _on_worker_list(self, news: api.WorkerList) -> None:
-        super()._on_worker_list(news)
-        self._counters.list_news.append(ListUpdate(time.monotonic_ns(), self._name, news.version))
+    def _on_worker_list(self, worker_list: api.WorkerList) -> None:
+        super()._on_worker_list(worker_list)
+        self._counters.list_news.append(ListUpdate(time.monotonic_ns(), self._name, worker_list.version))
 
     def add_states(self, states: StateTotals) -> None:
         """Adds the sizes of this dispatcher's state."""
@@ -183,7 +185,7 @@
         self._epoll.register(loop.fileno(), select.EPOLLIN)
 
     def remove(self, loop: Loop) -> None:
-        """Removes a loop, which then stands still; does nothing if it is not in the group."""
+        """Removes a loop, which then no longer runs; does nothing if it is not in the group."""
         if self._loops.pop(loop.fileno(), None) is not None:
             self._epoll.unregister(loop.fileno())
 
@@ -215,7 +217,7 @@
 
     def _failed(self, error: Exception) -> None:
         self._errors += 1
-        print(f"control failed: {error!r}", file=sys.stderr, flush=True)
+        print(f"error in the control loop: {error!r}", file=sys.stderr, flush=True)
 
     def run(self) -> None:
         """Runs the dispatchers until the leading loop is stopped, then ends them."""
--- a/ironbarrow/lab/scale/hollow_workers.py
+++ b/ironbarrow/lab/scale/hollow_workers.py
@@ -154,7 +154,7 @@
 
     def _failed(self, error: Exception) -> None:
         self._errors += 1
-        print(f"a worker failed: {error!r}", file=sys.stderr, flush=True)
+        print(f"error in a hollow worker: {error!r}", file=sys.stderr, flush=True)
 
     def call_back(self, worker: HollowWorker, job_id: str, state: str) -> Coroutine[None]:
         """Sends a call-back to the job's dispatcher and then, until one accepts it, to the others in turn."""
