--- a/ironbarrow/lab/capacity/lists.py
+++ b/ironbarrow/lab/capacity/lists.py
@@ -7,7 +7,7 @@
 from heathway import api
 from ironbarrow.discovery.client import DiscoveryClient as Client
 from ironbarrow.lab.capacity.counting import zone_of
-from ironbarrow.lab.live.discovery_server import Agent
+from ironbarrow.lab.live.discovery_server import DiscoveryAgent
 from ironbarrow.lab.model import spec
 from ironbarrow.lab.model.discovery import Discovery, Entry, News
 from ironbarrow.lab.model.randomness import Streams
@@ -18,15 +18,15 @@
 _MAX_HELD_JOBS = 5  # the weight falls with the jobs held, from 0 to one less than this
 
 
-class CountingAgent(Agent):
+class CountingAgent(DiscoveryAgent):
     """A discovery agent that records the size of each line it sends, in bytes."""
 
     line_sizes: list[int]
 
     @property
-    def has_watcher(self) -> bool:
+    def has_follower(self) -> bool:
         """Whether a client is subscribed."""
-        return bool(self._watches)
+        return bool(self._followers)
 
     def _line(self, news: News) -> bytes:
         line = super()._line(news)
@@ -82,7 +82,7 @@
         agent.line_sizes = []
         client = Client(loop, agent.address, received.append)
         client.start({})
-        _run_until(loop, lambda: bool(received) and agent.has_watcher)
+        _run_until(loop, lambda: bool(received) and agent.has_follower)
         for turn in range(1, turns + 1):
             before = len(received)
             weights = {e.name: live_weight(n, turn) for n, e in enumerate(entries)}
--- a/ironbarrow/lab/scale/phases.py
+++ b/ironbarrow/lab/scale/phases.py
@@ -149,7 +149,7 @@
         the phase."""
         fleet = self._fleet
         lost = frozenset(dispatchers) | {
-            f"d{instance.number}" for instance in fleet.real if instance.stands_still
+            f"d{instance.number}" for instance in fleet.real if instance.is_stopped
         }
         fleet.load.excluded = {int(name[1:]) for name in lost}
         fleet.send_to_dispatchers(Pause(dispatchers))
@@ -178,7 +178,7 @@
         fleet = self._fleet
         measurement = yield from self._measure(name)
         lost = frozenset(dispatchers) | {
-            f"d{instance.number}" for instance in fleet.real if instance.stands_still
+            f"d{instance.number}" for instance in fleet.real if instance.is_stopped
         }
         since = time.monotonic_ns()
         yield from self._restart(dispatchers, workers)
@@ -200,7 +200,7 @@
 
     def _restart(self, dispatchers: list[str], workers: list[str]) -> Coroutine[None]:
         fleet = self._fleet
-        stopped = [instance for instance in fleet.real if instance.stands_still]
+        stopped = [instance for instance in fleet.real if instance.is_stopped]
         for instance in stopped:
             instance.kill()
         fleet.send_to_dispatchers(End(dispatchers))
