--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -22,7 +22,7 @@
 from ironbarrow.config.loader import Config, ConfigError
 from ironbarrow.core.host import Host
 from ironbarrow.discovery.client import DiscoveryClient
-from ironbarrow.fronts.server import HttpServer
+from ironbarrow.frontend.server import HttpServer
 from ironbarrow.runtime.loop import MS, SECOND, Loop
 from ironbarrow.runtime.retry import retry_transient
 from ironbarrow.runtime.sockets import listen
--- a/ironbarrow/fronts/server.py
+++ b/ironbarrow/frontend/server.py
@@ -12,8 +12,8 @@
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.core.host import Host
 from ironbarrow.core.jobs import Answer, Job, JobOptions, Payload
-from ironbarrow.fronts.connection_slots import LINGER_TIMEOUT, NEW_CONNECTION_GRACE, ConnectionSlots
-from ironbarrow.fronts.requests import (
+from ironbarrow.frontend.connection_slots import LINGER_TIMEOUT, NEW_CONNECTION_GRACE, ConnectionSlots
+from ironbarrow.frontend.requests import (
     JSON_HEADER,
     RequestRejectedError,
     can_start_request,
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -12,7 +12,7 @@
 from heathway.settings import read_settings
 from ironbarrow.core.endings import Ending
 from ironbarrow.core.jobs import Attempt
-from ironbarrow.fronts import server
+from ironbarrow.frontend import server
 from ironbarrow.runtime.loop import MS
 from ironbarrow.transport import http
 from ironbarrow.transport.http import Connection
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -8,7 +8,7 @@
 
 from heathway import api
 from heathway.logic import Dispatcher
-from ironbarrow.fronts import server
+from ironbarrow.frontend import server
 from ironbarrow.runtime.loop import MS
 from ironbarrow.wire.http import BODY_LIMIT
 from tests.scenario import Harness, Peer, answer, call_back, job, post
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -20,7 +20,7 @@
 
 from heathway.settings import read_settings
 from ironbarrow.daemon.dispatcher import ShutdownTimes
-from ironbarrow.fronts.server import HttpServer
+from ironbarrow.frontend.server import HttpServer
 from ironbarrow.runtime.loop import MS, SECOND
 from tests.scenario import SETTINGS, Harness, Peer, answer, call_back, job
 from tests.test_config import ROOT, WITHOUT_DISCOVERY, wait_for_log, write_config
