--- a/ironbarrow/backs/delete.py
+++ b/ironbarrow/backend/delete.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from ironbarrow.backs.pool import ConnectionPools
+from ironbarrow.backend.pool import ConnectionPools
 from ironbarrow.core.attempt import Observation, observation_of_delete_status
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.runtime.loop import MS, Coroutine, Loop, sleep
--- a/ironbarrow/backs/invoker.py
+++ b/ironbarrow/backend/invoker.py
@@ -9,8 +9,8 @@
 
 from heathway import api
 from heathway.settings import ReportReader
-from ironbarrow.backs.delete import SHORT_DELETE_TIMEOUT, DeleteSender
-from ironbarrow.backs.pool import ConnectionPools
+from ironbarrow.backend.delete import SHORT_DELETE_TIMEOUT, DeleteSender
+from ironbarrow.backend.pool import ConnectionPools
 from ironbarrow.core import trace
 from ironbarrow.core.attempt import Observation, Progress, is_unreachable, proves_end
 from ironbarrow.core.endings import ConnectionEndedError, Ending
--- a/ironbarrow/core/__init__.py
+++ b/ironbarrow/core/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs, attempts and how they end: shared by all fronts and backs, whatever their protocol."""
+"""Jobs, attempts and how they end: shared by all front ends and back ends, whatever their protocol."""
--- a/ironbarrow/daemon/dispatcher.py
+++ b/ironbarrow/daemon/dispatcher.py
@@ -18,7 +18,7 @@
 import structlog
 
 from heathway import api
-from ironbarrow.backs.invoker import HttpInvoker
+from ironbarrow.backend.invoker import HttpInvoker
 from ironbarrow.config.loader import Config, ConfigError
 from ironbarrow.core.host import Host
 from ironbarrow.discovery.client import DiscoveryClient
--- a/ironbarrow/lab/sim/back.py
+++ b/ironbarrow/lab/sim/back.py
@@ -1,7 +1,7 @@
 """The back of a simulated dispatcher: attempts to workers of the model, as the HTTP back makes them.
 
 Connections are counted, not opened: an attempt without an idle one pays a round trip to connect, and a
-worker takes only so many. Endings are those that ``ironbarrow.backs.invoker`` finds on sockets.
+worker takes only so many. Endings are those that ``ironbarrow.backend.invoker`` finds on sockets.
 """
 
 from collections import deque
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -16,8 +16,8 @@
 
 from heathway import api
 from heathway.settings import ReportReader, read_settings
-from ironbarrow.backs import invoker
-from ironbarrow.backs.invoker import HttpInvoker
+from ironbarrow.backend import invoker
+from ironbarrow.backend.invoker import HttpInvoker
 from ironbarrow.core import attempt
 from ironbarrow.core import host as core
 from ironbarrow.core.attempt import (
--- a/tests/test_invoker.py
+++ b/tests/test_invoker.py
@@ -19,7 +19,7 @@
 from heathway import api
 from heathway.api import Outcome
 from heathway.settings import read_settings
-from ironbarrow.backs import invoker
+from ironbarrow.backend import invoker
 from ironbarrow.core import host as core
 from ironbarrow.core.endings import ConnectionEndedError, Ending, outcome_of
 from ironbarrow.runtime import sockets
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -7,7 +7,7 @@
 import pytest
 
 from heathway import api
-from ironbarrow.backs import invoker
+from ironbarrow.backend import invoker
 from ironbarrow.core.rules import Rule
 from ironbarrow.runtime.loop import Coroutine
 from tests import test_attempt
