--- a/ironbarrow/core/host.py
+++ b/ironbarrow/core/host.py
@@ -1,9 +1,9 @@
 """The host of the decision module (``heathway``): owns jobs and attempts, passes events to the module and
 carries out its actions in order.
 
-The host depends on no wire protocol. A front end (``frontend``) submits jobs and receives their final answers;
-a back end (``Invoker``) sends attempts to workers and reports how they ended. The decisions and the service rules
-are the same for all protocols.
+The host depends on no wire protocol. A front end (``frontend``) submits jobs and receives their final
+answers; a back end (``Invoker``) sends attempts to workers and reports how they ended. The decisions and the
+service rules are the same for all protocols.
 """
 
 from collections.abc import Callable
