--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -358,8 +358,8 @@
         for name, sock in listeners.items():
             sock.close()
             seeds = [f"{other}={address}" for other, address in at.items() if other != name]
-            # the three share one thread: with the default of 250 ms, a stall of the machine would count as the
-            # loss of the majority, for which a booking is lawfully failed
+            # the three share one thread: with the default of 250 ms, a stall of the machine would count as
+            # the loss of the majority, for which a booking is lawfully failed
             ledgers = '[ledgers]\nwait = "3 s"\n'
             (folder / f"{name}.toml").write_text(f"listen = {at[name]!r}\nseeds = {seeds!r}\n{ledgers}")
         super().__init__(fleet=folder / "n1.toml")
