--- a/experiments/starvation.py
+++ b/experiments/starvation.py
@@ -19,7 +19,7 @@
 
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.invariants import INVARIANTS
-from ironbarrow.lab.fleet.starved import KINDS, STARVED, Fleet, generate, naive, watched
+from ironbarrow.lab.fleet.starvation import KINDS, STARVED, Fleet, generate, naive, watched
 from ironbarrow.runtime.clock import SECOND
 
 LOST = (0.0, 0.2, 0.4)
--- a/ironbarrow/lab/capacity/costs.py
+++ b/ironbarrow/lab/capacity/costs.py
@@ -21,7 +21,7 @@
 from ironbarrow.lab.capacity.ledgers import record
 from ironbarrow.lab.capacity.lists import addresses_of, live_weight, worker_entries
 from ironbarrow.lab.capacity.members import MemberFleet
-from ironbarrow.lab.fleet.losses import LedgerFleet
+from ironbarrow.lab.fleet.ledger_costs import LedgerFleet
 from ironbarrow.lab.model.discovery import Entry, News
 from ironbarrow.lab.settings import list_object
 from ironbarrow.runtime.clock import MS, SECOND
--- a/ironbarrow/lab/capacity/ledgers.py
+++ b/ironbarrow/lab/capacity/ledgers.py
@@ -12,8 +12,8 @@
 from ironbarrow.fleet.records import JobRecord, Stage, drop, put
 from ironbarrow.fleet.takeover.machine import Takeover
 from ironbarrow.lab.capacity.counting import ZONES, Sent, metered, region_of, zone_of
-from ironbarrow.lab.fleet.losses import LedgerFleet
-from ironbarrow.lab.fleet.work import WorkWorld
+from ironbarrow.lab.fleet.ledger_costs import LedgerFleet
+from ironbarrow.lab.fleet.takeover_simulation import WorkWorld
 from ironbarrow.runtime.clock import MS, SECOND
 
 _MEMBERS = 9  # of a fleet in which one writer is looked at
--- a/ironbarrow/lab/capacity/rollouts.py
+++ b/ironbarrow/lab/capacity/rollouts.py
@@ -7,7 +7,7 @@
 from ironbarrow.fleet.rollout.commands import AgentStatus, Command, DispatcherReport
 from ironbarrow.fleet.rollout.signals import AttemptEnd
 from ironbarrow.lab.capacity.counting import Sent, metered
-from ironbarrow.lab.fleet.field import KINDS, RolloutField, targets_of
+from ironbarrow.lab.fleet.rollout_simulation import KINDS, RolloutField, targets_of
 from ironbarrow.runtime.clock import MS
 
 _PLAN = """
--- a/ironbarrow/lab/capacity/waits.py
+++ b/ironbarrow/lab/capacity/waits.py
@@ -6,7 +6,7 @@
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.starvation.tables import UNTRACKED_TENANT, WaitReport, WaitReportReply
 from ironbarrow.lab.capacity.counting import Sent, metered, zone_of
-from ironbarrow.lab.fleet.starved import Event, Fleet
+from ironbarrow.lab.fleet.starvation import Event, Fleet
 from ironbarrow.runtime.clock import MS
 
 _WAIT = 40 * MS  # of every job, from taken to started
--- a/ironbarrow/lab/fleet/losses.py
+++ b/ironbarrow/lab/fleet/ledger_costs.py
@@ -1,6 +1,6 @@
 """What a mass death costs, and what an append costs: by formula and by running it.
 
-python -m ironbarrow.lab.fleet.losses
+python -m ironbarrow.lab.fleet.ledger_costs
 """
 
 import math
@@ -14,7 +14,7 @@
 from ironbarrow.fleet.ledgers import LedgerMachine
 from ironbarrow.fleet.node import Node
 from ironbarrow.lab.fleet.net import Seat, SimulatedNet
-from ironbarrow.lab.fleet.still import Everyone, StillMembers
+from ironbarrow.lab.fleet.perfect_members import Everyone, StillMembers
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS
 
--- a/ironbarrow/lab/fleet/random_ledgers.py
+++ b/ironbarrow/lab/fleet/random_ledgers.py
@@ -42,7 +42,7 @@
 from ironbarrow.fleet.node import Node
 from ironbarrow.fleet.records import CLAIM, JOB
 from ironbarrow.lab.fleet.net import Seat, SimulatedNet, Way
-from ironbarrow.lab.fleet.still import Everyone, StillMembers
+from ironbarrow.lab.fleet.perfect_members import Everyone, StillMembers
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS
 
--- a/ironbarrow/lab/fleet/random_work.py
+++ b/ironbarrow/lab/fleet/random_takeovers.py
@@ -1,6 +1,6 @@
 """Random load and faults on dispatchers of a fleet, in virtual time.
 
-``python -m ironbarrow.lab.fleet.random_work FIRST LAST [KIND]`` plays seeds and ends with 1 at the first
+``python -m ironbarrow.lab.fleet.random_takeovers FIRST LAST [KIND]`` plays seeds and ends with 1 at the first
 that breaks a rule; with FIRST equal to LAST it replays that seed alone.
 """
 
@@ -15,7 +15,7 @@
 from heathway.settings import read_settings
 from ironbarrow.fleet.invariants import INVARIANTS
 from ironbarrow.lab.fleet.net import Way
-from ironbarrow.lab.fleet.work import WorkWorld, ms
+from ironbarrow.lab.fleet.takeover_simulation import WorkWorld, ms
 
 UNSAFE = ("book",)
 _SETTINGS: dict[str, Any] = {
--- a/ironbarrow/lab/fleet/rollouts.py
+++ b/ironbarrow/lab/fleet/rollouts.py
@@ -24,8 +24,8 @@
 from ironbarrow.fleet.rollout.records import Stage
 from ironbarrow.fleet.rollout.signals import AttemptEnd, Signals
 from ironbarrow.lab.fleet.agents import AgentMachine
-from ironbarrow.lab.fleet.field import KINDS
 from ironbarrow.lab.fleet.net import Seat, SimulatedNet
+from ironbarrow.lab.fleet.rollout_simulation import KINDS
 from ironbarrow.lab.model.fleet import Faults
 from ironbarrow.lab.model.spec import Fault, World
 from ironbarrow.lab.model.worker import Held, Need, Reply, Report, State, Tell, Worker
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -29,7 +29,7 @@
 )
 from ironbarrow.lab.capacity.budget import Slopes, Verdict, evaluate
 from ironbarrow.lab.capacity.fit import Fit, fit
-from ironbarrow.lab.fleet import starved
+from ironbarrow.lab.fleet import starvation
 
 BEND = 0.05  # most of a value that may come from the quadratic term, at the largest size
 RESIDUAL = 0.05  # most that a point may be off the line, as a part of the mean
@@ -253,7 +253,7 @@
         starvation_machine,
         ("row for shard, row in rows if shard in owned_shards", "row for shard, row in rows"),
     )
-    monkeypatch.setattr(starved, "StarvationMachine", broken.StarvationMachine)
+    monkeypatch.setattr(starvation, "StarvationMachine", broken.StarvationMachine)
     found = rows_by_dispatchers()
     with pytest.raises(AssertionError):
         assert_line(found, 47, 49)
--- a/tests/test_fleet_ledgers.py
+++ b/tests/test_fleet_ledgers.py
@@ -24,7 +24,7 @@
 from ironbarrow.fleet.ledgers.recovery import LedgerRecovery
 from ironbarrow.fleet.ledgers.replica import SEGMENT_OVERHEAD, Replica
 from ironbarrow.fleet.records import CLAIM
-from ironbarrow.lab.fleet.losses import LedgerFleet, formula, mass_kill, price
+from ironbarrow.lab.fleet.ledger_costs import LedgerFleet, formula, mass_kill, price
 from ironbarrow.lab.fleet.random_ledgers import World
 from ironbarrow.runtime.clock import MS
 
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -12,7 +12,7 @@
 from ironbarrow.fleet.rollout.coordinator import RolloutMachine
 from ironbarrow.fleet.rollout.plan import PlanError, parse
 from ironbarrow.fleet.rollout.sequential import Block, Comparison, log_block
-from ironbarrow.lab.fleet.field import RolloutField, targets_of
+from ironbarrow.lab.fleet.rollout_simulation import RolloutField, targets_of
 from ironbarrow.runtime.clock import MS, SECOND
 
 PLAN = """
--- a/tests/test_fleet_starvation.py
+++ b/tests/test_fleet_starvation.py
@@ -21,7 +21,7 @@
 from ironbarrow.fleet.starvation.machine import TenantShares, VerdictRecord
 from ironbarrow.fleet.starvation.tables import BUCKET_COUNT, Row, Tally, WaitCollector, WaitReport, Window
 from ironbarrow.fleet.starvation.verdict import Assessment, Evidence, TenantState, Verdicts
-from ironbarrow.lab.fleet import starved
+from ironbarrow.lab.fleet import starvation
 from ironbarrow.lab.model.spec import load_world
 from ironbarrow.lab.sim.run import Simulation
 from ironbarrow.runtime.clock import MS, SECOND
@@ -404,16 +404,16 @@
 
 @pytest.mark.parametrize(("kind", "lost"), [("busy neighbour", 0.4), ("slow for all", 0.2)])
 def test_only_starved_tenants_are_found_despite_lost_messages(kind, lost):
-    world = starved.generate(kind, 0, length=60.0)
-    seen = starved.watched(world, RULES, lost)
+    world = starvation.generate(kind, 0, length=60.0)
+    seen = starvation.watched(world, RULES, lost)
     found = seen.found_at(world)
     assert seen.false_alarms(world) == 0
     assert (found is not None and found - world.onset < 30) == world.starved
 
 
 def test_a_verdict_is_stored_in_the_ledger_of_its_partition_until_its_cause_ends():
-    world = starved.generate("one partition", 0, length=60.0)
-    fleet = starved.Fleet(world.sites, world.shares, RULES, 1)
+    world = starvation.generate("one partition", 0, length=60.0)
+    fleet = starvation.Fleet(world.sites, world.shares, RULES, 1)
     for name, events in world.events.items():
         fleet.tell(name, events)
     fleet.net.run(int(world.length) * SECOND)
@@ -429,7 +429,7 @@
 
 def test_messages_of_unknown_senders_and_unexpected_replies_change_nothing():
     sites = dict.fromkeys("abc", "s")
-    fleet = starved.Fleet(sites, {}, RULES, 1)
+    fleet = starvation.Fleet(sites, {}, RULES, 1)
     machine, now = fleet.machines["a"], fleet.clock.now()
     assert machine.received(now, Incarnation("z", 1), WaitReport("s", 1, (0,), ())) == []
     assert machine.received(now, Incarnation("b", 1), tables.WaitReportReply(9, (0,), (), 3, 0, ())) == []
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -24,8 +24,8 @@
 from ironbarrow.fleet.takeover.deduplication import AnswerCache
 from ironbarrow.fleet.takeover.machine import Takeover
 from ironbarrow.fleet.takeover.recovery import RecoveryAction
-from ironbarrow.lab.fleet.random_work import KINDS, SETTINGS, UNSAFE, play
-from ironbarrow.lab.fleet.work import WorkWorld, ms
+from ironbarrow.lab.fleet.random_takeovers import KINDS, SETTINGS, UNSAFE, play
+from ironbarrow.lab.fleet.takeover_simulation import WorkWorld, ms
 from ironbarrow.runtime.sockets import listen
 from tests.scenario import Harness, answer, call_back, job
 
@@ -274,12 +274,12 @@
 
 
 # Which rules may be broken where, so that a random play ends in one verdict; more seeds by
-# python -m ironbarrow.lab.fleet.random_work FIRST LAST [KIND]
+# python -m ironbarrow.lab.fleet.random_takeovers FIRST LAST [KIND]
 @pytest.mark.parametrize(("kind", "seed"), [(kind, seed) for kind in KINDS for seed in (1, 2)])
 def test_invariants_hold_under_random_load_and_faults(kind: str, seed: int) -> None:
     world = play(seed, KINDS[kind], jobs=60)
     assert not world.broken(UNSAFE), (
-        f"replay: python -m ironbarrow.lab.fleet.random_work {seed} {seed} {kind}"
+        f"replay: python -m ironbarrow.lab.fleet.random_takeovers {seed} {seed} {kind}"
     )
     assert world.ends()["served"] > 20 and world.workers.unheard == 0
 
