--- a/ironbarrow/lab/fleet/__init__.py
+++ b/ironbarrow/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Fleets in the laboratory: many members on a simulated network, or as processes with faults between them."""
+"""Simulations of whole fleets on a virtual network, and link faults between real dispatcher processes."""
--- a/ironbarrow/lab/fleet/files.py
+++ b/ironbarrow/lab/fleet/files.py
@@ -1,4 +1,4 @@
-"""Fleet files as a laboratory writes them: a world's rules, and addresses of its own."""
+"""Writes the fleet files of laboratory runs from a world's rules and the run's addresses."""
 
 import json
 from typing import Any
@@ -7,8 +7,8 @@
 
 
 def fleet_file(rules: Fleet, listen: str, site: str, others: dict[str, str]) -> str:
-    """The TOML text of one member's fleet file. ``others``: where it finds each other member, by name; all
-    are its seeds."""
+    """Returns the TOML text of one member's fleet file. ``others`` maps the other members' names to the
+    addresses where this member reaches them; all of them are its seeds."""
     top: dict[str, Any] = {
         "listen": listen,
         "site": site,
--- a/ironbarrow/lab/fleet/logs.py
+++ b/ironbarrow/lab/fleet/logs.py
@@ -1,4 +1,4 @@
-"""What the dispatchers' own logs tell of a fleet's run: adoptions and broken invariants."""
+"""Reads adoptions and broken invariants of a fleet's run from the dispatchers' logs."""
 
 import json
 from collections import Counter
@@ -14,7 +14,7 @@
 
 
 def lines_of(path: Path) -> Iterator[dict[str, Any]]:
-    """The lines of a log that can be read; one may be torn by a kill."""
+    """Yields a log's valid lines. A killed process may have left an incomplete line, which is skipped."""
     if not path.exists():
         return
     for line in path.read_bytes().splitlines():
@@ -27,18 +27,19 @@
 
 
 def unix_ns(line: dict[str, Any]) -> int:
-    """When a line was written, Unix ns."""
+    """Returns the time at which a line was written (Unix ns)."""
     return int(datetime.fromisoformat(str(line["timestamp"])).timestamp() * 1e9)
 
 
 def read_logs(logs: dict[str, Path], ended_at: dict[str, list[int]]) -> dict[str, Any]:
-    """Sums over all logs, by dispatcher's name. ``ended_at``: when its processes ended, ns.
+    """Returns totals over all logs. ``logs`` and ``ended_at`` (times in Unix ns at which processes ended) are
+    keyed by dispatcher name.
 
-    Adoptions are counted from the last end of the dispatcher that is meant; ``adopted_after_ms`` holds one
-    time for each, as p50 and p99."""
+    The time to adopt a ledger counts from the last end of its dispatcher's process before the adoption;
+    ``adopted_after_ms`` has each of these times, their p50 and their p99."""
     broken: Counter[str] = Counter()
     events: Counter[str] = Counter()
-    after: list[float] = []
+    adoption_delays: list[float] = []
     jobs = partial = 0
     for path in logs.values():
         for line in lines_of(path):
@@ -53,21 +54,21 @@
                 events[event] += 1
                 at = unix_ns(line)
                 name = str(line.get("of", "")).partition("/")[0]
-                before = [end for end in ended_at.get(name, ()) if end <= at]
-                if before:
-                    after.append((at - before[-1]) / 1e6)
-    said: dict[str, Any] = {
+                ends_before = [end for end in ended_at.get(name, ()) if end <= at]
+                if ends_before:
+                    adoption_delays.append((at - ends_before[-1]) / 1e6)
+    summary: dict[str, Any] = {
         "broken_invariants": dict(broken),
         "events": dict(events),
         "adoptions": events[_ADOPTED],
         "adopted_in_part": partial,
         "jobs_adopted": jobs,
     }
-    if after:
-        said["adopted_after_ms"] = {
-            "number": len(after),
-            "p50": round(float(np.percentile(after, 50)), 1),
-            "p99": round(float(np.percentile(after, 99)), 1),
-            "each": [round(value, 1) for value in after],
+    if adoption_delays:
+        summary["adopted_after_ms"] = {
+            "number": len(adoption_delays),
+            "p50": round(float(np.percentile(adoption_delays, 50)), 1),
+            "p99": round(float(np.percentile(adoption_delays, 99)), 1),
+            "each": [round(value, 1) for value in adoption_delays],
         }
-    return said
+    return summary
