--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -97,5 +97,5 @@
     for module in (replica, proposal):  # only the observer may detect the mutant
         monkeypatch.setattr(module, "check", lambda *_, **__: None)
     mutant(monkeypatch)
-    found = Search(scenario, forgetful=mutant is votes_after_data_loss).run(100_000)
+    found = Search(scenario, reuse_incarnations=mutant is votes_after_data_loss).run(100_000)
     assert found.violation is not None and len(found.violation.trace) > 2, found
