--- a/ironbarrow/lab/fleet/links.py
+++ b/ironbarrow/lab/fleet/links.py
@@ -1,8 +1,8 @@
-"""Stand-ins for the links between dispatchers: a relay on the laboratory's loop for each ordered pair.
+"""Fault-injecting proxies between dispatchers, one for each ordered pair, on the laboratory's event loop.
 
-A relay takes the place of the way from one dispatcher to another. It cuts what passes into frames, so that
-it can lose, double, delay and reorder whole messages, or pass nothing at all while the connection stays open,
-and never leaves half a message behind. What comes back on a connection travels by the other pair's rules.
+A proxy splits the byte stream into frames, so that it can lose, duplicate, delay and reorder whole messages,
+or block all of them while the connection stays open; it never forwards part of a message. Replies on a
+connection are subject to the fault of the opposite pair.
 """
 
 import random
@@ -18,18 +18,19 @@
 from ironbarrow.runtime.sockets import Address
 from ironbarrow.transport.http import connect
 
-_CONNECT_LIMIT = 2 * SECOND
-_HELD_BYTES = 4 << 20  # that one direction of a connection holds for a reader that takes nothing
-_CHUNK = 64 * 1024
-_AGAIN = 2 * MS  # until a full socket is tried again
-_LOOKS_FOR_MEND = 20 * MS
-_LENGTH = 4
+_CONNECT_TIMEOUT = 2 * SECOND
+_MAX_BUFFERED_BYTES = 4 << 20  # per direction of a connection, if its reader does not read
+_READ_SIZE = 64 * 1024
+_WRITE_RETRY_INTERVAL = 2 * MS  # after a send to a full socket
+_CUT_POLL_INTERVAL = 20 * MS
+_LENGTH_PREFIX_BYTES = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """What happens to frames from one dispatcher to another. Chances from 0 to 1, times in ns. ``jitter``:
-    uniform, on top of the delay: frames overtake each other where it is large."""
+class LinkFault:
+    """What happens to frames from one dispatcher to another. Probabilities from 0 to 1, times in ns.
+
+    ``jitter`` is added to the delay, uniformly distributed; a large one reorders frames."""
 
     delay: int = 0
     jitter: int = 0
@@ -38,74 +39,78 @@
     cut: bool = False
 
 
-CALM = Trouble()
-CUT = Trouble(cut=True)
+NO_FAULT = LinkFault()
+CUT = LinkFault(cut=True)
 
 
-class LinkStandIns:
-    """All relays of a fleet. Members are told by name; ``troubles`` may be changed at any time and counts
-    for what comes in from then on."""
+class LinkProxies:
+    """All proxies of a fleet, by dispatcher names. A fault may be set at any time and applies to the frames
+    that arrive from then on."""
 
     def __init__(self, loop: Loop, seed: int) -> None:
         self._loop, self._random = loop, random.Random(seed)
-        self._troubles: dict[tuple[str, str], Trouble] = {}
-        self._relays: dict[tuple[str, str], _Relay] = {}
-        self.frames: Counter[str] = Counter()  # by what became of them
-        self.bytes: Counter[tuple[str, str]] = Counter()  # that came in, by pair
-
-    def add(self, sender: str, target: str, address: Address, goes_to: Address) -> Address:
-        """Opens the way of an ordered pair; where ``sender`` finds ``target`` from now on."""
-        relay = self._relays[sender, target] = _Relay(self, self._loop, sender, target, address, goes_to)
-        return relay.address
-
-    def trouble(self, sender: str, target: str) -> Trouble:
-        return self._troubles.get((sender, target), CALM)
-
-    def set(self, pairs: Iterable[tuple[str, str]], trouble: Trouble = CALM) -> None:
-        """From now on these ordered pairs have that trouble."""
+        self._faults: dict[tuple[str, str], LinkFault] = {}
+        self._proxies: dict[tuple[str, str], _LinkProxy] = {}
+        self.frames: Counter[str] = Counter()  # by what was done with them
+        self.bytes: Counter[tuple[str, str]] = Counter()  # received, by pair
+
+    def add(self, sender: str, target: str, address: Address, destination: Address) -> Address:
+        """Adds the proxy of an ordered pair. Returns the address where ``sender`` reaches ``target``."""
+        proxy = self._proxies[sender, target] = _LinkProxy(
+            self, self._loop, sender, target, address, destination
+        )
+        return proxy.address
+
+    def fault(self, sender: str, target: str) -> LinkFault:
+        """Returns the current fault of an ordered pair."""
+        return self._faults.get((sender, target), NO_FAULT)
+
+    def set(self, pairs: Iterable[tuple[str, str]], fault: LinkFault = NO_FAULT) -> None:
+        """Sets the fault of these ordered pairs."""
         for pair in pairs:
-            if trouble == CALM:
-                self._troubles.pop(pair, None)
+            if fault == NO_FAULT:
+                self._faults.pop(pair, None)
             else:
-                self._troubles[pair] = trouble
+                self._faults[pair] = fault
 
-    def mend(self) -> None:
-        """All ways are usual again."""
-        self._troubles.clear()
+    def heal(self) -> None:
+        """Removes the faults of all pairs."""
+        self._faults.clear()
 
     def close(self) -> None:
-        for relay in self._relays.values():
-            relay.close()
-
-    def fate(self, sender: str, target: str) -> list[int]:
-        """After which times (ns) a frame that comes in now goes out: none, one or two."""
-        trouble = self.trouble(sender, target)
-        if trouble is CALM:
+        for proxy in self._proxies.values():
+            proxy.close()
+
+    def delays(self, sender: str, target: str) -> list[int]:
+        """Returns the delay (ns) of each copy of a frame that arrives now: none if it is lost, two if it is
+        duplicated."""
+        fault = self.fault(sender, target)
+        if fault is NO_FAULT:
             self.frames["passed"] += 1
             return [0]
-        if trouble.cut or self._random.random() < trouble.lost:
-            self.frames["cut off" if trouble.cut else "lost"] += 1
+        if fault.cut or self._random.random() < fault.lost:
+            self.frames["cut off" if fault.cut else "lost"] += 1
             return []
-        doubled = self._random.random() < trouble.doubled
+        doubled = self._random.random() < fault.doubled
         self.frames["doubled" if doubled else "passed"] += 1
         draws = range(2 if doubled else 1)
-        return [trouble.delay + int(self._random.random() * trouble.jitter) for _ in draws]
+        return [fault.delay + int(self._random.random() * fault.jitter) for _ in draws]
 
 
-class _Relay:
-    """The way of one ordered pair."""
+class _LinkProxy:
+    """The proxy of one ordered pair."""
 
     def __init__(
         self,
-        links: LinkStandIns,
+        links: LinkProxies,
         loop: Loop,
         sender: str,
         target: str,
         address: Address,
-        goes_to: Address,
+        destination: Address,
     ) -> None:
         self._links, self._loop = links, loop
-        self._sender, self._target, self._goes_to = sender, target, goes_to
+        self._sender, self._target, self._destination = sender, target, destination
         self._listener = sockets.listen(address)
         self.address: Address = self._listener.getsockname()[:2]
         self._tasks: dict[Task, None] = {}
@@ -121,12 +126,12 @@
         while True:
             yield Wait(self._listener.fileno(), READ, self._loop.now() + 3600 * SECOND)
             while (sock := sockets.accept(self._listener)) is not None:
-                self._spawn(self._join(sock))
+                self._spawn(self._connect(sock))
 
     def _spawn(self, coroutine: Coroutine[None]) -> None:
         tasks = self._tasks
 
-        def watched() -> Coroutine[None]:
+        def tracked() -> Coroutine[None]:
             task = self._loop.current
             assert task is not None
             tasks[task] = None
@@ -135,53 +140,54 @@
             finally:
                 tasks.pop(task, None)
 
-        self._loop.spawn(watched())
+        self._loop.spawn(tracked())
 
-    def _join(self, near: socket.socket) -> Coroutine[None]:
-        """One connection: opens its other half and lets both directions pass until one side ends.
+    def _connect(self, client: socket.socket) -> Coroutine[None]:
+        """Connects a client to the destination and forwards both directions until one side ends.
 
-        A way that is cut lets no end of a connection pass either: neither side learns of it before it is
-        mended."""
-        far: socket.socket | None = None
-        back: Task | None = None
+        A cut link also hides the end of the connection: the other side sees it once the link is healed."""
+        server: socket.socket | None = None
+        return_task: Task | None = None
         try:
-            far = (yield from connect(self._goes_to, self._loop.now() + _CONNECT_LIMIT)).sock
-            there, here = _Out(self._loop, far), _Out(self._loop, near)
-            this = self._loop.current
-            assert this is not None
-            back = self._loop.spawn(self._pass(far, here, self._target, self._sender, this.wake))
-            yield from self._pass(near, there, self._sender, self._target, lambda: None, back)
+            server = (yield from connect(self._destination, self._loop.now() + _CONNECT_TIMEOUT)).sock
+            to_server, to_client = _DelayedWriter(self._loop, server), _DelayedWriter(self._loop, client)
+            this_task = self._loop.current
+            assert this_task is not None
+            return_task = self._loop.spawn(
+                self._forward(server, to_client, self._target, self._sender, this_task.wake)
+            )
+            yield from self._forward(client, to_server, self._sender, self._target, lambda: None, return_task)
         except ConnectionEndedError:
-            yield from self._until_open(self._target, self._sender)
+            yield from self._wait_until_healed(self._target, self._sender)
         finally:
-            if back is not None:
-                back.cancel()
-            if far is not None:
-                far.close()
-            near.close()
+            if return_task is not None:
+                return_task.cancel()
+            if server is not None:
+                server.close()
+            client.close()
 
-    def _until_open(self, sender: str, target: str) -> Coroutine[None]:
-        while self._links.trouble(sender, target).cut:
-            yield from sleep(self._loop.now() + _LOOKS_FOR_MEND)
+    def _wait_until_healed(self, sender: str, target: str) -> Coroutine[None]:
+        while self._links.fault(sender, target).cut:
+            yield from sleep(self._loop.now() + _CUT_POLL_INTERVAL)
 
-    def _pass(
+    def _forward(
         self,
         source: socket.socket,
-        out: "_Out",
+        writer: "_DelayedWriter",
         sender: str,
         target: str,
-        ended: Callable[[], None],
-        other: Task | None = None,
+        on_end: Callable[[], None],
+        other_direction: Task | None = None,
     ) -> Coroutine[None]:
-        """Lets one direction pass until its source ends, or (``other``) the other direction has ended."""
+        """Forwards one direction until its source ends, or ``other_direction`` has ended."""
         splitter = FrameSplitter()
-        while not (other is not None and other.done):
-            if out.held > _HELD_BYTES:
-                yield from sleep(self._loop.now() + _AGAIN)
+        while not (other_direction is not None and other_direction.done):
+            if writer.buffered > _MAX_BUFFERED_BYTES:
+                yield from sleep(self._loop.now() + _WRITE_RETRY_INTERVAL)
                 continue
             yield Wait(source.fileno(), READ, self._loop.now() + 3600 * SECOND)
             try:
-                data = source.recv(_CHUNK)
+                data = source.recv(_READ_SIZE)
             except (BlockingIOError, InterruptedError):
                 continue
             except OSError:
@@ -195,51 +201,51 @@
                 self._links.frames["foreign"] += 1
                 break
             for frame in frames:
-                whole = len(frame).to_bytes(_LENGTH, "big") + frame
-                for after in self._links.fate(sender, target):
-                    out.put(whole, after)
-        yield from self._until_open(sender, target)
-        self._loop.call_soon(ended)
+                data_out = len(frame).to_bytes(_LENGTH_PREFIX_BYTES, "big") + frame
+                for delay in self._links.delays(sender, target):
+                    writer.put(data_out, delay)
+        yield from self._wait_until_healed(sender, target)
+        self._loop.call_soon(on_end)
 
 
-class _Out:
-    """Writes frames to a socket, each at its time, as fast as the reader takes them."""
+class _DelayedWriter:
+    """Writes frames to a socket, each after its delay, as fast as the reader accepts them."""
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         self._loop, self._sock = loop, sock
-        self._waiting: deque[memoryview] = deque()
-        self._planned = False
-        self._gone = False  # the reader
-        self.held = 0  # bytes
+        self._pending: deque[memoryview] = deque()
+        self._retry_scheduled = False
+        self._peer_closed = False
+        self.buffered = 0  # bytes
 
-    def put(self, data: bytes, after: int) -> None:
-        if self._gone:
+    def put(self, data: bytes, delay: int) -> None:
+        if self._peer_closed:
             return
-        self.held += len(data)
-        if after:
-            self._loop.call_at(self._loop.now() + after, self._due, data)
+        self.buffered += len(data)
+        if delay:
+            self._loop.call_at(self._loop.now() + delay, self._enqueue, data)
         else:
-            self._due(data)
+            self._enqueue(data)
 
-    def _due(self, data: bytes) -> None:
-        self._waiting.append(memoryview(data))
-        if not self._planned:
+    def _enqueue(self, data: bytes) -> None:
+        self._pending.append(memoryview(data))
+        if not self._retry_scheduled:
             self._flush()
 
     def _flush(self) -> None:
-        self._planned = False
-        while self._waiting:
+        self._retry_scheduled = False
+        while self._pending:
             try:
-                sent = self._sock.send(self._waiting[0])
+                sent = self._sock.send(self._pending[0])
             except (BlockingIOError, InterruptedError):
-                self._planned = True
-                self._loop.call_at(self._loop.now() + _AGAIN, self._flush)
+                self._retry_scheduled = True
+                self._loop.call_at(self._loop.now() + _WRITE_RETRY_INTERVAL, self._flush)
                 return
-            except OSError:  # the reader has gone: its end is told by the other direction
-                self._gone = True
-                self._waiting.clear()
+            except OSError:  # the reader closed; the opposite direction detects that and ends
+                self._peer_closed = True
+                self._pending.clear()
                 return
-            self.held -= sent
-            rest = self._waiting.popleft()[sent:]
-            if rest:
-                self._waiting.appendleft(rest)
+            self.buffered -= sent
+            remainder = self._pending.popleft()[sent:]
+            if remainder:
+                self._pending.appendleft(remainder)
--- a/ironbarrow/lab/live/run.py
+++ b/ironbarrow/lab/live/run.py
@@ -11,7 +11,7 @@
 
 from ironbarrow.lab.audit import Auditor
 from ironbarrow.lab.fleet.files import fleet_file
-from ironbarrow.lab.fleet.links import CALM, LinkStandIns, Trouble
+from ironbarrow.lab.fleet.links import NO_FAULT, LinkFault, LinkProxies
 from ironbarrow.lab.fleet.logs import read_logs
 from ironbarrow.lab.live.clients import Clients
 from ironbarrow.lab.live.discovery_server import Agent
@@ -121,7 +121,7 @@
         self._agents: list[Agent] = []
         self.instances: list[Instance] = []
         self.stops = 0  # of dispatchers that stood still
-        self.links = LinkStandIns(loop, seed)
+        self.links = LinkProxies(loop, seed)
         self._stand_ins = stand_ins
         if world.dispatchers.fleet is not None and stand_ins:
             self._routes = {
@@ -280,8 +280,8 @@
     def trouble_links(self, fault: Fault) -> None:
         pairs = self.pairs_of(fault)
         cut = fault.kind == "links cut"
-        self.links.set(pairs, Trouble(fault.delay, fault.jitter, fault.lost, fault.doubled, cut))
-        self.loop.call_at(self.loop.now() + fault.lasts, self.links.set, pairs, CALM)
+        self.links.set(pairs, LinkFault(fault.delay, fault.jitter, fault.lost, fault.doubled, cut))
+        self.loop.call_at(self.loop.now() + fault.lasts, self.links.set, pairs, NO_FAULT)
 
     def pairs_of(self, fault: Fault) -> list[tuple[str, str]]:
         """The ordered pairs of dispatchers whose links a fault touches."""
--- a/ironbarrow/lab/scale/parties.py
+++ b/ironbarrow/lab/scale/parties.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from ironbarrow.lab.fleet.links import CALM, CUT, LinkStandIns
+from ironbarrow.lab.fleet.links import CUT, NO_FAULT, LinkProxies
 from ironbarrow.lab.live.processes import Program
 from ironbarrow.lab.scale.children import Child, RealDispatcher
 from ironbarrow.lab.scale.discovery import DispatcherAgent, RegionLines, WorkerList
@@ -52,7 +52,7 @@
         self.workers = WorkerList([layout.entry(name) for name in layout.workers])
         self._list_traffic: dict[str, Traffic] = defaultdict(Traffic)
         self.agents = self._open_agents()
-        self.links = LinkStandIns(loop, _SEED)
+        self.links = LinkProxies(loop, _SEED)
         self.load = Load(loop, layout, _SEED)
         self.weights = LiveWeights(loop, layout, self.workers, _SEED)
         self.hollow: list[Child[DispatchersReport]] = []
@@ -190,7 +190,7 @@
         numbers = self.layout.real
         region = {n: region_of(zone_of(n)) for n in numbers}
         pairs = [(f"d{a}", f"d{b}") for a in numbers for b in numbers if region[a] != region[b]]
-        self.links.set(pairs, CUT if cut else CALM)
+        self.links.set(pairs, CUT if cut else NO_FAULT)
 
     def collect(self) -> Coroutine[Collected]:
         """Everybody's counts since the last time."""
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from ironbarrow.lab.fleet.links import CALM, CUT, Trouble
+from ironbarrow.lab.fleet.links import CUT, NO_FAULT, LinkFault
 from ironbarrow.lab.fleet.logs import lines_of
 from ironbarrow.lab.live.rollouts import RolloutRun
 from ironbarrow.lab.live.run import LiveError, LiveRun
@@ -104,7 +104,7 @@
     others = [f"d{n}" for n in range(len(run.instances)) if f"d{n}" != one]
     pairs = [pair for other in others for pair in ((one, other), (other, one))]
     run.links.set(pairs, CUT)
-    run.loop.call_at(run.loop.now() + 3 * SECOND, run.links.set, pairs, CALM)
+    run.loop.call_at(run.loop.now() + 3 * SECOND, run.links.set, pairs, NO_FAULT)
 
 
 CASES: dict[str, Callable[[RolloutRun], None] | None] = {
@@ -320,7 +320,7 @@
     run = StarvingRun(convert(msgspec.toml.decode(STARVED), World, "starved"), folder, who)
     names = [f"d{n}" for n in range(3)]
     ways = [(a, b) for a in names for b in names if a != b]
-    run.loop.call_at(run.loop.now() + SECOND, run.links.set, ways, Trouble(lost=0.2))
+    run.loop.call_at(run.loop.now() + SECOND, run.links.set, ways, LinkFault(lost=0.2))
 
     def verdicts() -> list[dict[str, Any]]:
         return [
