--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -20,7 +20,7 @@
 from ironbarrow.fleet.invariants import INVARIANTS
 from ironbarrow.fleet.members import MemberMachine
 from ironbarrow.fleet.node import Node
-from ironbarrow.lab.fleet.net import Seat, SimulatedNet
+from ironbarrow.lab.fleet.net import SimulatedNet, SimulatedPeer
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS, SECOND
 
@@ -38,13 +38,13 @@
         self.deaths: list[tuple[str, str, int]] = []  # who was told, of whom, when
         self.suspicions = 0
         for i, name in enumerate(self.names):
-            self.net.add(name, SITES[i % 3], self._build).on_news = self._noted(name)
+            self.net.add(name, SITES[i % 3], self._build).on_event = self._noted(name)
         for name in self.names:
             self.incarnations[name] = self.net.start(name)
         for name in self.names:
             self.writes(name)
 
-    def _build(self, seat: Seat, node: Node) -> None:
+    def _build(self, seat: SimulatedPeer, node: Node) -> None:
         card = Card(node.incarnation, f"10.0.0.1:{len(self.machines)}", seat.site, "10.0.0.1:8080", 1)
         seeds = [name for name in self.names[:3] if name != seat.name]
         self.machines[seat.name] = MemberMachine(card, MemberRules(), seeds, self.net.clock.now())
@@ -53,7 +53,7 @@
     def writes(self, name: str) -> None:
         replicas = tuple(self.incarnations[n] for n in self.names[:3])
         at = (LedgerLocation(f"jobs/{self.incarnations[name]}", 1, replicas),)
-        self.net.order(name, lambda node, now: node.carry_out(self.machines[name].announce_ledgers(at)))
+        self.net.run_on(name, lambda node, now: node.carry_out(self.machines[name].announce_ledgers(at)))
 
     def _noted(self, name: str) -> Callable[[FleetEvent], None]:
         def noted(news: FleetEvent) -> None:
@@ -65,7 +65,7 @@
         return noted
 
     def running(self) -> list[str]:
-        return [name for name in self.names if self.net.seats[name].node is not None]
+        return [name for name in self.names if self.net.peers[name].node is not None]
 
     def see(self, of: list[str], health: Health) -> bool:
         """Whether all that run hold all of these for that."""
@@ -144,15 +144,15 @@
     for other in SITES[1:]:
         net.cut_sites(SITES[0], other)
     net.run(5 * SECOND)
-    net.mend()
+    net.heal()
     crowd.deaths.clear()
     healed = crowd.until(lambda: crowd.see(crowd.names, Health.ALIVE), 120)
     after = len(crowd.deaths)
-    side = {name: net.seats[name].site == SITES[0] for name in crowd.names}
+    side = {name: net.peers[name].site == SITES[0] for name in crowd.names}
     own = sum(side[told] == side[of] for told, of, _ in crowd.deaths)  # of those that were in sight all along
     net.run(20 * SECOND)
 
-    net.usual.lost = 0.05
+    net.default_link.lost = 0.05
     crowd.deaths.clear()
     crowd.suspicions = 0
     lossy = traffic(max(1, round(loss_minutes * 60)))
--- a/experiments/rollouts.py
+++ b/experiments/rollouts.py
@@ -19,7 +19,7 @@
 
 from ironbarrow.config.units import ms
 from ironbarrow.fleet.invariants import INVARIANTS
-from ironbarrow.lab.fleet.rollouts import KINDS_OF_BAD, RolloutRun
+from ironbarrow.lab.fleet.rollouts import BAD_RUNTIMES, RolloutRun
 from ironbarrow.lab.model.spec import Fault, World, load_world
 
 HERE = Path(__file__).parent
@@ -81,8 +81,8 @@
         world = world_of(thin=False, faults=[], seconds=120)
     else:
         world, plan = world_of(thin=False, faults=[]), PLAN
-    run = RolloutRun(world, seed, plan, KINDS_OF_BAD.get(kind))
-    result, outcome = run.play()
+    run = RolloutRun(world, seed, plan, BAD_RUNTIMES.get(kind))
+    result, outcome = run.run_rollout()
     figures = result.summary()["all"]
     return {
         "what": what,
@@ -103,7 +103,7 @@
     args.add_argument("--first", type=int, default=1)
     args.add_argument("--jobs", type=int, default=4)
     given = args.parse_args()
-    kinds = {"bad": ["none", *KINDS_OF_BAD], "clean": [""], "service": ["none", "rollout", "deploy"]}
+    kinds = {"bad": ["none", *BAD_RUNTIMES], "clean": [""], "service": ["none", "rollout", "deploy"]}
     seeds = range(given.first, given.first + given.seeds)
     jobs = [(given.what, kind, seed) for seed in seeds for kind in kinds[given.what]]
     rows = []
--- a/experiments/starvation.py
+++ b/experiments/starvation.py
@@ -19,7 +19,14 @@
 
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.invariants import INVARIANTS
-from ironbarrow.lab.fleet.starvation import KINDS, STARVED, Fleet, generate, naive, watched
+from ironbarrow.lab.fleet.starvation import (
+    KINDS,
+    STARVED_KINDS,
+    StarvationFleet,
+    generate,
+    run_detection,
+    run_naive_rule,
+)
 from ironbarrow.runtime.clock import SECOND
 
 LOST = (0.0, 0.2, 0.4)
@@ -34,14 +41,17 @@
     world = generate(kind, seed)
     row = {"kind": kind, "seed": seed, "hours": world.length / 3600, "partitions": len(world.sites)}
     some = LOST if seed % EVERY == 0 else LOST[:1]
-    for name, seen in [*((str(lost), watched(world, RULES, lost)) for lost in some), ("naive", naive(world))]:
-        found = seen.found_at(world)
+    for name, seen in [
+        *((str(lost), run_detection(world, RULES, lost)) for lost in some),
+        ("naive", run_naive_rule(world)),
+    ]:
+        found = seen.detected_at(world)
         row[name] = {
             "found": None if found is None else found - world.onset,
             "false": seen.false_alarms(world),
-            "bytes": seen.bytes_a_second,
-            "most": seen.bytes_most,
-            "messages": seen.messages_a_second,
+            "bytes": seen.bytes_per_second,
+            "most": seen.max_bytes_per_second,
+            "messages": seen.messages_per_second,
         }
     return row
 
@@ -56,7 +66,7 @@
             if not some:
                 continue
             times = sorted(row[name]["found"] for row in some if row[name]["found"] is not None)
-            starved = sum(row["kind"] in STARVED for row in some)
+            starved = sum(row["kind"] in STARVED_KINDS for row in some)
             false, hours = sum(row[name]["false"] for row in some), sum(row["hours"] for row in some)
             p90 = times[int(0.9 * (len(times) - 1))] if times else 0
             when = f"{statistics.median(times):.0f} / {p90:.0f}" if times else "-"
@@ -78,7 +88,7 @@
     for count in counts:
         draw = random.Random(count)
         sites = {f"p{i}": "abc"[i % 3] for i in range(count)}
-        fleet = Fleet(sites, {}, RULES, 1)
+        fleet = StarvationFleet(sites, {}, RULES, 1)
         length = 40
         for name in sites:
             events = []
@@ -86,7 +96,7 @@
                 at = draw.randrange(length * SECOND)
                 job = (number, f"t{draw.randrange(12)}", draw.choice(["map", "decode", "booking"]), 1.0)
                 events += [(at, 0, *job), (at + int(draw.expovariate(5) * SECOND), 1, *job)]
-            fleet.tell(name, sorted(events))
+            fleet.replay(name, sorted(events))
         fleet.net.run(30 * SECOND)
         bytes_before, messages_before = Counter(fleet.net.bytes), Counter(fleet.net.messages)
         began = time.process_time()
@@ -107,7 +117,7 @@
     world = generate(kind, int(seed))
     print(f"{world.tenant} in {world.partition} from {world.onset:.0f} s on: {kind}")
     for lost in LOST:
-        seen = watched(world, RULES, lost)
+        seen = run_detection(world, RULES, lost)
         print(f"{lost:.0%} lost:", "began", seen.began, "ended", seen.ended)
         for news in seen.evidence:
             print("   ", news.tenant, news.partition, news.evidence)
--- a/ironbarrow/lab/capacity/ledgers.py
+++ b/ironbarrow/lab/capacity/ledgers.py
@@ -13,7 +13,7 @@
 from ironbarrow.fleet.takeover.machine import Takeover
 from ironbarrow.lab.capacity.counting import ZONES, Sent, metered, region_of, zone_of
 from ironbarrow.lab.fleet.ledger_costs import LedgerFleet
-from ironbarrow.lab.fleet.takeover_simulation import WorkWorld
+from ironbarrow.lab.fleet.takeover_simulation import TakeoverSimulation
 from ironbarrow.runtime.clock import MS, SECOND
 
 _MEMBERS = 9  # of a fleet in which one writer is looked at
@@ -93,12 +93,12 @@
     settings = api.Settings(
         me=0, dispatchers=dispatchers, zone="a", zones=("a",), classes=(_CLASS,), tells_start=True
     )
-    world = WorkWorld(settings, dispatchers, seed=seed, fleet=Fleet(listen="127.0.0.1:0"), workers=8)
+    world = TakeoverSimulation(settings, dispatchers, seed=seed, fleet=Fleet(listen="127.0.0.1:0"), workers=8)
     traffic = metered(world.net, (*MemberMachine.handles, *_WORK_KINDS))
     world.run(3 * SECOND)
     traffic.clear()
     for number in range(jobs):
-        world.order(f"job-{number:012d}", "task", 30 * SECOND)
+        world.submit(f"job-{number:012d}", "task", 30 * SECOND)
         world.run(seconds * SECOND // jobs)
     world.run(2 * SECOND)
     appends = traffic.of_kinds(Append)
@@ -197,7 +197,7 @@
     comparison."""
     long = api.JobClass("long", effect, aim=60 * SECOND, deadline=200 * SECOND, stretch=2.0)
     settings = api.Settings(me=0, dispatchers=dispatchers, zone="a", zones=("a",), classes=(long,))
-    world = WorkWorld(
+    world = TakeoverSimulation(
         settings,
         dispatchers,
         seed=seed,
@@ -207,29 +207,29 @@
     )
     traffic = metered(world.net, (*MemberMachine.handles, *_WORK_KINDS))
     world.run(5 * SECOND)
-    world.lasts = ((cut_s + 10) * SECOND, (cut_s + 20) * SECOND)
+    world.service_times = ((cut_s + 10) * SECOND, (cut_s + 20) * SECOND)
     for number in range(running):
-        world.order(f"long-{number:06d}", "long", 150 * SECOND, at=f"d{number % dispatchers}")
+        world.submit(f"long-{number:06d}", "long", 150 * SECOND, at=f"d{number % dispatchers}")
         world.run(2 * MS)  # together: of workers whose size is not known, few sessions enter later
     world.run(2 * SECOND)
     out = sum(len(worker.running) for worker in world.workers.all.values())
     traffic.clear()
-    zones = {name: zone_of(number) for number, name in enumerate(world.net.seats)}
+    zones = {name: zone_of(number) for number, name in enumerate(world.net.peers)}
     for one in zones:
         for other in zones:
             if cut and region_of(zones[one]) != region_of(zones[other]):
                 world.net.cut(one, other, both=False)
     world.run(cut_s * SECOND)
     ledgers, takeover = traffic.of_kinds(*LedgerMachine.handles), traffic.of_kinds(*Takeover.handles)
-    world.net.mend()
+    world.net.heal()
     world.run(80 * SECOND)
     return CutWork(
         dispatchers,
         effect.name,
         out,
         cut_s if cut else 0,
-        sum(world.workers.copies.values()),
-        dict(world.ends()),
+        sum(world.workers.duplicate_runs.values()),
+        dict(world.verdict_counts()),
         world.counts["renewed"],
         ledgers,
         takeover,
--- a/ironbarrow/lab/capacity/members.py
+++ b/ironbarrow/lab/capacity/members.py
@@ -9,7 +9,7 @@
 from ironbarrow.fleet.members import MemberMachine
 from ironbarrow.fleet.node import Node
 from ironbarrow.lab.capacity.counting import ZONES, Rate, Sent, metered, region_of, zone_of
-from ironbarrow.lab.fleet.net import Seat, SimulatedNet
+from ironbarrow.lab.fleet.net import SimulatedNet, SimulatedPeer
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS, SECOND
 
@@ -29,12 +29,12 @@
         self.deaths: list[tuple[str, str]] = []  # who was told, of whom
         self.names = [f"dispatcher-{number}" for number in range(size)]
         for number, name in enumerate(self.names):
-            self.net.add(name, zone_of(number), self._build).on_news = self._listener(name)
+            self.net.add(name, zone_of(number), self._build).on_event = self._listener(name)
         incarnations = {name: self.net.start(name) for name in self.names}
         for name in self.names:
             self._announce(name, incarnations)
 
-    def _build(self, seat: Seat, node: Node) -> None:
+    def _build(self, seat: SimulatedPeer, node: Node) -> None:
         number = self.names.index(seat.name)
         address = f"10.0.{number // 200}.{number % 200}:7946"
         card = Card(node.incarnation, address, seat.site, "10.0.0.1:8080", 1)
@@ -47,7 +47,7 @@
         replicas = tuple(incarnations[other] for other in self.names if other != name)[:_REPLICAS]
         at = (LedgerLocation(f"jobs/{incarnations[name]}", 0, replicas),)
         machine = self.machines[name]
-        self.net.order(name, lambda node, now: node.carry_out(machine.announce_ledgers(at)))
+        self.net.run_on(name, lambda node, now: node.carry_out(machine.announce_ledgers(at)))
 
     def _listener(self, name: str) -> Callable[[FleetEvent], None]:
         def told(news: FleetEvent) -> None:
@@ -58,7 +58,7 @@
 
     def running(self) -> list[str]:
         """The members whose process runs."""
-        return [name for name in self.names if self.net.seats[name].node is not None]
+        return [name for name in self.names if self.net.peers[name].node is not None]
 
     def agree(self, about: list[str], health: Health) -> bool:
         """Whether all members that run hold these for that."""
@@ -97,7 +97,7 @@
 
     def cut_regions(self) -> None:
         """From now on nothing gets from one region to the other."""
-        seats = list(self.net.seats.values())
+        seats = list(self.net.peers.values())
         for one in seats:
             for other in seats:
                 if region_of(one.site) != region_of(other.site):
@@ -191,7 +191,7 @@
     calm = fleet.rate(10)
     fleet.cut_regions()
     cut = _count(fleet, calm, cut_s, fleet.regions_apart)
-    fleet.net.mend()
+    fleet.net.heal()
     return cut, _count(fleet, calm, seconds, lambda: fleet.agree(fleet.names, Health.ALIVE))
 
 
@@ -202,7 +202,7 @@
     fleet = MemberFleet(size, seed)
     fleet.meet(settle_s)
     calm = fleet.rate(10)
-    lost = [name for name in fleet.names if fleet.net.seats[name].site == ZONES[0]]
+    lost = [name for name in fleet.names if fleet.net.peers[name].site == ZONES[0]]
     for name in lost:
         fleet.net.crash(name)
     return _count(fleet, calm, seconds, lambda: fleet.agree(lost, Health.DEAD))
--- a/ironbarrow/lab/capacity/rollouts.py
+++ b/ironbarrow/lab/capacity/rollouts.py
@@ -7,7 +7,7 @@
 from ironbarrow.fleet.rollout.commands import AgentStatus, Command, DispatcherReport
 from ironbarrow.fleet.rollout.signals import AttemptEnd
 from ironbarrow.lab.capacity.counting import Sent, metered
-from ironbarrow.lab.fleet.rollout_simulation import KINDS, RolloutField, targets_of
+from ironbarrow.lab.fleet.rollout_simulation import KINDS, RolloutSimulation, make_targets
 from ironbarrow.runtime.clock import MS
 
 _PLAN = """
@@ -46,11 +46,11 @@
 
 def count_rollout(members: int, workers_used: int, *, seconds: int = 8) -> RolloutCount:
     """Counts a soak: every member tells each second of an attempt at so many workers."""
-    field = RolloutField(targets_of(3, max(4, -(-workers_used // 3))), seed=1, members=members)
+    field = RolloutSimulation(make_targets(3, max(4, -(-workers_used // 3))), seed=1, members=members)
     traffic = metered(field.net, (*KINDS, *MemberMachine.handles, *LedgerMachine.handles))
     field.start("m0", _PLAN)
     field.run(6)
-    workers = sorted(field.boxes)[:workers_used]
+    workers = sorted(field.hosts)[:workers_used]
     traffic.clear()
     for _ in range(seconds):
         for machine in field.machines.values():
--- a/ironbarrow/lab/capacity/waits.py
+++ b/ironbarrow/lab/capacity/waits.py
@@ -6,7 +6,7 @@
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.starvation.tables import UNTRACKED_TENANT, WaitReport, WaitReportReply
 from ironbarrow.lab.capacity.counting import Sent, metered, zone_of
-from ironbarrow.lab.fleet.starvation import Event, Fleet
+from ironbarrow.lab.fleet.starvation import Event, StarvationFleet
 from ironbarrow.runtime.clock import MS
 
 _WAIT = 40 * MS  # of every job, from taken to started
@@ -47,12 +47,12 @@
 
 def waits_fleet(
     dispatchers: int, tenants: int, per_window: int, windows: int, rules: StarvationRules
-) -> Fleet:
+) -> StarvationFleet:
     """A fleet that is about to see jobs for so many windows."""
     names = [f"dispatcher-{number}" for number in range(dispatchers)]
-    fleet = Fleet({name: zone_of(number) for number, name in enumerate(names)}, {}, rules, 1)
+    fleet = StarvationFleet({name: zone_of(number) for number, name in enumerate(names)}, {}, rules, 1)
     for name in names:
-        fleet.tell(name, _jobs(tenants, per_window, rules.window, windows * rules.window))
+        fleet.replay(name, _jobs(tenants, per_window, rules.window, windows * rules.window))
     return fleet
 
 
--- a/ironbarrow/lab/fleet/agents.py
+++ b/ironbarrow/lab/fleet/agents.py
@@ -1,7 +1,7 @@
-"""Agents on the targets' machines: a stand-in. They drain, end and start processes as a coordinator commands.
+"""Simulated rollout agents: they drain, stop and start a target's process on a coordinator's commands.
 
-What an agent must not forget (epoch, number, runtime) is in its ``Agent``, which outlives its process as a
-file on its disk would.
+The state that an agent must keep over a restart of its own (epoch, step number, runtime) is in its ``Agent``.
+That object outlives the agent's process, as a file on disk would.
 """
 
 from typing import Protocol
@@ -10,88 +10,88 @@
 from ironbarrow.fleet.rollout.commands import Agent, AgentStatus, Command, Phase
 from ironbarrow.runtime.clock import MS, SECOND
 
-_LOOK = 250 * MS
-_AGAIN = 3 * SECOND  # a process that is gone, or did not come up, is started again after this
+_POLL_INTERVAL = 250 * MS
+_RESTART_DELAY = 3 * SECOND  # until a crashed process, or one that failed to start, is started again
 
 
-class Box(Protocol):
-    """A target's machine, as its agent uses it."""
+class TargetHost(Protocol):
+    """The machine that a target runs on, as its agent controls it."""
 
     def drain(self) -> None:
-        """Wants nothing new any more; the discovery service says so."""
+        """Lists the process as draining at the discovery service, so that it gets no new jobs."""
 
     def end(self) -> None:
-        """Ends the process."""
+        """Stops the process."""
 
     def begin(self, runtime: str) -> None:
-        """Starts a process of that runtime, cold; it takes a while."""
+        """Starts a cold process of that runtime; ``up`` returns None until the start has ended."""
 
     def up(self) -> bool | None:
-        """Whether it serves; None while it starts."""
+        """Whether the process serves jobs; None while it starts."""
 
     def process(self) -> tuple[str, int]:
-        """The name under which the process is listed, and its start, Unix ns."""
+        """The worker name that the process is listed under, and its start time (Unix ns)."""
 
 
 class AgentMachine:
-    """One agent on the network: an ``api.Machine``."""
+    """Runs one agent on the simulated network. Implements ``api.Machine``."""
 
     handles: tuple[type[Message], ...] = (Command,)
 
-    def __init__(self, agent: Agent, box: Box) -> None:
-        self.agent, self.box = agent, box
-        self._commander: Incarnation | None = None
-        self._end_at = NEVER  # a drain ends then
-        self._begin_at = NEVER  # a process is started then
-        self._look_at = 0
-        if agent.phase is Phase.DRAINING:  # the agent itself was started anew in between
-            self._end_at = 0
+    def __init__(self, agent: Agent, host: TargetHost) -> None:
+        self.agent, self.host = agent, host
+        self._coordinator: Incarnation | None = None
+        self._stop_at = NEVER  # when the drain ends and the process is stopped
+        self._start_at = NEVER  # when the process is started again
+        self._poll_at = 0
+        if agent.phase is Phase.DRAINING:  # the agent was restarted during a drain: finish it now
+            self._stop_at = 0
 
     def received(self, now: int, sender: Incarnation, command: Command) -> list[Action]:
         if command.target != self.agent.target:
             return []
-        begins, answer = self.agent.handle(command)
-        if not answer.refused:
-            self._commander = sender
-        if begins:
-            self.box.drain()
-            self._end_at, self._begin_at = now + command.drain, NEVER
-        return [Send(sender, answer)]
+        starts_drain, status = self.agent.handle(command)
+        if not status.refused:
+            self._coordinator = sender
+        if starts_drain:
+            self.host.drain()
+            self._stop_at, self._start_at = now + command.drain, NEVER
+        return [Send(sender, status)]
 
     def next_at(self) -> int:
-        return min(self._look_at, self._end_at, self._begin_at)
+        return min(self._poll_at, self._stop_at, self._start_at)
 
     def ticked(self, now: int) -> list[Action]:
         agent = self.agent
         before = (agent.phase, agent.starts, agent.crashes)
-        if now >= self._end_at:
-            self._end_at = NEVER
-            self.box.end()
+        if now >= self._stop_at:
+            self._stop_at = NEVER
+            self.host.end()
             self._start()
-        if now >= self._begin_at:
-            self._begin_at = NEVER
+        if now >= self._start_at:
+            self._start_at = NEVER
             self._start()
-        if now >= self._look_at:
-            self._look_at = now + _LOOK
-            self._look(now)
+        if now >= self._poll_at:
+            self._poll_at = now + _POLL_INTERVAL
+            self._poll(now)
         changed = before != (agent.phase, agent.starts, agent.crashes)
-        return [Send(self._commander, self._answer())] if changed and self._commander is not None else []
+        return [Send(self._coordinator, self._status())] if changed and self._coordinator is not None else []
 
     def _start(self) -> None:
         self.agent.phase = Phase.STARTING
-        self.box.begin(self.agent.runtime)
+        self.host.begin(self.agent.runtime)
 
-    def _look(self, now: int) -> None:
-        agent, up = self.agent, self.box.up()
+    def _poll(self, now: int) -> None:
+        agent, up = self.agent, self.host.up()
         if agent.phase is Phase.STARTING and up is not None:
             agent.phase = Phase.UP if up else Phase.FAILED
-            agent.worker, agent.started_at = self.box.process()
+            agent.worker, agent.started_at = self.host.process()
             if not up:
                 agent.starts += 1
-                self._begin_at = now + _AGAIN
-        elif agent.phase is Phase.UP and up is False and self._begin_at == NEVER:
+                self._start_at = now + _RESTART_DELAY
+        elif agent.phase is Phase.UP and up is False and self._start_at == NEVER:
             agent.crashes += 1
-            self._begin_at = now + _AGAIN
+            self._start_at = now + _RESTART_DELAY
 
-    def _answer(self) -> AgentStatus:
+    def _status(self) -> AgentStatus:
         return self.agent.status()
--- a/ironbarrow/lab/fleet/perfect_members.py
+++ b/ironbarrow/lab/fleet/perfect_members.py
@@ -1,55 +1,55 @@
-"""Members as somebody who sees everything would list them: for tests of what builds on members."""
+"""Membership without delay or error, to test and measure ledgers apart from failure detection."""
 
 from collections.abc import Sequence
 
 from ironbarrow.fleet.api import Action, Card, Health, Incarnation, LedgerLocation, Member
 
 
-class Everyone:
-    """What is true of all members: who is alive, where they are, what they write."""
+class TrueMembership:
+    """The true state of all members: their health, sites and ledgers."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
         self.dead: set[Incarnation] = set()
 
-    def started(self, incarnation: Incarnation, site: str) -> None:
-        """A new incarnation of a name makes the earlier one DEAD."""
+    def add(self, incarnation: Incarnation, site: str) -> None:
+        """Adds a new incarnation; the earlier one of the same name becomes DEAD."""
         old = self.members.get(incarnation.name)
         if old is not None:
             self.dead.add(old.card.incarnation)
         self.members[incarnation.name] = Member(Card(incarnation, "", site), Health.ALIVE, 0)
 
-    def ended(self, name: str, health: Health = Health.DEAD) -> None:
-        """A name is held for dead, or for another health, from now on."""
+    def set_health(self, name: str, health: Health = Health.DEAD) -> None:
+        """Sets the health that all members see of a name from now on."""
         member = self.members[name]
         self.members[name] = Member(member.card, health, 0)
 
 
-class StillMembers:
-    """One member's view of them, which is right at once. Implements ``api.Members``."""
+class PerfectMembers:
+    """One member's view, always equal to the true state. Implements ``api.Members``."""
 
-    def __init__(self, everyone: Everyone, incarnation: Incarnation) -> None:
-        self._everyone, self._incarnation = everyone, incarnation
-        self.me = everyone.members[incarnation.name].card
+    def __init__(self, membership: TrueMembership, incarnation: Incarnation) -> None:
+        self._membership, self._incarnation = membership, incarnation
+        self.me = membership.members[incarnation.name].card
 
     def alive(self) -> Sequence[Member]:
-        members = self._everyone.members
+        members = self._membership.members
         return [m for _, m in sorted(members.items()) if m.health in (Health.ALIVE, Health.SUSPECT)]
 
     def health(self, incarnation: Incarnation) -> Health | None:
-        if incarnation in self._everyone.dead:
+        if incarnation in self._membership.dead:
             return Health.DEAD
-        member = self._everyone.members.get(incarnation.name)
+        member = self._membership.members.get(incarnation.name)
         return member.health if member is not None and member.card.incarnation == incarnation else None
 
     def card(self, name: str) -> Card | None:
-        member = self._everyone.members.get(name)
+        member = self._membership.members.get(name)
         return member.card if member is not None else None
 
     def announce_ledgers(self, ledgers: tuple[LedgerLocation, ...]) -> list[Action]:
-        member = self._everyone.members[self._incarnation.name]
+        member = self._membership.members[self._incarnation.name]
         if member.card.incarnation == self._incarnation:
             card = Card(self._incarnation, "", member.card.site, "", member.card.version + 1, ledgers)
             self.me = card
-            self._everyone.members[self._incarnation.name] = Member(card, member.health, member.since)
+            self._membership.members[self._incarnation.name] = Member(card, member.health, member.since)
         return []
--- a/ironbarrow/lab/fleet/random_ledgers.py
+++ b/ironbarrow/lab/fleet/random_ledgers.py
@@ -1,11 +1,11 @@
-"""Random load on ledgers over a simulated network with faults, and an observer who sees all of it.
+"""Random load and faults on ledgers over a simulated network, checked by an observer of all members.
 
-Members put jobs into their ledgers, write an intent before they act on one, drop what has ended, and claim
-the ledgers of members that are held for dead, rightly or not. Messages are lost, doubled, late, overtaken
-and cut one way; members pause, crash and start again. The observer compares what was told to be kept with
-what claimants get (*what counted is in the content*), who acts on a job (*one holder*), and at the end,
-when all is quiet again, that each job that counted is with exactly one member, or counted as lost where a
-majority of replicas has forgotten it.
+Members append jobs to their ledgers, write an intent before they act on a job, remove ended jobs, and claim
+the ledgers of members that they see as dead, rightly or wrongly. Messages are lost, duplicated, delayed,
+reordered and blocked in one direction; members pause, crash and restart. The observer compares what was
+reported as committed with what claimants get (*what counted is in the content*) and checks that only one
+member acts on a job (*one holder*). At the end, after the faults have stopped, each committed job must be
+with exactly one member, or in a ledger that was lost with the majority of its replicas.
 
     python -m ironbarrow.lab.fleet.random_ledgers --seeds 1000 --from 0
 """
@@ -41,92 +41,100 @@
 from ironbarrow.fleet.ledgers import LedgerMachine
 from ironbarrow.fleet.node import Node
 from ironbarrow.fleet.records import CLAIM, JOB
-from ironbarrow.lab.fleet.net import Seat, SimulatedNet, Way
-from ironbarrow.lab.fleet.perfect_members import Everyone, StillMembers
+from ironbarrow.lab.fleet.net import LinkConditions, SimulatedNet, SimulatedPeer
+from ironbarrow.lab.fleet.perfect_members import PerfectMembers, TrueMembership
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS
 
-LED = "led"  # a ledger that one leads after the other
+LEADER_LEDGER = "led"  # a ledger that passes from leader to leader
 INTENT, TAKEN = b"intent", b"taken"
-_AT = msgspec.msgpack.Decoder(LedgerLocation)
+_LOCATION_DECODER = msgspec.msgpack.Decoder(LedgerLocation)
 
 
 @dataclass
-class Run:
-    """What one writer has put into one ledger, as the observer saw it."""
+class WriteHistory:
+    """All changes that one writer appended to one ledger."""
 
     incarnation: Incarnation
-    base: dict[str, bytes]
+    base: dict[str, bytes]  # the content before the first change
     changes: list[Change] = field(default_factory=list)
-    kept: int = 0
-    taken: int | None = None  # the last change that is in what another got
+    committed: int = 0  # number of changes reported as committed
+    claimed_index: int | None = None  # number of changes in the content that another member got
 
 
 class Observer:
-    """Sees every order and all news."""
+    """Records all appends and events of all members and checks the invariants."""
 
     def __init__(self) -> None:
-        self.runs: dict[str, list[Run]] = {}
-        self.acted: dict[str, Incarnation] = {}
-        self.counted: set[str] = set()  # jobs that were kept at some time
-        self.ended: set[str] = set()  # jobs that somebody began to drop
+        self.histories: dict[str, list[WriteHistory]] = {}
+        self.acting: dict[str, Incarnation] = {}  # by job: who acted on it
+        self.committed_jobs: set[str] = set()  # jobs that were ever committed
+        self.removed_jobs: set[str] = set()  # jobs whose removal was requested
         self.counts: Counter[str] = Counter()
 
     def opened(self, ledger: str, incarnation: Incarnation, base: dict[str, bytes]) -> None:
-        self.runs.setdefault(ledger, []).append(Run(incarnation, base))
+        """Records a new writer of a ledger with its initial content."""
+        self.histories.setdefault(ledger, []).append(WriteHistory(incarnation, base))
 
-    def run(self, ledger: str, incarnation: Incarnation) -> Run:
-        return next(run for run in reversed(self.runs[ledger]) if run.incarnation == incarnation)
+    def history(self, ledger: str, incarnation: Incarnation) -> WriteHistory:
+        """Returns the newest history of a ledger by this writer."""
+        return next(
+            history for history in reversed(self.histories[ledger]) if history.incarnation == incarnation
+        )
 
-    def kept(self, ledger: str, incarnation: Incarnation, seq: int) -> None:
-        run = self.run(ledger, incarnation)
-        for change in run.changes[run.kept : seq]:
+    def committed(self, ledger: str, incarnation: Incarnation, seq: int) -> None:
+        """Records that a writer was told that its changes up to ``seq`` are committed."""
+        history = self.history(ledger, incarnation)
+        for change in history.changes[history.committed : seq]:
             if change.key.startswith(JOB) and change.value is not None:
-                self.counted.add(change.key)
-        run.kept = max(run.kept, seq)
-        # what another has got must hold all that is ever told to be kept
+                self.committed_jobs.add(change.key)
+        history.committed = max(history.committed, seq)
+        # content that another member got must include every change that is ever reported as committed
         check(
             "what counted is in the content",
-            run.taken is None or seq <= run.taken,
+            history.claimed_index is None or seq <= history.claimed_index,
             ledger=ledger,
-            kept=seq,
-            taken=run.taken,
+            committed=seq,
+            claimed_index=history.claimed_index,
         )
 
-    def got(self, ledger: str, content: dict[str, bytes]) -> None:
-        """Another has the ledger's content: it must be what some change at or after the last kept one
-        left."""
-        for run in reversed(self.runs[ledger]):
-            table, found = dict(run.base), None
-            for n in range(len(run.changes) + 1):
+    def claimed(self, ledger: str, content: dict[str, bytes]) -> None:
+        """Checks the content that another member got: it must be the state after some change, and not before
+        the last committed one."""
+        for history in reversed(self.histories[ledger]):
+            table, found_index = dict(history.base), None
+            for n in range(len(history.changes) + 1):
                 if n:
-                    change = run.changes[n - 1]
+                    change = history.changes[n - 1]
                     if change.value is None:
                         table.pop(change.key, None)
                     else:
                         table[change.key] = change.value
-                if n >= run.kept and table == content:
-                    found = n
-            if found is not None:
-                run.taken = found if run.taken is None else max(run.taken, found)
+                if n >= history.committed and table == content:
+                    found_index = n
+            if found_index is not None:
+                history.claimed_index = (
+                    found_index if history.claimed_index is None else max(history.claimed_index, found_index)
+                )
                 return
-            if run.kept:
+            if history.committed:
                 break
         check(
             "what counted is in the content",
             False,
             ledger=ledger,
             content=sorted(content),
-            runs=[(r.incarnation, r.kept, len(r.changes)) for r in self.runs[ledger]],
+            histories=[(r.incarnation, r.committed, len(r.changes)) for r in self.histories[ledger]],
         )
 
     def acts(self, job: str, incarnation: Incarnation) -> None:
-        check("one holder", job not in self.acted, job=job, first=self.acted.get(job), second=incarnation)
-        self.acted[job] = incarnation
+        """Checks that no other member has acted on the job."""
+        check("one holder", job not in self.acting, job=job, first=self.acting.get(job), second=incarnation)
+        self.acting[job] = incarnation
 
 
-class Watched(LedgerMachine):
-    """The machine, with an observer of all that is appended, by its owner or by itself."""
+class ObservedLedgers(LedgerMachine):
+    """A member's ledgers; reports all changes to the observer, those that the machine itself appends too."""
 
     observer: Observer
 
@@ -136,103 +144,107 @@
 
     def _append(self, now: int, ledger: str, changes: Sequence[Change]) -> tuple[int, list[Action]]:
         if ledger in self.writers and self.writers[ledger].ready:
-            self.observer.run(ledger, self.me).changes.extend(changes)
+            self.observer.history(ledger, self.me).changes.extend(changes)
         return super()._append(now, ledger, changes)
 
 
-class Owner:
-    """One incarnation of a member as the rest of a dispatcher would use its ledgers."""
+class LedgerOwner:
+    """One incarnation of a member; uses the ledgers as a dispatcher does."""
 
-    def __init__(self, world: "World", seat: Seat, node: Node) -> None:
-        self.world, self.seat, self.node, self.incarnation = world, seat, node, node.incarnation
-        self.machine = Watched(node.incarnation, StillMembers(world.everyone, node.incarnation), world.rules)
+    def __init__(self, world: "LedgerSimulation", peer: SimulatedPeer, node: Node) -> None:
+        self.world, self.peer, self.node, self.incarnation = world, peer, node, node.incarnation
+        self.machine = ObservedLedgers(
+            node.incarnation, PerfectMembers(world.membership, node.incarnation), world.rules
+        )
         self.machine.observer = world.observer
         node.add([self.machine])
-        self.ledgers: list[str] = []  # of jobs, that it writes
-        self.waits: dict[str, list[tuple[int, str, str]]] = {}  # by ledger: number, what to do, on what
+        self.ledgers: list[str] = []  # its ledgers of jobs, oldest first
+        # by ledger: sequence number, action to take once it is committed, and its job
+        self.pending_commits: dict[str, list[tuple[int, str, str]]] = {}
         self.jobs = 0
-        self.lost: set[str] = set()  # ledgers that can't be had, as told to it
+        self.failed_claims: set[str] = set()  # ledgers that no majority of their replicas remembers
 
     def start(self) -> None:
+        """Creates a further ledger of jobs."""
         name = job_ledger(self.incarnation)
         self.create(name + (f"+{len(self.ledgers)}" if self.ledgers else ""))
 
     def create(self, ledger: str) -> None:
-        if ledger != LED:
+        if ledger != LEADER_LEDGER:
             self.ledgers.append(ledger)
-        self.world.order(self, lambda now: self.machine.create(now, ledger))
+        self.world.run_on(self, lambda now: self.machine.create(now, ledger))
 
-    def append(self, ledger: str, changes: Sequence[Change], then: str = "", what: str = "") -> None:
+    def append(self, ledger: str, changes: Sequence[Change], action: str = "", what: str = "") -> None:
         writer = self.machine.writers.get(ledger)
         if writer is None:
             return
         for change in changes:
             if change.key.startswith(JOB) and change.value is None:
-                self.world.observer.ended.add(change.key)
+                self.world.observer.removed_jobs.add(change.key)
 
-        def order(now: int) -> list:  # type: ignore[type-arg]
+        def append(now: int) -> list:  # type: ignore[type-arg]
             seq, actions = self.machine.append(now, ledger, changes)
-            self.waits.setdefault(ledger, []).append((seq, then, what))
+            self.pending_commits.setdefault(ledger, []).append((seq, action, what))
             return actions
 
-        self.world.order(self, order)
+        self.world.run_on(self, append)
 
     def work(self, rng: random.Random) -> None:
-        """Does a little: takes a job, acts on one, or ends one."""
+        """Takes a job, writes the intent of one, or removes one, at random."""
         ledger = self.writable()
         if ledger is None:
             return
-        held = [
+        owned = [
             (name, key, value)
             for name in self.ledgers
             if name in self.machine.writers
             for key, value in self.machine.writers[name].table.items()
             if key.startswith(JOB)
         ]
-        if len(held) < 40 and rng.random() < 0.6:
+        if len(owned) < 40 and rng.random() < 0.6:
             self.jobs += 1
             self.append(ledger, [Change(f"{JOB}{self.incarnation}/{self.jobs}", TAKEN)])
-        elif held:
-            name, key, value = rng.choice(held)
+        elif owned:
+            name, key, value = rng.choice(owned)
             if value == TAKEN:
                 self.append(name, [Change(key, INTENT)], "act", key)
             else:
                 self.append(name, [Change(key)])
 
     def writable(self) -> str | None:
-        """The newest of its ledgers of jobs."""
+        """Returns the newest of its ledgers of jobs that it may write."""
         names = [name for name in self.ledgers if name in self.machine.writers]
         return names[-1] if names else None
 
-    def hears(self, news: FleetEvent) -> None:
+    def on_event(self, event: FleetEvent) -> None:
         observer, world = self.world.observer, self.world
-        observer.counts[type(news).__name__] += 1
-        match news:
+        observer.counts[type(event).__name__] += 1
+        match event:
             case Committed(ledger, seq):
-                observer.kept(ledger, self.incarnation, seq)
-                due = [w for w in self.waits.get(ledger, []) if w[0] <= seq]
-                self.waits[ledger] = [w for w in self.waits.get(ledger, []) if w[0] > seq]
-                for _, then, what in due:
-                    if then == "act":
+                observer.committed(ledger, self.incarnation, seq)
+                due = [w for w in self.pending_commits.get(ledger, []) if w[0] <= seq]
+                self.pending_commits[ledger] = [w for w in self.pending_commits.get(ledger, []) if w[0] > seq]
+                for _, action, what in due:
+                    if action == "act":
                         observer.acts(what, self.incarnation)
             case Claimed(ledger, content, into):
-                observer.got(ledger, content)
-                world.later(0, self, lambda: self.adopt(ledger, content, into))
+                observer.claimed(ledger, content)
+                world.call_later(0, self, lambda: self.adopt(ledger, content, into))
             case ClaimFailed(ledger, by, _):
                 if by is None:
-                    self.lost.add(ledger)
+                    self.failed_claims.add(ledger)
             case Fenced(ledger):
-                self.waits.pop(ledger, None)
+                self.pending_commits.pop(ledger, None)
                 if ledger in self.ledgers and self.writable() in (None, ledger):
-                    world.later(0, self, self.start)
+                    world.call_later(0, self, self.start)
             case Moved(at, content) if content is not None:
-                observer.got(at.ledger, content)
+                observer.claimed(at.ledger, content)
                 observer.opened(at.ledger, self.incarnation, dict(content))
             case NoMajority(ledger, False) if ledger == self.writable():
-                world.later(3000 * MS, self, lambda: self.start_over(ledger))
+                world.call_later(3000 * MS, self, lambda: self.open_another_ledger(ledger))
 
-    def start_over(self, ledger: str) -> None:
-        """Without a majority for so long: new jobs go into another ledger, the old ones stay where they
+    def open_another_ledger(self, ledger: str) -> None:
+        """Opens a new ledger for new jobs, if this one still has no majority. Its jobs stay where they
         are."""
         writer = self.machine.writers.get(ledger)
         if (
@@ -245,119 +257,127 @@
             self.start()
 
     def adopt(self, ledger: str, content: dict[str, bytes], into: str) -> None:
-        """Replaces the key by what it stands for, in one append; claims by keys in it are gone on with."""
+        """Appends a claimed ledger's jobs and removes the claim's key in one append; resumes the claims in
+        it."""
         if into not in self.ledgers:
             self.ledgers.insert(0, into)
-        nested = [c for c in content.items() if c[0].startswith(CLAIM) and c[0] != CLAIM + ledger]
-        puts = [Change(key, value) for key, value in content.items() if key.startswith(JOB)]
-        puts += [Change(key, value) for key, value in nested]
-        self.append(into, [*puts, Change(CLAIM + ledger)])
-        for _, value in nested:
-            self.claim(_AT.decode(value))
+        open_claims = [c for c in content.items() if c[0].startswith(CLAIM) and c[0] != CLAIM + ledger]
+        changes = [Change(key, value) for key, value in content.items() if key.startswith(JOB)]
+        changes += [Change(key, value) for key, value in open_claims]
+        self.append(into, [*changes, Change(CLAIM + ledger)])
+        for _, value in open_claims:
+            self.claim(_LOCATION_DECODER.decode(value))
 
     def claim(self, at: LedgerLocation) -> None:
-        self.world.order(self, lambda now: self.machine.claim(now, at))
+        self.world.run_on(self, lambda now: self.machine.claim(now, at))
 
 
-class World:
-    """One run, by its seed."""
+class LedgerSimulation:
+    """One run; all randomness comes from its seed."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
         self.rng = rng = random.Random(seed)
         self.clock = SimulatedClock()
         self.net = SimulatedNet(self.clock, Codec(LedgerMachine.handles), seed)
-        self.everyone, self.observer = Everyone(), Observer()
+        self.membership, self.observer = TrueMembership(), Observer()
         self.rules = LedgerRules(replicas=5 if rng.random() < 0.25 else 3)
-        self.owners: dict[str, Owner] = {}
-        self.dead: dict[str, LedgerLocation] = {}  # where the ledgers of those held for dead are
+        self.owners: dict[str, LedgerOwner] = {}
+        # location of each ledger of a member that was declared dead
+        self.dead_ledgers: dict[str, LedgerLocation] = {}
         self.pardoned: set[str] = set()
         for i in range(rng.randint(3, 9)):
-            seat = self.net.add(f"m{i}", f"s{i % rng.choice((1, 3))}", self._build)
-            seat.on_news = lambda news, name=f"m{i}": self.owners[name].hears(news)
+            peer = self.net.add(f"m{i}", f"s{i % rng.choice((1, 3))}", self._build)
+            peer.on_event = lambda event, name=f"m{i}": self.owners[name].on_event(event)
             self.net.start(f"m{i}")
-        for name in self.net.seats:
+        for name in self.net.peers:
             self.owners[name].start()
-        self.owners["m0"].create(LED)
-
-    def _build(self, seat: Seat, node: Node) -> None:
-        self.everyone.started(node.incarnation, seat.site)
-        self.owners[seat.name] = Owner(self, seat, node)
-
-    def order(self, owner: Owner, what) -> None:  # type: ignore[no-untyped-def]
-        """Has a member do something now, if that incarnation runs."""
-        if owner.seat.node is owner.node:
-            self.net.order(owner.seat.name, lambda node, now: node.carry_out(what(now)))
-
-    def later(self, delay: int, owner: Owner, what) -> None:  # type: ignore[no-untyped-def]
-        def do() -> None:
-            if owner.seat.node is owner.node:
-                if owner.seat.paused:
-                    owner.seat.waiting.append(what)
+        self.owners["m0"].create(LEADER_LEDGER)
+
+    def _build(self, peer: SimulatedPeer, node: Node) -> None:
+        self.membership.add(node.incarnation, peer.site)
+        self.owners[peer.name] = LedgerOwner(self, peer, node)
+
+    def run_on(self, owner: LedgerOwner, call) -> None:  # type: ignore[no-untyped-def]
+        """Calls a function with the time and carries out the actions it returns, if this incarnation still
+        runs."""
+        if owner.peer.node is owner.node:
+            self.net.run_on(owner.peer.name, lambda node, now: node.carry_out(call(now)))
+
+    def call_later(self, delay: int, owner: LedgerOwner, call) -> None:  # type: ignore[no-untyped-def]
+        """Calls a function after ``delay`` ns, if this incarnation runs then; a paused one defers the
+        call."""
+
+        def run() -> None:
+            if owner.peer.node is owner.node:
+                if owner.peer.paused:
+                    owner.peer.deferred.append(call)
                 else:
-                    what()
+                    call()
 
-        self.clock.call_at(self.clock.now() + delay, do)
+        self.clock.call_at(self.clock.now() + delay, run)
 
-    def died(self, name: str) -> None:
-        """A name's present incarnation is held for dead: those that follow stand in line for what it
-        wrote."""
-        member = self.everyone.members[name]
-        self.everyone.ended(name)
+    def declare_dead(self, name: str) -> None:
+        """Marks a name's current incarnation as dead; other members will claim its ledgers."""
+        member = self.membership.members[name]
+        self.membership.set_health(name)
         for at in member.card.ledgers:
-            if at.ledger != LED and at.ledger not in self.dead:
-                self.dead[at.ledger] = at
-                self.line_up(at, name)
-
-    def line_up(self, at: LedgerLocation, but: str) -> None:
-        names = sorted((n for n in self.net.seats if n != but), key=lambda n: -rank(at.ledger, n))
-        for place, name in enumerate(names):
-            delay = place * self.rng.choice((0, 20, 150)) * MS
-            self.later(delay, self.owners[name], lambda n=name: self.owners[n].claim(at))
+            if at.ledger != LEADER_LEDGER and at.ledger not in self.dead_ledgers:
+                self.dead_ledgers[at.ledger] = at
+                self.schedule_claims(at, name)
+
+    def schedule_claims(self, at: LedgerLocation, exclude: str) -> None:
+        """Has members claim a ledger, in the order of their rank for it and with random delays."""
+        names = sorted((n for n in self.net.peers if n != exclude), key=lambda n: -rank(at.ledger, n))
+        for position, name in enumerate(names):
+            delay = position * self.rng.choice((0, 20, 150)) * MS
+            self.call_later(delay, self.owners[name], lambda n=name: self.owners[n].claim(at))
             if self.rng.random() < 0.4:
                 break
 
-    def revived(self, name: str) -> None:
-        """It was held for dead, and says that it is alive."""
-        if self.net.seats[name].node is not None:
-            self.everyone.ended(name, Health.ALIVE)
+    def declare_alive(self, name: str) -> None:
+        """Marks a running member that was declared dead as alive again."""
+        if self.net.peers[name].node is not None:
+            self.membership.set_health(name, Health.ALIVE)
 
     def crash(self, name: str) -> None:
-        if self.net.seats[name].node is None:
+        """Ends a member. Its crash is detected after 300 to 1200 ms; it restarts after a random time."""
+        if self.net.peers[name].node is None:
             return
         self.net.crash(name)
-        self.clock.call_at(self.clock.now() + self.rng.randint(300, 1200) * MS, self._noticed, name)
+        self.clock.call_at(self.clock.now() + self.rng.randint(300, 1200) * MS, self._detect_crash, name)
         down = int(self.rng.choice((100, 1000, 3000)) * self.rng.uniform(0.5, 1.5)) * MS
         self.clock.call_at(self.clock.now() + down, self.restart, name)
 
-    def _noticed(self, name: str) -> None:
-        if self.net.seats[name].node is None:
-            self.died(name)
+    def _detect_crash(self, name: str) -> None:
+        if self.net.peers[name].node is None:
+            self.declare_dead(name)
 
     def restart(self, name: str) -> None:
-        if self.net.seats[name].node is None:
-            self.died(name)
+        """Starts a member that is down; its previous incarnation is dead then."""
+        if self.net.peers[name].node is None:
+            self.declare_dead(name)
             self.net.start(name)
             self.owners[name].start()
 
     def pause(self, name: str) -> None:
-        """Stopped for a while; held for dead if that is long, or by mistake."""
-        if self.net.seats[name].node is None or self.net.seats[name].paused:
+        """Pauses a member for a random time; with probability 0.6 it is declared dead meanwhile."""
+        if self.net.peers[name].node is None or self.net.peers[name].paused:
             return
         self.net.pause(name)
         length = self.rng.choice((50, 800, 3000)) * MS
         if self.rng.random() < 0.6:
-            self.clock.call_at(self.clock.now() + length // 2, self.died, name)
-        self.clock.call_at(self.clock.now() + length, self._resumed, name)
+            self.clock.call_at(self.clock.now() + length // 2, self.declare_dead, name)
+        self.clock.call_at(self.clock.now() + length, self._resume, name)
 
-    def _resumed(self, name: str) -> None:
-        if self.net.seats[name].node is not None and self.net.seats[name].paused:
+    def _resume(self, name: str) -> None:
+        if self.net.peers[name].node is not None and self.net.peers[name].paused:
             self.net.resume(name)
-        self.revived(name)
+        self.declare_alive(name)
 
     def fault(self) -> None:
-        """Something goes wrong, or is mended."""
-        rng, names = self.rng, list(self.net.seats)
+        """Injects a random fault, or heals the network."""
+        rng, names = self.rng, list(self.net.peers)
         a, b = rng.sample(names, 2)
         match rng.randrange(9):
             case 0 | 1:
@@ -371,114 +391,117 @@
                     if other != a:
                         self.net.cut(a, other, both=rng.random() < 0.7)
                 if rng.random() < 0.7:
-                    self.clock.call_at(self.clock.now() + 900 * MS, self.died, a)
-                    self.clock.call_at(self.clock.now() + 2500 * MS, self.revived, a)
+                    self.clock.call_at(self.clock.now() + 900 * MS, self.declare_dead, a)
+                    self.clock.call_at(self.clock.now() + 2500 * MS, self.declare_alive, a)
             case 6:
-                self.net.usual = Way(
+                self.net.default_link = LinkConditions(
                     jitter=rng.choice((0, 1, 20, 200)) * MS,
                     lost=rng.choice((0, 0.02, 0.2)),
                     doubled=rng.choice((0, 0.1, 0.3)),
                 )
             case 7:
-                self.net.mend()
+                self.net.heal()
             case 8:
                 at = next((w.at for o in self.owners.values() for w in o.machine.writers.values()
-                           if w.at.ledger == LED and w.opened), None)  # fmt: skip
+                           if w.at.ledger == LEADER_LEDGER and w.opened), None)  # fmt: skip
                 if at is not None:
                     owner = self.owners[a]
-                    if LED not in owner.machine.writers:
-                        self.order(owner, lambda now: owner.machine.lead(now, at))
+                    if LEADER_LEDGER not in owner.machine.writers:
+                        self.run_on(owner, lambda now: owner.machine.lead(now, at))
 
     def run(self) -> Counter[str]:
-        """Ten seconds of load and faults, then quiet; what came about. An InvariantError says what must
-        never be."""
+        """Runs about ten seconds of load and faults, then the final checks. Returns counts of what occurred.
+
+        Raises InvariantError if an invariant is broken and INVARIANTS.fatal is set."""
         rng = self.rng
         self.net.run(20 * MS)
         for _ in range(rng.randint(200, 500)):
             self.net.run(int(rng.expovariate(1 / (25 * MS))))
-            name = rng.choice(list(self.net.seats))
+            name = rng.choice(list(self.net.peers))
             owner = self.owners[name]
-            if self.net.seats[name].node is not None and not self.net.seats[name].paused:
+            if self.net.peers[name].node is not None and not self.net.peers[name].paused:
                 for _ in range(rng.choice((1, 1, 5))):
                     owner.work(rng)
-                if LED in owner.machine.writers and rng.random() < 0.5:
-                    owner.append(LED, [Change(f"step{rng.randrange(6)}", b"%d" % rng.randrange(99))])
+                if LEADER_LEDGER in owner.machine.writers and rng.random() < 0.5:
+                    owner.append(
+                        LEADER_LEDGER, [Change(f"step{rng.randrange(6)}", b"%d" % rng.randrange(99))]
+                    )
             if rng.random() < 0.05:
                 self.fault()
-        self.quiet()
-        self.verdict()
+        self.settle()
+        self.check_holders()
         return self.observer.counts
 
-    def quiet(self) -> None:
-        """No more faults: all run, all ledgers of the dead are claimed by somebody."""
-        self.net.mend()
-        self.net.usual = Way()
+    def settle(self) -> None:
+        """Ends all faults, restarts all members and has all of them claim the ledgers of the dead."""
+        self.net.heal()
+        self.net.default_link = LinkConditions()
         self.net.run(8000 * MS)
-        for name, seat in self.net.seats.items():
-            if seat.paused:
+        for name, peer in self.net.peers.items():
+            if peer.paused:
                 self.net.resume(name)
             self.restart(name)
-            self.revived(name)
+            self.declare_alive(name)
         for _ in range(4):
             self.net.run(6000 * MS)
-            for at in list(self.dead.values()):
-                for name in self.net.seats:
+            for at in list(self.dead_ledgers.values()):
+                for name in self.net.peers:
                     self.owners[name].claim(at)
                 self.net.run(50 * MS)
         self.net.run(10_000 * MS)
 
-    def verdict(self) -> None:
-        """Each job that counted is with one member, or its ledger is lost."""
-        where: dict[str, list[Incarnation]] = {}
-        stuck: set[str] = set()
+    def check_holders(self) -> None:
+        """Checks that each committed job is with exactly one member, or in a lost ledger."""
+        holders: dict[str, list[Incarnation]] = {}
+        without_majority: set[str] = set()
         for owner in self.owners.values():
             for name in owner.ledgers:
                 writer = owner.machine.writers.get(name)
                 if writer is not None and writer._without_majority:
-                    stuck.update(writer.table)  # it can do nothing with them
+                    without_majority.update(writer.table)  # without a majority the writer can't act on them
                     continue
                 for key in writer.table if writer is not None else ():
                     if key.startswith(JOB):
-                        where.setdefault(key, []).append(owner.incarnation)
-        self.observer.counts["stuck"] += len(stuck)
-        lost_ledgers = {ledger for owner in self.owners.values() for ledger in owner.lost}
-        forgotten = {
+                        holders.setdefault(key, []).append(owner.incarnation)
+        self.observer.counts["stuck"] += len(without_majority)
+        lost_ledgers = {ledger for owner in self.owners.values() for ledger in owner.failed_claims}
+        in_lost_ledgers = {
             change.key
             for ledger in lost_ledgers
-            for run in self.observer.runs[ledger]
-            for change in run.changes
+            for history in self.observer.histories[ledger]
+            for change in history.changes
         }
-        for job, incarnations in where.items():
+        for job, incarnations in holders.items():
             check(
                 "one holder",
                 len(incarnations) == 1,
                 job=job,
                 incarnations=[str(incarnation) for incarnation in incarnations],
             )
-        for job in self.observer.counted - self.observer.ended:
-            if job not in where and job not in stuck:
-                check("what counted is in the content", job in forgotten, job=job, holder=None)
+        for job in self.observer.committed_jobs - self.observer.removed_jobs:
+            if job not in holders and job not in without_majority:
+                check("what counted is in the content", job in in_lost_ledgers, job=job, holder=None)
                 self.observer.counts["lost for want of replicas"] += 1
-        self.observer.counts["jobs"] += len(self.observer.counted)
-        self.observer.counts["acted"] += len(self.observer.acted)
+        self.observer.counts["jobs"] += len(self.observer.committed_jobs)
+        self.observer.counts["acted"] += len(self.observer.acting)
 
 
 def main() -> None:
-    """Runs seeds; ends with 1 at the first that fails, and says how to run it again."""
+    """Runs the seeds; at the first failure prints the command that replays it and raises the error."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=100)
     parser.add_argument("--from", type=int, default=0, dest="first")
     options = parser.parse_args()
     INVARIANTS.fatal = True
     counts: Counter[str] = Counter()
-    began = time.monotonic()
+    started_at = time.monotonic()
     for seed in range(options.first, options.first + options.seeds):
         try:
-            counts += World(seed).run()
+            counts += LedgerSimulation(seed).run()
         except Exception:
             print(f"python -m ironbarrow.lab.fleet.random_ledgers --seeds 1 --from {seed}")
             raise
-    print(f"{options.seeds} seeds in {time.monotonic() - began:.1f} s: {dict(counts)}")
+    print(f"{options.seeds} seeds in {time.monotonic() - started_at:.1f} s: {dict(counts)}")
     print(dict(INVARIANTS.checked))
 
 
--- a/ironbarrow/lab/fleet/random_takeovers.py
+++ b/ironbarrow/lab/fleet/random_takeovers.py
@@ -1,7 +1,7 @@
-"""Random load and faults on dispatchers of a fleet, in virtual time.
+"""Random load and faults on the dispatchers of a fleet, in virtual time.
 
-``python -m ironbarrow.lab.fleet.random_takeovers FIRST LAST [KIND]`` plays seeds and ends with 1 at the first
-that breaks a rule; with FIRST equal to LAST it replays that seed alone.
+``python -m ironbarrow.lab.fleet.random_takeovers FIRST LAST [KIND]`` runs these seeds and exits with 1 at the
+first one that violates an invariant; with FIRST equal to LAST it replays one seed.
 """
 
 import logging
@@ -14,8 +14,8 @@
 
 from heathway.settings import read_settings
 from ironbarrow.fleet.invariants import INVARIANTS
-from ironbarrow.lab.fleet.net import Way
-from ironbarrow.lab.fleet.takeover_simulation import WorkWorld, ms
+from ironbarrow.lab.fleet.net import LinkConditions
+from ironbarrow.lab.fleet.takeover_simulation import TakeoverSimulation, ms
 
 UNSAFE = ("book",)
 _SETTINGS: dict[str, Any] = {
@@ -37,15 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """What goes wrong in a play, each about once in so many jobs; 0: never."""
+    """The faults of a run. ``kills``, ``pauses`` and ``cuts`` come about once per so many jobs; 0: never."""
 
     kills: int = 0
     pauses: int = 0
     cuts: int = 0
-    lost: float = 0.0  # part of all messages between members
+    lost: float = 0.0  # share of the messages between members
     doubled: float = 0.0
-    fails: float = 0.03  # part of the runs that workers say have failed
-    refuses: float = 0.05  # part of the requests that workers prove not to have run
+    failure_rate: float = 0.03  # share of the runs that end as failed
+    refusal_rate: float = 0.05  # share of the requests that workers reject without a run
     dispatchers: int = 5
 
 
@@ -58,20 +58,20 @@
 }
 
 
-def play(seed: int, faults: Faults, jobs: int = 80) -> WorkWorld:
-    """Plays one seed to its end: all clients have their answers or are past their time."""
-    world = WorkWorld(SETTINGS, faults.dispatchers, seed=seed, workers=8)
-    world.net.usual = Way(lost=faults.lost, doubled=faults.doubled)
-    world.fails, world.refuses = faults.fails, faults.refuses
+def run_seed(seed: int, faults: Faults, jobs: int = 80) -> TakeoverSimulation:
+    """Runs one seed until each client has its answer or its deadline has passed."""
+    world = TakeoverSimulation(SETTINGS, faults.dispatchers, seed=seed, workers=8)
+    world.net.default_link = LinkConditions(lost=faults.lost, doubled=faults.doubled)
+    world.failure_rate, world.refusal_rate = faults.failure_rate, faults.refusal_rate
     world.run(ms(1500))
     random, later = world.random, world.clock.call_at
     for number in range(jobs):
         world.run(ms(random.uniform(5, 60)))
-        order = world.order(
+        request = world.submit(
             f"j{number}", random.choice(("map", "book")), ms(random.choice((3000, 6000, 9000)))
         )
-        if random.random() < 0.05:  # a client that loses patience with its connection
-            later(world.clock.now() + ms(random.uniform(5, 800)), world.again, order)
+        if random.random() < 0.05:  # a client that disconnects and retries
+            later(world.clock.now() + ms(random.uniform(5, 800)), world.reconnect, request)
         if faults.kills and random.random() * faults.kills < 1 and len(world.up()) > 2:
             name = random.choice(world.up())
             world.kill(name)
@@ -81,39 +81,47 @@
             world.net.pause(name)
             later(world.clock.now() + ms(random.uniform(300, 4000)), world.resume, name)
         if faults.cuts and random.random() * faults.cuts < 1:
-            one, other = random.sample(sorted(world.net.seats), 2)
+            one, other = random.sample(sorted(world.net.peers), 2)
             world.net.cut(one, other, both=random.random() < 0.5)
-            later(world.clock.now() + ms(random.uniform(300, 4000)), world.net.mend)
+            later(world.clock.now() + ms(random.uniform(300, 4000)), world.net.heal)
     world.run(ms(12_000))
     return world
 
 
 def main() -> int:
+    """Runs the seeds and kinds of the command line; returns the exit status."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     INVARIANTS.fatal = True
     first, last = int(sys.argv[1]), int(sys.argv[2])
     kinds = sys.argv[3:] or list(KINDS)
     for kind in kinds:
-        ends: Counter[str] = Counter()
+        verdicts: Counter[str] = Counter()
         counts: Counter[str] = Counter()
-        copies = unheard = 0
-        after: list[int] = []
+        duplicate_runs = lost_call_backs = 0
+        delays: list[int] = []
         for seed in range(first, last + 1):
-            world = play(seed, KINDS[kind])
-            broken = world.broken(UNSAFE)
-            if broken:
-                print(f"seed {seed} of {kind} breaks: {broken}; replay: {seed} {seed} {kind}")
+            world = run_seed(seed, KINDS[kind])
+            violations = world.violations(UNSAFE)
+            if violations:
+                print(f"seed {seed} of {kind} violates: {violations}; replay: {seed} {seed} {kind}")
                 return 1
-            ends += world.ends()
-            copies += sum(world.workers.copies.values())
-            unheard += world.workers.unheard
-            after += [news.after for _, news in world.adoptions]
+            verdicts += world.verdict_counts()
+            duplicate_runs += sum(world.workers.duplicate_runs.values())
+            lost_call_backs += world.workers.lost_call_backs
+            delays += [event.after for _, event in world.adoptions]
             for process in world.processes.values():
-                counts += process.work.machine.counts
-        after.sort()
-        at = {p: after[min(len(after) - 1, len(after) * p // 100)] / 1e6 for p in (50, 99)} if after else {}
-        print(f"{kind}: {last - first + 1} seeds; {dict(ends)}; second copies {copies}; unheard {unheard}")
-        print(f"  from death known to adoption, ms: {at}; {dict(sorted(counts.items()))}")
+                counts += process.adapter.machine.counts
+        delays.sort()
+        percentiles = (
+            {p: delays[min(len(delays) - 1, len(delays) * p // 100)] / 1e6 for p in (50, 99)}
+            if delays
+            else {}
+        )
+        print(
+            f"{kind}: {last - first + 1} seeds; {dict(verdicts)}; duplicate runs {duplicate_runs};"
+            f" lost call-backs {lost_call_backs}"
+        )
+        print(f"  time from detected death to adoption, ms: {percentiles}; {dict(sorted(counts.items()))}")
     return 0
 
 
--- a/ironbarrow/lab/fleet/rollout_simulation.py
+++ b/ironbarrow/lab/fleet/rollout_simulation.py
@@ -1,7 +1,7 @@
-"""A rollout without jobs: members, agents and targets in virtual time, with random load of faults.
+"""Simulates a rollout without jobs: members, agents and targets in virtual time, on a network with faults.
 
-For what the coordinator promises whatever happens: a step once, floors kept, sites in order. ``RolloutField``
-judges by what the machines did, not by what the coordinator believes.
+Used to check the coordinator's invariants: each step is done once, floors are kept, sites are updated in
+order. The checks read the state of the simulated target hosts, not the coordinator's own state.
 """
 
 import dataclasses
@@ -26,7 +26,7 @@
 from ironbarrow.fleet.rollout.plan import Floor, Target, parse
 from ironbarrow.fleet.rollout.records import LEDGER_PREFIX
 from ironbarrow.lab.fleet.agents import AgentMachine
-from ironbarrow.lab.fleet.net import Seat, SimulatedNet
+from ironbarrow.lab.fleet.net import SimulatedNet, SimulatedPeer
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS, SECOND
 
@@ -34,10 +34,10 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class FieldBox:
-    """A target's machine that only takes its time: a ``Box``."""
+class SimulatedTargetHost:
+    """A target's machine whose process only takes time to start. Implements ``TargetHost``."""
 
-    field: "RolloutField"
+    simulation: "RolloutSimulation"
     target: Target
     serving: bool = True
     draining: bool = False
@@ -45,35 +45,35 @@
     started_at: int = 0
     runtime: str = "1.0"
     history: list[tuple[int, str]] = dataclasses.field(default_factory=list)
-    broken: bool = False  # it does not come up
-    lost: bool = False  # by something that has nothing to do with the rollout
+    fails_to_start: bool = False
+    lost: bool = False  # failed for a reason other than the rollout
 
     def drain(self) -> None:
-        before = self.field.short()
+        before = self.simulation.count_broken_floors()
         self.draining = True
-        self.field.drained(before)
-        self.field.changed(self.target)
+        self.simulation.drain_started(before)
+        self.simulation.target_changed(self.target)
 
     def end(self) -> None:
         self.serving = False
-        self.field.changed(self.target)
+        self.simulation.target_changed(self.target)
 
     def begin(self, runtime: str) -> None:
-        now = self.field.clock.now()
+        now = self.simulation.clock.now()
         self.runtime, self.draining, self.serving = runtime, False, False
-        self.up_at, self.started_at = now + self.field.start_time, now
+        self.up_at, self.started_at = now + self.simulation.start_time, now
         self.history.append((now, runtime))
-        self.field.clock.call_at(self.up_at, self._comes_up, self.started_at)
+        self.simulation.clock.call_at(self.up_at, self._finish_start, self.started_at)
 
-    def _comes_up(self, started_at: int) -> None:
-        if self.started_at == started_at and not self.broken and not self.lost:
+    def _finish_start(self, started_at: int) -> None:
+        if self.started_at == started_at and not self.fails_to_start and not self.lost:
             self.serving = True
-            self.field.changed(self.target)
+            self.simulation.target_changed(self.target)
 
     def up(self) -> bool | None:
         if self.serving:
             return True
-        return None if self.field.clock.now() <= self.up_at else False
+        return None if self.simulation.clock.now() <= self.up_at else False
 
     def process(self) -> tuple[str, int]:
         return self.target.name, self.started_at
@@ -82,22 +82,22 @@
         return self.serving and not self.draining and not self.lost
 
 
-class WatchedLedgers(LedgerMachine):
-    """The ledgers of a member, with each append of the field counted and told."""
+class CountedLedgers(LedgerMachine):
+    """A member's ledgers. Counts each append over the whole simulation and reports it to ``on_write``."""
 
-    field: "RolloutField"
+    simulation: "RolloutSimulation"
 
     def append(self, now: int, ledger: str, changes: Sequence[Change]) -> tuple[int, list[Action]]:
         seq, actions = super().append(now, ledger, changes)
         if seq:
-            self.field.writes += 1
-            self.field.numbers[self.me.name, seq] = self.field.writes
-            self.field.on_write(self.me.name, self.field.writes, False)
+            self.simulation.writes += 1
+            self.simulation.write_numbers[self.me.name, seq] = self.simulation.writes
+            self.simulation.on_write(self.me.name, self.simulation.writes, False)
         return seq, actions
 
 
-class RolloutField:
-    """Members that may lead, agents, targets. Everything follows from ``seed``."""
+class RolloutSimulation:
+    """Members that may coordinate, agents and targets. A run is determined by ``seed``."""
 
     def __init__(
         self,
@@ -113,130 +113,140 @@
         self.random = random.Random(seed)
         kinds: tuple[type[Message], ...] = (*KINDS, *MemberMachine.handles, *LedgerMachine.handles)
         self.net = SimulatedNet(self.clock, Codec(kinds), seed)
-        self.writes = 0  # appends so far; by writer and number in its segment:
-        self.numbers: dict[tuple[str, int], int] = {}
-        # told of each append as it is made, and (True) once it counts and before its writer hears so
-        self.on_write: Callable[[str, int, bool], None] = lambda writer, number, counts: None
-        self.ledgers: dict[str, WatchedLedgers] = {}
+        self.writes = 0  # appends so far, over all members
+        self.write_numbers: dict[tuple[str, int], int] = {}  # by writer and sequence number
+        # called with False when an append is made, and with True once it is committed, before its
+        # writer learns it
+        self.on_write: Callable[[str, int, bool], None] = lambda writer, number, committed: None
+        self.ledgers: dict[str, CountedLedgers] = {}
         self.start_time, self.list_delay = start_time, list_delay
         self.classes: dict[str, str | None] = {"map": None, "decode": "fast"}
-        self.boxes = {target.name: FieldBox(self, target) for target in targets}
+        self.hosts = {target.name: SimulatedTargetHost(self, target) for target in targets}
         self.agents = {target.name: Agent(target.name, "1.0") for target in targets}
         self.machines: dict[str, RolloutMachine] = {}
-        self.news: list[RolloutChanged] = []
-        self.floors: list[Floor] = []  # of the plan that was started
-        self.broken = 0  # floors that held until a target was drained, by the machines' own state
+        self.rollout_changes: list[RolloutChanged] = []
+        self.floors: list[Floor] = []  # of the running plan
+        self.broken_floors = 0  # drains that broke a floor, by the state of the hosts
         self.names = [f"m{number}" for number in range(members)]
         for number, name in enumerate(self.names):
             site = sites[number % len(sites)]
-            seat = self.net.add(name, site, self._member)
-            seat.on_news = lambda news, seat=seat: self._heard(seat, news)
+            peer = self.net.add(name, site, self._member)
+            peer.on_event = lambda event, peer=peer: self._on_event(peer, event)
         for name in self.names:
             self.net.start(name)
         for target in targets:
             self.net.add(AGENT_PREFIX + target.name, target.site, self._agent)
             self.net.start(AGENT_PREFIX + target.name)
-        self._push()
-        self.run(3)  # the members have met
+        self._publish_targets()
+        self.run(3)  # until the members know each other
 
-    def _member(self, seat: Seat, node: Node) -> None:
-        seeds = [name for name in self.names if name != seat.name]
-        card = Card(node.incarnation, "", seat.site, version=1)
+    def _member(self, peer: SimulatedPeer, node: Node) -> None:
+        seeds = [name for name in self.names if name != peer.name]
+        card = Card(node.incarnation, "", peer.site, version=1)
         members = MemberMachine(card, MemberRules(), seeds, self.clock.now())
-        ledgers = self.ledgers[seat.name] = WatchedLedgers(node.incarnation, members, LedgerRules())
-        ledgers.field = self
+        ledgers = self.ledgers[peer.name] = CountedLedgers(node.incarnation, members, LedgerRules())
+        ledgers.simulation = self
         machine = RolloutMachine(members, ledgers, lambda now: now, None, self.classes)
-        self.machines[seat.name] = machine
-        machine.update_targets(self.clock.now(), self._list())
+        self.machines[peer.name] = machine
+        machine.update_targets(self.clock.now(), self._listed_targets())
         node.add([members, ledgers, machine])
 
-    def _agent(self, seat: Seat, node: Node) -> None:
-        name = seat.name.removeprefix(AGENT_PREFIX)
-        node.add([AgentMachine(self.agents[name], self.boxes[name])])
+    def _agent(self, peer: SimulatedPeer, node: Node) -> None:
+        name = peer.name.removeprefix(AGENT_PREFIX)
+        node.add([AgentMachine(self.agents[name], self.hosts[name])])
 
-    def _heard(self, seat: Seat, news: FleetEvent) -> None:
-        node = seat.node
-        if isinstance(news, RolloutChanged):
-            self.news.append(news)
+    def _on_event(self, peer: SimulatedPeer, event: FleetEvent) -> None:
+        node = peer.node
+        if isinstance(event, RolloutChanged):
+            self.rollout_changes.append(event)
         elif node is not None:
-            if isinstance(news, Committed) and news.ledger.startswith(LEDGER_PREFIX):
-                self.on_write(seat.name, self.numbers.get((seat.name, news.seq), 0), True)
-            if seat.node is node:
-                node.carry_out(self.machines[seat.name].on_event(self.clock.now(), news))
+            if isinstance(event, Committed) and event.ledger.startswith(LEDGER_PREFIX):
+                self.on_write(peer.name, self.write_numbers.get((peer.name, event.seq), 0), True)
+            if peer.node is node:
+                node.carry_out(self.machines[peer.name].on_event(self.clock.now(), event))
 
-    # The list of targets
+    # The worker list
 
-    def _list(self) -> list[ListedTarget]:
-        return [ListedTarget(box.target, box.in_use(), box.started_at) for box in self.boxes.values()]
+    def _listed_targets(self) -> list[ListedTarget]:
+        return [ListedTarget(host.target, host.in_use(), host.started_at) for host in self.hosts.values()]
 
-    def changed(self, target: Target) -> None:
-        """A target has changed: what is in use is looked at, and the list goes out a little later."""
-        self.clock.call_at(self.clock.now() + self.list_delay, self._push)
+    def target_changed(self, target: Target) -> None:
+        """Publishes the worker list to all members ``list_delay`` after a target has changed."""
+        self.clock.call_at(self.clock.now() + self.list_delay, self._publish_targets)
 
-    def _push(self) -> None:
+    def _publish_targets(self) -> None:
         for name, machine in self.machines.items():
-            if self.net.seats[name].node is not None:
-                machine.update_targets(self.clock.now(), self._list())
+            if self.net.peers[name].node is not None:
+                machine.update_targets(self.clock.now(), self._listed_targets())
 
-    # What is done to it
+    # Actions of a test
 
     def start(self, name: str, plan: str) -> None:
+        """Starts a rollout at a member. ``plan``: the text of the plan file."""
         machine = self.machines[name]
         self.floors = parse(plan.encode(), "plan").floors
-        self.net.order(name, lambda node, now: node.carry_out(machine.start(now, plan.encode())))
+        self.net.run_on(name, lambda node, now: node.carry_out(machine.start(now, plan.encode())))
 
     def run(self, seconds: float) -> None:
+        """Advances the virtual time."""
         self.net.run(int(seconds * SECOND))
 
     def crash(self, name: str, down: int) -> None:
         """Ends a member; it starts again after ``down`` ns."""
-        if self.net.seats[name].node is None:
+        if self.net.peers[name].node is None:
             return
         self.net.crash(name)
 
-        def again() -> None:
+        def restart() -> None:
             self.net.start(name)
 
-        self.clock.call_at(self.clock.now() + down, again)
+        self.clock.call_at(self.clock.now() + down, restart)
 
-    def leader(self) -> str | None:
-        """Who leads; of several that believe so the one of the highest epoch."""
-        leads = [
+    def coordinator(self) -> str | None:
+        """Returns the member that coordinates; if several believe that they do, the one of the highest
+        epoch."""
+        coordinators = [
             (machine.led.epoch, name)
             for name, machine in self.machines.items()
-            if machine.led is not None and self.net.seats[name].node is not None
+            if machine.led is not None and self.net.peers[name].node is not None
         ]
-        return max(leads)[1] if leads else None
+        return max(coordinators)[1] if coordinators else None
 
     def stage(self) -> str:
-        name = self.leader()
-        lead = self.machines[name].led if name is not None else None
-        return lead.state.stage.name if lead is not None else "none"
+        """Returns the name of the rollout's stage; "none" if no member coordinates."""
+        name = self.coordinator()
+        rollout = self.machines[name].led if name is not None else None
+        return rollout.state.stage.name if rollout is not None else "none"
 
-    # The judgement
+    # Checks
 
-    def replaced(self, runtime: str) -> dict[str, int]:
-        """How often each target was started with a runtime."""
+    def start_counts(self, runtime: str) -> dict[str, int]:
+        """Returns how often each target was started with a runtime."""
         return {
-            name: sum(started == runtime for _, started in box.history) for name, box in self.boxes.items()
+            name: sum(started == runtime for _, started in host.history) for name, host in self.hosts.items()
         }
 
-    def short(self) -> int:
-        """Floors that do not hold now, by the machines' own state."""
-        found = 0
+    def count_broken_floors(self) -> int:
+        """Returns the number of floors that are not kept now, by the state of the hosts."""
+        broken = 0
         for floor in self.floors:
-            used = [b for b in self.boxes.values() if b.in_use() and floor.includes(b.target, self.classes)]
-            found += sum(box.target.slots for box in used) < floor.slots
-        return found
+            used_hosts = [
+                host
+                for host in self.hosts.values()
+                if host.in_use() and floor.includes(host.target, self.classes)
+            ]
+            broken += sum(host.target.slots for host in used_hosts) < floor.slots
+        return broken
 
-    def drained(self, before: int) -> None:
-        self.broken += self.short() > before
+    def drain_started(self, broken_before: int) -> None:
+        """Counts a drain that broke a floor. ``broken_before``: ``count_broken_floors`` before the drain."""
+        self.broken_floors += self.count_broken_floors() > broken_before
 
 
-def targets_of(sites: int, each: int, slots: float = 4.0) -> list[Target]:
-    """So many sites (a, b, ...) with so many targets each, by turns of the kinds "slow" and "fast"."""
+def make_targets(sites: int, targets_per_site: int, slots: float = 4.0) -> list[Target]:
+    """Returns targets at sites a, b, ... that alternate between the kinds "slow" and "fast"."""
     return [
         Target(f"{chr(97 + s)}{n}", chr(97 + s), ("slow", "fast")[n % 2], slots)
         for s in range(sites)
-        for n in range(each)
+        for n in range(targets_per_site)
     ]
--- a/ironbarrow/lab/fleet/rollouts.py
+++ b/ironbarrow/lab/fleet/rollouts.py
@@ -1,5 +1,5 @@
-"""Rollouts on a simulated world: real hosts and decisions, real members and ledgers, agents that replace
-workers, and a new runtime that may be bad.
+"""Simulates rollouts of a new, possibly faulty runtime under load: real hosts, decisions, members and
+ledgers, and simulated agents that replace the workers' processes.
 """
 
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 from ironbarrow.fleet.rollout.records import Stage
 from ironbarrow.fleet.rollout.signals import AttemptEnd, Signals
 from ironbarrow.lab.fleet.agents import AgentMachine
-from ironbarrow.lab.fleet.net import Seat, SimulatedNet
+from ironbarrow.lab.fleet.net import SimulatedNet, SimulatedPeer
 from ironbarrow.lab.fleet.rollout_simulation import KINDS
 from ironbarrow.lab.model.fleet import Faults
 from ironbarrow.lab.model.spec import Fault, World
@@ -37,10 +37,10 @@
 from ironbarrow.runtime.clock import MS, SECOND
 
 START_TIME = SECOND  # of a worker's process, until it is listed
-_SYNC = 200 * MS
-_LEAK = 0.08  # chance of a job to leave its slots taken, where a runtime leaks
+_SYNC_INTERVAL = 200 * MS
+_LEAK_PROBABILITY = 0.08  # of a job to leave its slots taken, with a runtime that leaks
 OLD, NEW = "1.0", "2.0"
-_ENDS = {
+_ATTEMPT_ENDS = {
     Ending.DONE: AttemptEnd.DONE,
     Ending.FAILED: AttemptEnd.FAILED,
     Ending.ERROR_ANSWER: AttemptEnd.FAILED,
@@ -52,48 +52,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Runtime:
-    """What is wrong with a runtime; by default nothing."""
-
-    failing: float = 0.0  # part of its jobs
-    failing_after: int = 0  # ns after its process's start
-    failing_class: str = ""  # "": all
-    only_zone: str = ""  # "": everywhere
-    slow: float = 1.0
+class RuntimeFaults:
+    """The faults of a runtime; none by default."""
+
+    failing: float = 0.0  # share of its jobs
+    failing_after: int = 0  # ns after the process's start
+    failing_class: str = ""  # "": all classes
+    only_zone: str = ""  # "": all zones
+    slow: float = 1.0  # factor on the service times
     leaks: bool = False
-    no_start: bool = False
-    falls: bool = False  # at a part of the work that others stand while they are cold
-    starves: bool = False  # a verdict comes 10 s after it is up somewhere
-
-
-KINDS_OF_BAD: dict[str, Runtime] = {
-    "fails 2%": Runtime(failing=0.02),
-    "fails 10%": Runtime(failing=0.1),
-    "fails 30%": Runtime(failing=0.3),
-    "fails 100%": Runtime(failing=1.0),
-    "fails 30% after 15 s": Runtime(failing=0.3, failing_after=15 * SECOND),
-    "one class fails 30%": Runtime(failing=0.3, failing_class="decode"),
-    "one site's hardware, 30%": Runtime(failing=0.3, only_zone="middle"),
-    "slow x2": Runtime(slow=2.0),
-    "leaks slots": Runtime(leaks=True),
-    "does not start": Runtime(no_start=True),
-    "falls when cold": Runtime(falls=True),
-    "starves one tenant": Runtime(starves=True),
+    fails_to_start: bool = False
+    crashes_when_cold: bool = False  # at a load that other cold workers can take
+    starves: bool = False  # a tenant is reported as starved about 10 s after the first process of it is up
+
+
+BAD_RUNTIMES: dict[str, RuntimeFaults] = {
+    "fails 2%": RuntimeFaults(failing=0.02),
+    "fails 10%": RuntimeFaults(failing=0.1),
+    "fails 30%": RuntimeFaults(failing=0.3),
+    "fails 100%": RuntimeFaults(failing=1.0),
+    "fails 30% after 15 s": RuntimeFaults(failing=0.3, failing_after=15 * SECOND),
+    "one class fails 30%": RuntimeFaults(failing=0.3, failing_class="decode"),
+    "one site's hardware, 30%": RuntimeFaults(failing=0.3, only_zone="middle"),
+    "slow x2": RuntimeFaults(slow=2.0),
+    "leaks slots": RuntimeFaults(leaks=True),
+    "does not start": RuntimeFaults(fails_to_start=True),
+    "falls when cold": RuntimeFaults(crashes_when_cold=True),
+    "starves one tenant": RuntimeFaults(starves=True),
 }
 
 
-class NewWorker(Worker):
-    """A worker with the new runtime."""
+class FaultyWorker(Worker):
+    """A worker whose runtime may have faults."""
 
-    runtime = Runtime()
-    failing_usual: float | None = None  # jobs of this usual work alone fail
+    runtime = RuntimeFaults()
+    failing_work: float | None = None  # only jobs with this usual work fail; None: all
 
-    def install(self, runtime: Runtime, usual: float | None) -> None:
-        self.runtime, self.failing_usual = runtime, usual
+    def install(self, runtime: RuntimeFaults, usual: float | None) -> None:
+        """Applies the faults of a runtime. ``usual``: the usual work of the class that fails; None: all
+        fail."""
+        self.runtime, self.failing_work = runtime, usual
         self._usual: dict[str, float] = {}
         if runtime.slow != 1.0:
             self.slow(runtime.slow)
-        if runtime.falls:
+        if runtime.crashes_when_cold:
             self._cold = msgspec.structs.replace(self._cold, fall_multiple=0.2)
 
     def arrive(self, job_id: str, need: Need, tell: Tell) -> Reply:
@@ -103,57 +105,60 @@
     def _begin(self, job: Held) -> None:
         runtime = self.runtime
         if runtime.failing:
-            struck = self.failing_usual in (None, self._usual.get(job.id))
-            late = self._clock.now() - self.started_at >= runtime.failing_after
-            self.trouble.failing = runtime.failing if struck and late else 0.0
+            affected = self.failing_work in (None, self._usual.get(job.id))
+            old_enough = self._clock.now() - self.started_at >= runtime.failing_after
+            self.trouble.failing = runtime.failing if affected and old_enough else 0.0
         super()._begin(job)
 
     def _drop(self, job: Held) -> None:
         before = self.slots_taken
         super()._drop(job)
         self._usual.pop(job.id, None)
-        if self.runtime.leaks and self.slots_taken < before and self._stream.chance(_LEAK):
+        if self.runtime.leaks and self.slots_taken < before and self._stream.chance(_LEAK_PROBABILITY):
             self.slots_taken = before
 
 
-class WatchedBack(SimulatedBack):
-    """Notes what becomes of a dispatcher's attempts."""
+class ObservedBack(SimulatedBack):
+    """Reports a dispatcher's attempts and their ends to its rollout signals."""
 
     signals: Signals
-    _noted: dict[Attempt, tuple[str, int, str, float, int]]
+    _observed: dict[Attempt, tuple[str, int, str, float, int]]
 
     def watch(self, signals: Signals) -> None:
-        self.signals, self._noted = signals, {}
+        """Sets the signals to report to; called before the first attempt."""
+        self.signals, self._observed = signals, {}
 
     def _write(self, attempt: Attempt, way: _Way) -> None:
         super()._write(attempt, way)
-        if attempt.written and not way.over and attempt not in self._noted:
+        if attempt.written and not way.over and attempt not in self._observed:
             job = attempt.job.arrival
             since = way.worker.started_at // MS * MS
             usual = self._needs[attempt.job.payload.id].usual
-            self._noted[attempt] = (attempt.worker, since, job.job_class, job.slots, 0)
+            self._observed[attempt] = (attempt.worker, since, job.job_class, job.slots, 0)
             self.signals.attempt_sent(attempt.worker, since, job.job_class, int(usual), job.slots)
 
     def _told(self, attempt: Attempt, way: _Way, state: str, report: Report | None) -> None:
-        noted = self._noted.get(attempt)
-        if state == "started" and noted is not None:
-            self._noted[attempt] = (*noted[:4], self._clock.now())
+        observed = self._observed.get(attempt)
+        if state == "started" and observed is not None:
+            self._observed[attempt] = (*observed[:4], self._clock.now())
         super()._told(attempt, way, state, report)
 
     def _end(
         self, attempt: Attempt, ending: Ending, report: api.LoadReport | None = None, result: bytes = b""
     ) -> None:
-        noted = self._noted.pop(attempt, None)
-        if noted is not None:
-            worker, since, job_class, slots, started = noted
+        observed = self._observed.pop(attempt, None)
+        if observed is not None:
+            worker, since, job_class, slots, started = observed
             elapsed = self._clock.now() - started if started else 0
             free = report.free_slots if report is not None else None
-            self.signals.attempt_ended(worker, since, job_class, slots, _ENDS.get(ending), elapsed, free)
+            self.signals.attempt_ended(
+                worker, since, job_class, slots, _ATTEMPT_ENDS.get(ending), elapsed, free
+            )
         super()._end(attempt, ending, report, result)
 
 
-class WorkerBox:
-    """A worker's machine, as its agent uses it: a ``Box``."""
+class WorkerHost:
+    """The machine of a simulated worker. Implements ``TargetHost``."""
 
     def __init__(self, run: "RolloutRun", target: Target) -> None:
         self._run, self.target = run, target
@@ -173,23 +178,23 @@
         self._number += 1
         self._up_at = clock.now() + START_TIME
         self.starts.append((clock.now(), runtime))
-        clock.call_at(self._up_at, self._comes_up, self._number, runtime)
+        clock.call_at(self._up_at, self._finish_start, self._number, runtime)
 
-    def _comes_up(self, number: int, runtime: str) -> None:
+    def _finish_start(self, number: int, runtime: str) -> None:
         run, fleet = self._run, self._run.fleet
-        bad = run.bad if runtime == NEW else Runtime()
-        if number != self._number or bad.no_start:
+        faults = run.runtime_faults if runtime == NEW else RuntimeFaults()
+        if number != self._number or faults.fails_to_start:
             return
         old = fleet.workers[self.target.name]
-        if bad.only_zone not in ("", old.zone):
-            bad = Runtime()
+        if faults.only_zone not in ("", old.zone):
+            faults = RuntimeFaults()
         self.listed_as = f"{self.target.name}~{number}"
-        fleet.make = NewWorker
+        fleet.make = FaultyWorker
         made = fleet.add(old.group, self.listed_as, old.zone, run.clock.now())
         fleet.make = Worker
-        assert isinstance(made, NewWorker)
-        usual = next((float(c.work.mean) for c in run.world.classes if c.name == bad.failing_class), None)
-        made.install(bad, usual)
+        assert isinstance(made, FaultyWorker)
+        usual = next((float(c.work.mean) for c in run.world.classes if c.name == faults.failing_class), None)
+        made.install(faults, usual)
         fleet.discovery.change(fleet.entry(made))
 
     def up(self) -> bool | None:
@@ -204,52 +209,54 @@
 
 
 class CurrentFaults(Faults):
-    """Faults that strike whatever process a machine has at the time, the new runtime's too."""
+    """Faults that affect a machine's current process, also one that a rollout has started."""
 
-    boxes: dict[str, WorkerBox]
+    hosts: dict[str, WorkerHost]
 
     def _play(self, fault: Fault, who: list[str]) -> None:
-        super()._play(fault, [self.boxes[name].listed_as for name in who])
+        super()._play(fault, [self.hosts[name].listed_as for name in who])
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of a rollout. Times in seconds from its start; -1: never."""
+    """The result of a rollout. Times in s from its start; -1: never."""
 
     stage: str
     rule: str
     figures: str
-    had_it: float  # part of the targets that had the new runtime, or were getting it, at the first pause
+    had_it: float  # share of the targets that had or were getting the new runtime when it first stopped
     first_up: float
-    held_at: float  # the first hold or stop from then on that lasted to the stop, or the first one
+    held_at: float  # the first hold
     stopped_at: float
     holds: list[str]
     done_at: float
 
 
 class RolloutRun(Simulation):
-    """A world with a rollout in it, led by its dispatchers. ``plan`` None: agents and members alone."""
+    """A simulated world with a rollout that its dispatchers coordinate.
+
+    ``plan``: the text of the plan file; None: agents and members run, without a rollout."""
 
     def __init__(
         self,
         world: World,
         seed: int,
         plan: str | None,
-        bad: Runtime | None = None,
+        runtime_faults: RuntimeFaults | None = None,
         start_at: int = 8 * SECOND,
     ) -> None:
         super().__init__(world, seed)
-        self.bad = bad or Runtime()
+        self.runtime_faults = runtime_faults or RuntimeFaults()
         self.plan, self._start_at = plan, start_at
         self.signals = [Signals(zone_of(world, n)) for n in range(world.dispatchers.count)]
         self.machines: dict[str, RolloutMachine] = {}
-        self.boxes: dict[str, WorkerBox] = {}
+        self.hosts: dict[str, WorkerHost] = {}
         self.agents: dict[str, Agent] = {}
-        self.changes: list[tuple[int, RolloutChanged]] = []
-        self._verdict_given = False
+        self.rollout_changes: list[tuple[int, RolloutChanged]] = []
+        self._starvation_reported = False
         self.faults = faults = CurrentFaults(self.clock, world, self.fleet, self.workload, self, self.streams)
-        faults.boxes = self.boxes
-        self._had_at_pause = -1.0
+        faults.hosts = self.hosts
+        self._share_at_pause = -1.0
         kinds: tuple[type[Message], ...] = (*KINDS, *MemberMachine.handles, *LedgerMachine.handles)
         self.net = SimulatedNet(self.clock, Codec(kinds), seed)
         self.names = [f"d{n}" for n in range(world.dispatchers.count)]
@@ -257,20 +264,20 @@
             p.name: Target(p.name, p.zone, p.group.kind, p.group.slots) for p in self.fleet.workers.values()
         }
         for name in self.names:
-            seat = self.net.add(name, zone_of(world, int(name[1:])), self._member)
-            seat.on_news = lambda news, seat=seat: self._news(seat, news)
+            peer = self.net.add(name, zone_of(world, int(name[1:])), self._member)
+            peer.on_event = lambda event, peer=peer: self._on_event(peer, event)
         for target in self._targets.values():
-            self.boxes[target.name] = WorkerBox(self, target)
+            self.hosts[target.name] = WorkerHost(self, target)
             self.agents[target.name] = Agent(target.name, OLD)
             self.net.add(AGENT_PREFIX + target.name, target.site, self._agent)
             self.net.start(AGENT_PREFIX + target.name)
-        self.clock.call_at(self.clock.now() + _SYNC, self._sync)
+        self.clock.call_at(self.clock.now() + _SYNC_INTERVAL, self._sync)
         if plan is not None:
             self.clock.call_at(self.clock.now() + start_at, self._begin, plan)
 
     def make_back(self, number: int, clock: ProcessClock, host: Host) -> SimulatedBack:
         zone = zone_of(self.world, number)
-        back = WatchedBack(clock, host, self.fleet, self.audit, f"d{number}", zone, self.habits.needs)
+        back = ObservedBack(clock, host, self.fleet, self.audit, f"d{number}", zone, self.habits.needs)
         self.signals[number] = Signals(zone)
         back.watch(self.signals[number])
         machine = self.machines.get(f"d{number}")
@@ -278,96 +285,98 @@
             machine.signals = self.signals[number]
         return back
 
-    def _member(self, seat: Seat, node: Node) -> None:
-        number = int(seat.name[1:])
-        seeds = [name for name in self.names if name != seat.name]
+    def _member(self, peer: SimulatedPeer, node: Node) -> None:
+        number = int(peer.name[1:])
+        seeds = [name for name in self.names if name != peer.name]
         members = MemberMachine(
-            Card(node.incarnation, "", seat.site, version=1), MemberRules(), seeds, self.clock.now()
+            Card(node.incarnation, "", peer.site, version=1), MemberRules(), seeds, self.clock.now()
         )
         ledgers = LedgerMachine(node.incarnation, members, LedgerRules())
         settings = self.dispatchers[number].settings
         machine = RolloutMachine(members, ledgers, lambda now: now, settings)
         machine.signals = self.signals[number]
-        self.machines[seat.name] = machine
+        self.machines[peer.name] = machine
         machine.update_targets(self.clock.now(), self._listed(number))
         node.add([members, ledgers, machine])
 
-    def _agent(self, seat: Seat, node: Node) -> None:
-        name = seat.name.removeprefix(AGENT_PREFIX)
-        node.add([AgentMachine(self.agents[name], self.boxes[name])])
+    def _agent(self, peer: SimulatedPeer, node: Node) -> None:
+        name = peer.name.removeprefix(AGENT_PREFIX)
+        node.add([AgentMachine(self.agents[name], self.hosts[name])])
 
-    def _news(self, seat: Seat, news: FleetEvent) -> None:
-        node = seat.node
-        if isinstance(news, RolloutChanged):
-            self.changes.append((self.clock.now(), news))
-            if news.stage in (Stage.STOPPED, Stage.BACK):
-                self._note_pause()
+    def _on_event(self, peer: SimulatedPeer, event: FleetEvent) -> None:
+        node = peer.node
+        if isinstance(event, RolloutChanged):
+            self.rollout_changes.append((self.clock.now(), event))
+            if event.stage in (Stage.STOPPED, Stage.BACK):
+                self._record_pause()
         elif node is not None:
-            node.carry_out(self.machines[seat.name].on_event(self.clock.now(), news))
+            node.carry_out(self.machines[peer.name].on_event(self.clock.now(), event))
 
-    def _note_pause(self) -> None:
-        if self._had_at_pause < 0:
-            had = sum(any(r == NEW for _, r in box.starts) for box in self.boxes.values())
-            self._had_at_pause = had / len(self.boxes)
+    def _record_pause(self) -> None:
+        if self._share_at_pause < 0:
+            had = sum(any(r == NEW for _, r in host.starts) for host in self.hosts.values())
+            self._share_at_pause = had / len(self.hosts)
 
     def _listed(self, number: int) -> list[ListedTarget]:
-        """The targets as a dispatcher's list has them; what is not listed is not in use."""
+        """Returns the targets as a dispatcher's worker list has them; an unlisted one is not in use."""
         known = {entry.name: entry for entry in self.dispatchers[number].known().entries}
         found: dict[str, ListedTarget] = {
             n: ListedTarget(target, up=False) for n, target in self._targets.items()
         }
         for entry in known.values():
-            stem = entry.name.partition("~")[0]
-            if stem in found:
-                found[stem] = ListedTarget(self._targets[stem], entry.status == "up", entry.since)
+            target_name = entry.name.partition("~")[0]
+            if target_name in found:
+                found[target_name] = ListedTarget(
+                    self._targets[target_name], entry.status == "up", entry.since
+                )
         return list(found.values())
 
     def _sync(self) -> None:
-        """Members live as their dispatchers do, and know the list that these know."""
+        """Starts and ends members with their dispatchers, and gives them the dispatchers' worker lists."""
         for number, name in enumerate(self.names):
-            runs, seat = self.dispatchers[number].process is not None, self.net.seats[name]
-            if runs and seat.node is None:
+            runs, peer = self.dispatchers[number].process is not None, self.net.peers[name]
+            if runs and peer.node is None:
                 self.net.start(name)
-            elif not runs and seat.node is not None:
+            elif not runs and peer.node is not None:
                 self.net.crash(name)
             if runs:
                 self.machines[name].update_targets(self.clock.now(), self._listed(number))
-        if self.bad.starves and not self._verdict_given:
-            since = [at for box in self.boxes.values() for at, runtime in box.starts if runtime == NEW]
+        if self.runtime_faults.starves and not self._starvation_reported:
+            since = [at for host in self.hosts.values() for at, runtime in host.starts if runtime == NEW]
             if since and self.clock.now() > min(since) + 12 * SECOND:
-                self._verdict_given = True
+                self._starvation_reported = True
                 seen = StarvationReport("farm3", "d1", min(since) + 2 * SECOND)
-                self._order("d1", lambda machine, now: machine.report_starvation(now, seen))
+                self._run_on("d1", lambda machine, now: machine.report_starvation(now, seen))
         if not self.workload.ended:
-            self.clock.call_at(self.clock.now() + _SYNC, self._sync)
+            self.clock.call_at(self.clock.now() + _SYNC_INTERVAL, self._sync)
 
-    def _order(self, name: str, what: Callable[[RolloutMachine, int], Any]) -> None:
-        self.net.order(name, lambda node, now: node.carry_out(what(self.machines[name], now)))
+    def _run_on(self, name: str, call: Callable[[RolloutMachine, int], Any]) -> None:
+        self.net.run_on(name, lambda node, now: node.carry_out(call(self.machines[name], now)))
 
     def _begin(self, plan: str) -> None:
-        runs = [n for n, name in enumerate(self.names) if self.net.seats[name].node is not None]
-        self._order(self.names[runs[0]], lambda machine, now: machine.start(now, plan.encode()))
+        runs = [n for n, name in enumerate(self.names) if self.net.peers[name].node is not None]
+        self._run_on(self.names[runs[0]], lambda machine, now: machine.start(now, plan.encode()))
 
-    def play(self) -> tuple[Result, Outcome]:
-        """Plays it to the end."""
-        begun = self.clock.now() + self._start_at
+    def run_rollout(self) -> tuple[Result, Outcome]:
+        """Runs the world to its end; returns the usual result and the outcome of the rollout."""
+        started_at = self.clock.now() + self._start_at
         result = self.run()
-        ups = [at for box in self.boxes.values() for at, runtime in box.starts if runtime == NEW]
+        new_starts = [at for host in self.hosts.values() for at, runtime in host.starts if runtime == NEW]
 
-        def when(*stages: Stage) -> float:
-            found = [at for at, news in self.changes if news.stage in stages]
-            return (found[0] - begun) / SECOND if found else -1.0
+        def first_time_of(*stages: Stage) -> float:
+            found = [at for at, event in self.rollout_changes if event.stage in stages]
+            return (found[0] - started_at) / SECOND if found else -1.0
 
-        stop = next((n for _, n in self.changes if n.stage in (Stage.STOPPED, Stage.BACK)), None)
-        last = stop or (self.changes[-1][1] if self.changes else None)
+        stop = next((n for _, n in self.rollout_changes if n.stage in (Stage.STOPPED, Stage.BACK)), None)
+        last = stop or (self.rollout_changes[-1][1] if self.rollout_changes else None)
         return result, Outcome(
             last.stage.name if last else "NONE",
             stop.rule if stop else "",
             stop.details if stop else "",
-            self._had_at_pause,
-            (min(ups) + START_TIME - begun) / SECOND if ups else -1.0,
-            when(Stage.HELD),
-            when(Stage.STOPPED, Stage.BACK),
-            [news.rule for _, news in self.changes if news.stage is Stage.HELD],
-            when(Stage.DONE),
+            self._share_at_pause,
+            (min(new_starts) + START_TIME - started_at) / SECOND if new_starts else -1.0,
+            first_time_of(Stage.HELD),
+            first_time_of(Stage.STOPPED, Stage.BACK),
+            [event.rule for _, event in self.rollout_changes if event.stage is Stage.HELD],
+            first_time_of(Stage.DONE),
         )
--- a/ironbarrow/lab/fleet/starvation.py
+++ b/ironbarrow/lab/fleet/starvation.py
@@ -1,8 +1,8 @@
-"""Worlds with a known truth about who starves, and the machines of a fleet that look at them.
+"""Scenarios with known starved tenants, and their detection by the starvation machines of a fleet.
 
-Each partition has its own arrivals, queue and servers, simulated first; what happened is then told to the
-real machines on the simulated network. A cause sets in at ``onset`` and stays. Three kinds are starvation,
-four only look so, one is nothing at all.
+The arrivals, queue and servers of each partition are simulated first; the resulting events are then replayed
+to the real machines on the simulated network. A scenario's cause starts at ``onset`` and stays. Three kinds
+are starvation, four only look like it, and in one nothing happens.
 """
 
 import random
@@ -18,80 +18,84 @@
 from ironbarrow.fleet.starvation.machine import StarvationMachine, TenantShares
 from ironbarrow.fleet.starvation.tables import WaitReport, WaitReportReply
 from ironbarrow.fleet.starvation.verdict import StarvationBegan, StarvationEnded
-from ironbarrow.lab.fleet.net import Seat, SimulatedNet
+from ironbarrow.lab.fleet.net import SimulatedNet, SimulatedPeer
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS, SECOND
 
-STARVED = ("one partition", "one class", "busy neighbour")
-ONLY_LOOKS_SO = ("slow for all", "over its share", "another mix", "too few")
-KINDS = (*STARVED, *ONLY_LOOKS_SO, "nothing")
+STARVED_KINDS = ("one partition", "one class", "busy neighbour")
+FALSE_POSITIVE_KINDS = ("slow for all", "over its share", "another mix", "too few")
+KINDS = (*STARVED_KINDS, *FALSE_POSITIVE_KINDS, "nothing")
 
-# class: mean service s, latest start s after it was taken (the queue's order), patience s
+# by class: mean service time, latest start after arrival (orders the queue), client's patience; all in s
 _CLASSES = {"map": (0.06, 0.5, 3.0), "decode": (0.15, 2.0, 6.0), "booking": (0.10, 4.0, 8.0)}
-_SIZES = ((1.0, 0.8), (2.0, 0.15), (4.0, 0.05))  # slots, part of the jobs; work grows with the root
+_SIZES = (
+    (1.0, 0.8),
+    (2.0, 0.15),
+    (4.0, 0.05),
+)  # slots, share of the jobs; work grows with the square root of the slots
 
 
 @dataclass(slots=True, eq=False)
 class Arrival:
-    """A job: when it comes (s), what it is, and where it queues."""
+    """A job, with its arrival time ``at`` (s) and its server pool."""
 
     at: float
     tenant: str
     job_class: str
     slots: float
-    work: float  # s
+    work: float  # service time at speed 1, s
     order: float  # the lowest is served first
-    lane: str = ""  # servers of its own, where a cause has it so
+    pool: str = ""  # the partition's default pool, unless the cause assigns another
 
 
 @dataclass(slots=True, eq=False)
-class Lane:
-    """Servers of a partition, with one queue. ``stalls``: when none of them starts anything, s."""
+class ServerPool:
+    """Servers of a partition with a common queue. ``stalls``: begin and end (s) of times without any
+    start."""
 
     servers: int
     speed: float = 1.0
-    slow_from: float = 1e9
-    slow: float = 1.0  # speed from then on
+    slow_after: float = 1e9  # s
+    slow_speed: float = 1.0  # from ``slow_after`` on
     stalls: list[tuple[float, float]] = field(default_factory=list)
 
 
-Event = tuple[
-    int, int, int, str, str, float
-]  # ns, what (0 taken, 1 started, 2 ended), job, tenant, class, slots
+# time (ns), kind (0 taken, 1 started, 2 ended without a start), job, tenant, class, slots
+Event = tuple[int, int, int, str, str, float]
 
 
-def served(lanes: dict[str, Lane], arrivals: Sequence[Arrival], length: float) -> list[Event]:
-    """What happens to jobs: started, given up when their patience is over, or still waiting at the end."""
+def simulate_queues(pools: dict[str, ServerPool], arrivals: Sequence[Arrival], length: float) -> list[Event]:
+    """Returns the events of all jobs: a job starts, ends when its client gives up, or waits until the end."""
     events: list[Event] = []
-    by_lane: dict[str, list[tuple[int, Arrival]]] = defaultdict(list)
+    by_pool: dict[str, list[tuple[int, Arrival]]] = defaultdict(list)
     for number, job in enumerate(arrivals):
-        by_lane[job.lane if job.lane in lanes else ""].append((number, job))
+        by_pool[job.pool if job.pool in pools else ""].append((number, job))
         events.append((int(job.at * SECOND), 0, number, job.tenant, job.job_class, job.slots))
 
     def ended(at: float, what: int, number: int, job: Arrival) -> None:
         if at < length:
             events.append((int(at * SECOND), what, number, job.tenant, job.job_class, job.slots))
 
-    for name, jobs in by_lane.items():
-        lane = lanes[name]
-        free = [0.0] * lane.servers  # when each server is free
+    for name, jobs in by_pool.items():
+        pool = pools[name]
+        free = [0.0] * pool.servers  # when each server is free
         heapify(free)
         queue: list[tuple[float, int, Arrival]] = []
-        coming, at = 0, 0.0
-        while coming < len(jobs) or queue:
-            at = max(at, free[0], jobs[coming][1].at if not queue else 0.0)
-            at = max([at, *(end for begin, end in lane.stalls if begin <= at < end)])
-            while coming < len(jobs) and jobs[coming][1].at <= at:
-                number, job = jobs[coming]
+        next_arrival, at = 0, 0.0
+        while next_arrival < len(jobs) or queue:
+            at = max(at, free[0], jobs[next_arrival][1].at if not queue else 0.0)
+            at = max([at, *(end for begin, end in pool.stalls if begin <= at < end)])
+            while next_arrival < len(jobs) and jobs[next_arrival][1].at <= at:
+                number, job = jobs[next_arrival]
                 heappush(queue, (job.order, number, job))
-                coming += 1
+                next_arrival += 1
             _, number, job = heappop(queue)
-            gives_up = job.at + _CLASSES[job.job_class][2]
-            if gives_up <= at:
-                ended(gives_up, 2, number, job)
+            gives_up_at = job.at + _CLASSES[job.job_class][2]
+            if gives_up_at <= at:
+                ended(gives_up_at, 2, number, job)
                 continue
             ended(at, 1, number, job)
-            speed = lane.slow if at >= lane.slow_from else lane.speed
+            speed = pool.slow_speed if at >= pool.slow_after else pool.speed
             heappop(free)
             heappush(free, at + job.work / speed)
     events.sort()
@@ -99,8 +103,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class World:
-    """What happens in a fleet, and what is true of it."""
+class StarvationWorld:
+    """The events of a fleet, and which tenant is starved in which partition. Times in s."""
 
     kind: str
     seed: int
@@ -108,63 +112,65 @@
     length: float
     sites: dict[str, str]  # by partition
     events: dict[str, list[Event]]
-    shares: dict[str, dict[str, float]]  # by partition and tenant, jobs a second
-    tenant: str  # of whom the question is
+    shares: dict[str, dict[str, float]]  # by partition and tenant, jobs per second
+    tenant: str  # that the cause affects
     partition: str
 
     @property
     def starved(self) -> bool:
-        return self.kind in STARVED
+        return self.kind in STARVED_KINDS
 
 
-def generate(kind: str, seed: int, length: float = 85.0, onset: float = 30.0) -> World:
-    """One world of a kind. The same arguments give the same world."""
-    draw = random.Random(f"{kind}/{seed}")
-    names = [f"p{i}" for i in range(draw.randrange(3, 6))]
-    tenants = [f"t{i}" for i in range(draw.randrange(5, 10))]
-    total = draw.uniform(14, 26)  # jobs a second in a partition
-    parts = [1 / (i + 1) ** draw.uniform(0.3, 1.0) for i in range(len(tenants))]
+def generate(kind: str, seed: int, length: float = 85.0, onset: float = 30.0) -> StarvationWorld:
+    """Generates a world of one of ``KINDS``. The same arguments give the same world."""
+    rng = random.Random(f"{kind}/{seed}")
+    names = [f"p{i}" for i in range(rng.randrange(3, 6))]
+    tenants = [f"t{i}" for i in range(rng.randrange(5, 10))]
+    total = rng.uniform(14, 26)  # jobs per second in a partition
+    parts = [1 / (i + 1) ** rng.uniform(0.3, 1.0) for i in range(len(tenants))]
     rates = {t: total * p / sum(parts) for t, p in zip(tenants, parts, strict=True)}
-    mixes = {t: [draw.gammavariate(2, 1) for _ in _CLASSES] for t in tenants}
-    bursts = {t: draw.random() < 0.3 for t in tenants}
-    x = draw.choice(tenants[1:4])
-    y = draw.choice([t for t in tenants if t != x])
-    where = draw.choice(names)
-    load, crowded = draw.uniform(0.55, 0.85), draw.uniform(0.93, 1.0)
-    few_rate = draw.uniform(0.15, 0.45)
-    world = World(kind, seed, onset, length, {}, {}, {}, x, where)
-    for place, name in enumerate(names):
-        here = name == where
-        world.sites[name] = "abc"[place % 3]
-        local = {t: rate * draw.uniform(0.6, 1.4) for t, rate in rates.items()}
+    mixes = {t: [rng.gammavariate(2, 1) for _ in _CLASSES] for t in tenants}
+    bursts = {t: rng.random() < 0.3 for t in tenants}
+    tenant = rng.choice(tenants[1:4])
+    neighbour = rng.choice([t for t in tenants if t != tenant])
+    affected = rng.choice(names)
+    load, crowded = rng.uniform(0.55, 0.85), rng.uniform(0.93, 1.0)
+    few_rate = rng.uniform(0.15, 0.45)
+    world = StarvationWorld(kind, seed, onset, length, {}, {}, {}, tenant, affected)
+    for position, name in enumerate(names):
+        is_affected = name == affected
+        world.sites[name] = "abc"[position % 3]
+        local = {t: rate * rng.uniform(0.6, 1.4) for t, rate in rates.items()}
         world.shares[name] = {t: 1.5 * rate for t, rate in local.items()}
         work = sum(local[t] * _mean_work(mixes[t]) for t in tenants)
-        lanes = {"": Lane(max(2, round(work / load)))}
-        stalls = _stalls(draw, 0, length, 40.0)
-        if here and kind == "too few":
-            local[x] = few_rate
-            stalls += _stalls(draw, onset, length, 8.0)
-        lanes[""].stalls = sorted(stalls)
+        pools = {"": ServerPool(max(2, round(work / load)))}
+        stalls = _stalls(rng, 0, length, 40.0)
+        if is_affected and kind == "too few":
+            local[tenant] = few_rate
+            stalls += _stalls(rng, onset, length, 8.0)
+        pools[""].stalls = sorted(stalls)
         arrivals: list[Arrival] = []
         for t in tenants:
             late_rate, late_mix = local[t], mixes[t]
-            if kind == "another mix" and t == x:
-                # dear to wait for here, cheap elsewhere
-                late_mix = [0.5, 9.0, 0.5] if here else [9.0, 0.5, 0.5]
-            if here and ((kind == "over its share" and t == x) or (kind == "busy neighbour" and t == y)):
-                late_rate *= draw.uniform(4, 8)
-            arrivals += _arrivals(draw, t, local[t], mixes[t], 0, onset, bursts[t])
-            arrivals += _arrivals(draw, t, late_rate, late_mix, onset, length, bursts[t])
-        if here:
-            _cause(draw, world, lanes, arrivals, y, local, mixes)
+            if kind == "another mix" and t == tenant:
+                # here mostly the class with the long waits, elsewhere the one with the short waits
+                late_mix = [0.5, 9.0, 0.5] if is_affected else [9.0, 0.5, 0.5]
+            if is_affected and (
+                (kind == "over its share" and t == tenant) or (kind == "busy neighbour" and t == neighbour)
+            ):
+                late_rate *= rng.uniform(4, 8)
+            arrivals += _arrivals(rng, t, local[t], mixes[t], 0, onset, bursts[t])
+            arrivals += _arrivals(rng, t, late_rate, late_mix, onset, length, bursts[t])
+        if is_affected:
+            _apply_cause(rng, world, pools, arrivals, neighbour, local, mixes)
         if kind == "another mix":
             decodes = [a for a in arrivals if a.job_class == "decode"]
             for job in decodes:
-                job.lane = "decode"
+                job.pool = "decode"
             busy = sum(job.work for job in decodes if job.at >= onset) / (length - onset)
-            lanes["decode"] = Lane(max(1, round(busy)), speed=busy / max(1, round(busy)) / crowded)
+            pools["decode"] = ServerPool(max(1, round(busy)), speed=busy / max(1, round(busy)) / crowded)
         arrivals.sort(key=lambda job: job.at)
-        world.events[name] = served(lanes, arrivals, length)
+        world.events[name] = simulate_queues(pools, arrivals, length)
     return world
 
 
@@ -173,90 +179,94 @@
     return size * sum(m * c[0] for m, c in zip(mix, _CLASSES.values(), strict=True)) / sum(mix)
 
 
-def _stalls(draw: random.Random, begin: float, end: float, every: float) -> list[tuple[float, float]]:
-    found, at = [], begin + draw.expovariate(1 / every)
+def _stalls(rng: random.Random, begin: float, end: float, every: float) -> list[tuple[float, float]]:
+    found, at = [], begin + rng.expovariate(1 / every)
     while at < end:
-        found.append((at, at + draw.uniform(0.3, 1.4)))
-        at += 1.4 + draw.expovariate(1 / every)
+        found.append((at, at + rng.uniform(0.3, 1.4)))
+        at += 1.4 + rng.expovariate(1 / every)
     return found
 
 
 def _arrivals(
-    draw: random.Random, tenant: str, rate: float, mix: list[float], begin: float, end: float, bursts: bool
+    rng: random.Random, tenant: str, rate: float, mix: list[float], begin: float, end: float, bursts: bool
 ) -> list[Arrival]:
-    """Poisson, or (``bursts``) on and off in turn, on for a third of the time."""
+    """Returns Poisson arrivals; with ``bursts``, only in on-periods, which make up a third of the time."""
     found, at, until, on = [], begin, end, True
     if bursts:
-        rate, until, on = 3 * rate, begin + draw.expovariate(1.0), draw.random() < 1 / 3
+        rate, until, on = 3 * rate, begin + rng.expovariate(1.0), rng.random() < 1 / 3
     while at < end:
         if not on:
-            at, on = at + draw.expovariate(1 / 2.0), True
-            until = at + draw.expovariate(1.0)
+            at, on = at + rng.expovariate(1 / 2.0), True
+            until = at + rng.expovariate(1.0)
             continue
-        at += draw.expovariate(rate)
+        at += rng.expovariate(rate)
         if at >= until and bursts:
             at, on = until, False
             continue
         if at < end:
-            (name,) = draw.choices(list(_CLASSES), mix)
+            (name,) = rng.choices(list(_CLASSES), mix)
             mean, start_by, _ = _CLASSES[name]
-            (slots,) = draw.choices([s for s, _ in _SIZES], [p for _, p in _SIZES])
-            work = slots**0.5 * mean * draw.gammavariate(2, 0.5)
+            (slots,) = rng.choices([s for s, _ in _SIZES], [p for _, p in _SIZES])
+            work = slots**0.5 * mean * rng.gammavariate(2, 0.5)
             found.append(Arrival(at, tenant, name, slots, work, at + start_by))
     return found
 
 
-def _cause(
-    draw: random.Random,
-    world: World,
-    lanes: dict[str, Lane],
+def _apply_cause(
+    rng: random.Random,
+    world: StarvationWorld,
+    pools: dict[str, ServerPool],
     arrivals: list[Arrival],
-    y: str,
+    neighbour: str,
     local: dict[str, float],
     mixes: dict[str, list[float]],
 ) -> None:
-    """Lays the world's cause on the partition of the question."""
-    x, kind, onset = world.tenant, world.kind, world.onset
+    """Applies the cause of the world's kind to the jobs and pools of the affected partition."""
+    tenant, kind, onset = world.tenant, world.kind, world.onset
     late = world.length - onset
-    hit = [job for job in arrivals if job.tenant == x and job.at >= onset]
-    if kind == "one class":  # the one of which there is most
-        worst = Counter(job.job_class for job in hit).most_common(1)[0][0]
-        hit = [job for job in hit if job.job_class == worst]
+    affected_jobs = [job for job in arrivals if job.tenant == tenant and job.at >= onset]
+    if kind == "one class":  # the tenant's most frequent one
+        worst = Counter(job.job_class for job in affected_jobs).most_common(1)[0][0]
+        affected_jobs = [job for job in affected_jobs if job.job_class == worst]
     if kind in ("one partition", "one class"):
-        # bound to workers that can't do it all, or do it barely
-        for job in hit:
-            job.lane = "bound"
-        lanes["bound"] = Lane(1, speed=sum(job.work for job in hit) / late / draw.uniform(1.0, 2.0))
+        # bound to workers whose capacity is too small or barely sufficient
+        for job in affected_jobs:
+            job.pool = "bound"
+        pools["bound"] = ServerPool(
+            1, speed=sum(job.work for job in affected_jobs) / late / rng.uniform(1.0, 2.0)
+        )
     elif kind == "busy neighbour":
-        # y's keys are on the same workers as those of x, and its jobs are wanted sooner
-        flood = [job for job in arrivals if job.tenant == y and job.at >= onset]
-        for job in (*hit, *flood):
-            job.lane = "bound"
+        # the neighbour's keys are on the same workers, and its jobs come first in the queue
+        flood = [job for job in arrivals if job.tenant == neighbour and job.at >= onset]
+        for job in (*affected_jobs, *flood):
+            job.pool = "bound"
         for job in flood:
             job.order -= 10
-        lanes["bound"] = Lane(2, speed=sum(job.work for job in flood) / late / 2 / draw.uniform(0.85, 1.0))
+        pools["bound"] = ServerPool(
+            2, speed=sum(job.work for job in flood) / late / 2 / rng.uniform(0.85, 1.0)
+        )
     elif kind == "slow for all":
-        lanes[""].slow_from, lanes[""].slow = onset, draw.uniform(0.4, 0.65)
+        pools[""].slow_after, pools[""].slow_speed = onset, rng.uniform(0.4, 0.65)
     elif kind == "over its share":
-        # what is over waits for the share's own slots
-        for job in hit:
-            job.lane = "share"
-        lanes["share"] = Lane(1, speed=1.5 * local[x] * _mean_work(mixes[x]))
+        # jobs beyond the share wait for the slots that the share allows
+        for job in affected_jobs:
+            job.pool = "share"
+        pools["share"] = ServerPool(1, speed=1.5 * local[tenant] * _mean_work(mixes[tenant]))
     elif kind == "too few":
-        # its few jobs come when nothing starts
-        stalls = [stall for stall in lanes[""].stalls if stall[0] >= onset]
-        for job in hit:
-            if stalls and draw.random() < 0.8:
-                begin, end = draw.choice(stalls)
-                job.at = draw.uniform(begin, (begin + end) / 2)
+        # most of its few jobs arrive during stalls
+        stalls = [stall for stall in pools[""].stalls if stall[0] >= onset]
+        for job in affected_jobs:
+            if stalls and rng.random() < 0.8:
+                begin, end = rng.choice(stalls)
+                job.at = rng.uniform(begin, (begin + end) / 2)
                 job.order = job.at + _CLASSES[job.job_class][1]
 
 
-# The fleet that looks at it
+# The fleet that detects starvation
 
 
-class AllThere:
-    """Members that are all alive, all the time."""
+class StaticMembers:
+    """A membership in which all members are always alive. Implements ``api.Members``."""
 
     def __init__(self, me: Card, cards: Sequence[Card]) -> None:
         self.me = me
@@ -276,8 +286,8 @@
         return []
 
 
-class Pages:
-    """Ledgers that keep at once what is appended."""
+class InMemoryLedgers:
+    """Stand-in for the ledgers: keeps all changes in memory and reports no events."""
 
     def __init__(self) -> None:
         self.content: dict[str, bytes] = {}
@@ -306,18 +316,18 @@
 
 
 @dataclass(slots=True, eq=False)
-class Seen:
-    """What the machines made of a world. Times in s."""
+class DetectionResult:
+    """The verdicts on a world and the traffic that they took. Times in s."""
 
-    began: list[tuple[float, str, str]] = field(default_factory=list)  # when, partition, tenant
+    began: list[tuple[float, str, str]] = field(default_factory=list)  # time, partition, tenant
     ended: list[tuple[float, str, str]] = field(default_factory=list)
     evidence: list[StarvationBegan] = field(default_factory=list)
-    bytes_a_second: float = 0.0  # a member, mean
-    bytes_most: float = 0.0  # of the member with most
-    messages_a_second: float = 0.0
+    bytes_per_second: float = 0.0  # per member, mean
+    max_bytes_per_second: float = 0.0  # of the member that sent most
+    messages_per_second: float = 0.0  # per member, mean
 
-    def found_at(self, world: World) -> float | None:
-        """When what is true was told; None: never."""
+    def detected_at(self, world: StarvationWorld) -> float | None:
+        """Returns when the starved tenant was first reported (s); None if it never was."""
         times = [
             at
             for at, partition, tenant in self.began
@@ -325,47 +335,47 @@
         ]
         return min(times, default=None)
 
-    def false_alarms(self, world: World) -> int:
-        """Verdicts on what is not so."""
+    def false_alarms(self, world: StarvationWorld) -> int:
+        """Returns the number of reports of tenants that are not starved."""
         return sum(
             not world.starved or (partition, tenant) != (world.partition, world.tenant) or at < world.onset
             for at, partition, tenant in self.began
         )
 
 
-class Fleet:
-    """Machines of a fleet on the simulated network."""
+class StarvationFleet:
+    """The starvation machines of a fleet on the simulated network."""
 
     def __init__(
         self, sites: dict[str, str], shares: dict[str, dict[str, float]], rules: StarvationRules, seed: int
     ) -> None:
         self.clock = SimulatedClock()
-        self.begins = self.clock.now()
+        self.started_at = self.clock.now()
         self.net = SimulatedNet(self.clock, Codec((WaitReport, WaitReportReply)), seed)
         self.machines: dict[str, StarvationMachine] = {}
-        self.pages: dict[str, Pages] = {}
-        place = {name: number for number, name in enumerate(sites)}
-        cards = [Card(Incarnation(name, self.begins + 1), "", site) for name, site in sites.items()]
-
-        def build(seat: Seat, node: Node) -> None:
-            card = next(c for c in cards if c.incarnation.name == seat.name)
-            pages = self.pages[seat.name] = Pages()
-            members = AllThere(card, cards)
-            # their windows end at different times
-            began = self.begins - place[seat.name] * rules.window // len(sites)
+        self.ledgers: dict[str, InMemoryLedgers] = {}
+        position = {name: number for number, name in enumerate(sites)}
+        cards = [Card(Incarnation(name, self.started_at + 1), "", site) for name, site in sites.items()]
+
+        def build(peer: SimulatedPeer, node: Node) -> None:
+            card = next(c for c in cards if c.incarnation.name == peer.name)
+            ledgers = self.ledgers[peer.name] = InMemoryLedgers()
+            members = StaticMembers(card, cards)
+            # the members' windows end at different times
+            began = self.started_at - position[peer.name] * rules.window // len(sites)
             machine = StarvationMachine(
-                card, members, pages, rules, TenantShares(shares.get(seat.name, {})), began
+                card, members, ledgers, rules, TenantShares(shares.get(peer.name, {})), began
             )
-            self.machines[seat.name] = machine
+            self.machines[peer.name] = machine
             node.add([machine])
 
         for name, site in sites.items():
             self.net.add(name, site, build)
             self.net.start(name)
 
-    def tell(self, name: str, events: Iterable[Event]) -> None:
-        """Has a partition's book told of events as their time comes; times count from the fleet's start."""
-        coming = iter(events)
+    def replay(self, name: str, events: Iterable[Event]) -> None:
+        """Passes events to a partition's recorder at their times, which count from the fleet's start."""
+        remaining_events = iter(events)
 
         def step(event: Event) -> None:
             _, what, number, tenant, job_class, slots = event
@@ -377,44 +387,46 @@
                     machine.recorder.started(now, number)
                 else:
                     machine.recorder.ended(now, number)
-            following = next(coming, None)
+            following = next(remaining_events, None)
             if following is not None:
-                self.clock.call_at(self.begins + following[0], step, following)
+                self.clock.call_at(self.started_at + following[0], step, following)
 
-        first = next(coming, None)
+        first = next(remaining_events, None)
         if first is not None:
-            self.clock.call_at(self.begins + first[0], step, first)
+            self.clock.call_at(self.started_at + first[0], step, first)
 
 
-def watched(world: World, rules: StarvationRules, lost: float) -> Seen:
-    """A world as the machines see it, with that part of all messages lost."""
-    fleet = Fleet(world.sites, world.shares, rules, world.seed)
-    fleet.net.usual.lost = lost
-    fleet.net.usual.doubled, fleet.net.usual.jitter = lost / 2, 400 * MS
-    seen = Seen()
+def run_detection(world: StarvationWorld, rules: StarvationRules, lost: float) -> DetectionResult:
+    """Runs the starvation machines on a world. ``lost``: the share of their messages that is lost."""
+    fleet = StarvationFleet(world.sites, world.shares, rules, world.seed)
+    fleet.net.default_link.lost = lost
+    fleet.net.default_link.doubled, fleet.net.default_link.jitter = lost / 2, 400 * MS
+    result = DetectionResult()
 
-    def told(news: FleetEvent) -> None:
-        at = (fleet.clock.now() - fleet.begins) / SECOND
-        if isinstance(news, StarvationBegan):
-            seen.began.append((at, news.partition, news.tenant))
-            seen.evidence.append(news)
-        elif isinstance(news, StarvationEnded):
-            seen.ended.append((at, news.partition, news.tenant))
+    def on_event(event: FleetEvent) -> None:
+        at = (fleet.clock.now() - fleet.started_at) / SECOND
+        if isinstance(event, StarvationBegan):
+            result.began.append((at, event.partition, event.tenant))
+            result.evidence.append(event)
+        elif isinstance(event, StarvationEnded):
+            result.ended.append((at, event.partition, event.tenant))
 
     for name, events in world.events.items():
-        fleet.net.seats[name].on_news = told
-        fleet.tell(name, events)
+        fleet.net.peers[name].on_event = on_event
+        fleet.replay(name, events)
     fleet.net.run(int(world.length * SECOND))
     sent = [fleet.net.bytes[name] / world.length for name in world.sites]
-    seen.bytes_a_second, seen.bytes_most = sum(sent) / len(sent), max(sent)
-    seen.messages_a_second = fleet.net.messages.total() / len(sent) / world.length
-    return seen
+    result.bytes_per_second, result.max_bytes_per_second = sum(sent) / len(sent), max(sent)
+    result.messages_per_second = fleet.net.messages.total() / len(sent) / world.length
+    return result
+
 
+def run_naive_rule(world: StarvationWorld, window: float = 5.0, windows: int = 6) -> DetectionResult:
+    """Applies a simple rule for comparison: a tenant is starved in a partition if the mean of its finished
+    waits over the last ``windows`` windows is more than twice that of the other tenants there.
 
-def naive(world: World, window: float = 5.0, windows: int = 6) -> Seen:
-    """The rule that is set beside it: the mean of a tenant's finished waits in a partition over the last
-    windows is more than twice that of the others there. It begins at once, and again after it was not so."""
-    seen = Seen()
+    A tenant is reported as soon as the rule holds, and again after it did not hold for a window."""
+    result = DetectionResult()
     for name, events in world.events.items():
         taken: dict[int, int] = {}
         finished: list[tuple[float, str, float]] = []
@@ -437,6 +449,6 @@
                 others = len(some) - n
                 if others and sums[tenant] / n > 2 * (everything - sums[tenant]) / others:
                     now.add(tenant)
-            seen.began += [(to, name, tenant) for tenant in sorted(now - flagged)]
+            result.began += [(to, name, tenant) for tenant in sorted(now - flagged)]
             flagged = now
-    return seen
+    return result
--- a/ironbarrow/lab/fleet/takeover_simulation.py
+++ b/ironbarrow/lab/fleet/takeover_simulation.py
@@ -1,7 +1,7 @@
-"""Dispatchers of a fleet at work in virtual time: real hosts, decisions and machines; workers and clients
-that only count.
+"""Simulates a fleet's dispatchers in virtual time, with their real hosts, decisions and ledger machines.
 
-What workers ran and what clients heard decides whether the rules hold: they know nothing of ledgers.
+Workers and clients are simple models that count. They know nothing of ledgers, so that the jobs that workers
+ran and the answers that clients got are independent evidence of whether the invariants hold.
 """
 
 import random
@@ -24,24 +24,24 @@
 from ironbarrow.fleet.takeover.actions import LedgerAdopted
 from ironbarrow.fleet.takeover.adapter import TakeoverAdapter, takeover_rules
 from ironbarrow.fleet.takeover.machine import Takeover
-from ironbarrow.lab.fleet.net import Seat, SimulatedNet
+from ironbarrow.lab.fleet.net import SimulatedNet, SimulatedPeer
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS, SECOND, Timer
 
-_TRIP = MS // 2  # between dispatcher and worker, one way
-_CONNECT = 2 * MS
-_UNCONFIRMED_AFTER = 300 * MS  # where DELETEs are lost
-_CALL_BACK_TRIES = 12
-_CALL_BACK_PAUSE = 250 * MS
-_ENDS = {"done": Ending.DONE, "failed": Ending.FAILED, "returned": Ending.RETURNED, "lost": Ending.LOST}
+_ONE_WAY_LATENCY = MS // 2  # between dispatcher and worker
+_CONNECT_TIME = 2 * MS
+_DELETE_TIMEOUT = 300 * MS  # for a DELETE that is lost
+_MAX_CALL_BACK_RETRIES = 12
+_CALL_BACK_RETRY_DELAY = 250 * MS
+_ENDINGS = {"done": Ending.DONE, "failed": Ending.FAILED, "returned": Ending.RETURNED, "lost": Ending.LOST}
 
 
-class SeatClock:
-    """A process's clock: nothing is called after its end, and what is due while it is stopped waits."""
+class DispatcherClock:
+    """A process's clock. Calls due while the process is paused are deferred; none runs after its end."""
 
-    def __init__(self, clock: SimulatedClock, seat: Seat) -> None:
-        self._clock, self._seat = clock, seat
-        self.over = False
+    def __init__(self, clock: SimulatedClock, peer: SimulatedPeer) -> None:
+        self._clock, self._peer = clock, peer
+        self.ended = False
         self.now = clock.now
 
     def call_soon(self, call: Callable[..., None], *args: Any) -> None:
@@ -57,48 +57,48 @@
             self._run(timer.call, timer.args)
 
     def _run(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
-        if self.over:
+        if self.ended:
             return
-        if self._seat.paused:
-            self._seat.waiting.append(lambda: self._run(call, args))
+        if self._peer.paused:
+            self._peer.deferred.append(lambda: self._run(call, args))
         else:
             call(*args)
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """Runs what it is sent, and counts it."""
+    """A worker and the jobs that it runs."""
 
     name: str
-    running: dict[str, int] = field(default_factory=dict)  # by id: which start of it
+    running: dict[str, int] = field(default_factory=dict)  # job id -> the number of its start
 
 
 class Workers:
-    """All workers, and what they ran."""
+    """All workers, with counts of what they ran."""
 
-    def __init__(self, world: "WorkWorld", n: int) -> None:
+    def __init__(self, world: "TakeoverSimulation", n: int) -> None:
         self._world = world
         self.all = {f"p{i}": Worker(f"p{i}") for i in range(n)}
-        self.starts: Counter[str] = Counter()  # by id
-        self.done: set[str] = set()  # ids that ran to their end, somewhere
-        self.returned: Counter[str] = Counter()  # by id: taken and given back, without a run
-        self.copies: Counter[str] = Counter()  # ids of which a second copy was out
-        self.unheard = 0
+        self.starts: Counter[str] = Counter()  # by job id
+        self.done: set[str] = set()  # ids of jobs that some worker completed
+        self.returned: Counter[str] = Counter()  # by job id: accepted, then returned without a run
+        self.duplicate_runs: Counter[str] = Counter()  # by job id: accepted while another worker ran it
+        self.lost_call_backs = 0  # given up after all retries
 
     def arrive(self, name: str, job_id: str) -> bool:
-        """A request comes; whether it is taken."""
+        """Handles a request; returns whether the worker accepts it."""
         worker, world = self.all[name], self._world
         if job_id in worker.running:
             return True
-        chance = world.random.random()
-        if chance < world.refuses:
+        draw = world.random.random()
+        if draw < world.refusal_rate:
             return False
         if any(job_id in other.running for other in self.all.values()):
-            self.copies[job_id] += 1
+            self.duplicate_runs[job_id] += 1
         self.starts[job_id] += 1
         worker.running[job_id] = number = self.starts[job_id]
-        lasts = int(world.random.uniform(*world.lasts))
-        world.clock.call_at(world.clock.now() + lasts, self._end, worker, job_id, number)
+        service_time = int(world.random.uniform(*world.service_times))
+        world.clock.call_at(world.clock.now() + service_time, self._end, worker, job_id, number)
         return True
 
     def _end(self, worker: Worker, job_id: str, number: int) -> None:
@@ -106,8 +106,8 @@
             return
         del worker.running[job_id]
         world = self._world
-        state = "done" if world.random.random() >= world.fails else "failed"
-        if world.random.random() < world.returns:
+        state = "done" if world.random.random() >= world.failure_rate else "failed"
+        if world.random.random() < world.return_rate:
             state = "returned"
             self.starts[job_id] -= 1
             self.returned[job_id] += 1
@@ -117,73 +117,73 @@
 
     def _call_back(self, raw: dict[str, Any], tries: int) -> None:
         world = self._world
-        if world.hears(raw):
+        if world.deliver_call_back(raw):
             return
-        if tries >= _CALL_BACK_TRIES:
-            self.unheard += 1
+        if tries >= _MAX_CALL_BACK_RETRIES:
+            self.lost_call_backs += 1
             return
-        world.clock.call_at(world.clock.now() + _CALL_BACK_PAUSE, self._call_back, raw, tries + 1)
+        world.clock.call_at(world.clock.now() + _CALL_BACK_RETRY_DELAY, self._call_back, raw, tries + 1)
 
     def delete(self, name: str, job_id: str) -> None:
         self.all[name].running.pop(job_id, None)
 
 
-class Back:
-    """One process's attempts to workers."""
+class SimulatedInvoker:
+    """Sends one process's attempts to the simulated workers; takes the place of ``HttpInvoker``."""
 
-    def __init__(self, world: "WorkWorld", clock: SeatClock) -> None:
+    def __init__(self, world: "TakeoverSimulation", clock: DispatcherClock) -> None:
         self.host: Host
         self._world, self._clock = world, clock
-        self._out: set[Attempt] = set()
+        self._attempts: set[Attempt] = set()
 
     def start(self, attempt: Attempt) -> None:
-        self._out.add(attempt)
-        self._clock.call_at(self._clock.now() + _CONNECT, self._write, attempt)
+        self._attempts.add(attempt)
+        self._clock.call_at(self._clock.now() + _CONNECT_TIME, self._write, attempt)
 
     def _write(self, attempt: Attempt) -> None:
-        if attempt not in self._out:
+        if attempt not in self._attempts:
             return
         self.host.attempt_written(attempt)
         self._world.written[attempt.job.payload.id] += 1
         clock, job_id = self._world.clock, attempt.job.payload.id
-        clock.call_at(clock.now() + _TRIP, self._arrive, attempt, job_id)
+        clock.call_at(clock.now() + _ONE_WAY_LATENCY, self._arrive, attempt, job_id)
 
     def _arrive(self, attempt: Attempt, job_id: str) -> None:
         taken = self._world.workers.arrive(attempt.worker, job_id)
-        self._clock.call_at(self._world.clock.now() + _TRIP, self._answered, attempt, taken)
+        self._clock.call_at(self._world.clock.now() + _ONE_WAY_LATENCY, self._answered, attempt, taken)
 
     def _answered(self, attempt: Attempt, taken: bool) -> None:
         if taken:
             attempt.advance_to(Progress.ACCEPTED)
-        elif attempt in self._out:
+        elif attempt in self._attempts:
             self._end(attempt, Ending.NOT_PROCESSED)
 
     def _end(self, attempt: Attempt, ending: Ending, result: bytes = b"") -> None:
-        self._out.discard(attempt)
+        self._attempts.discard(attempt)
         self.host.attempt_ended(attempt, ending, None, result)
 
     def give_up(self, attempt: Attempt, ending: Ending) -> None:
-        if attempt not in self._out or not attempt.written:
-            self._out.discard(attempt)
+        if attempt not in self._attempts or not attempt.written:
+            self._attempts.discard(attempt)
             self.host.attempt_ended(attempt, ending)
             return
         self._delete(attempt.worker, attempt.job.payload.id, lambda: self._end(attempt, ending))
 
     def _delete(self, worker: str, job_id: str, done: Callable[[], None]) -> None:
-        def arrives() -> None:
+        def handle_delete() -> None:
             self._world.workers.delete(worker, job_id)
-            self._clock.call_at(self._world.clock.now() + _TRIP, done)
+            self._clock.call_at(self._world.clock.now() + _ONE_WAY_LATENCY, done)
 
         clock = self._world.clock
-        # a way of its own: slower than a request's, so that it does not overtake one
-        clock.call_at(clock.now() + _CONNECT + _TRIP, arrives)
+        # on a connection of its own, with a longer delay than a request, so that it can't overtake one
+        clock.call_at(clock.now() + _CONNECT_TIME + _ONE_WAY_LATENCY, handle_delete)
 
     def detach(self, attempt: Attempt) -> None:
-        self._out.discard(attempt)
+        self._attempts.discard(attempt)
 
     def call_off(self, job_id: str, worker: str, until: int, done: Callable[[bool], None]) -> None:
-        if self._world.deletes_lost:
-            self._clock.call_at(min(until, self._clock.now() + _UNCONFIRMED_AFTER), done, False)
+        if self._world.lose_deletes:
+            self._clock.call_at(min(until, self._clock.now() + _DELETE_TIMEOUT), done, False)
         else:
             self._delete(worker, job_id, lambda: done(True))
 
@@ -192,7 +192,7 @@
         if attempt is None:
             return False
         self.host.attempt_written(attempt)
-        self._end(attempt, _ENDS[raw["state"]], raw.get("result", "").encode())
+        self._end(attempt, _ENDINGS[raw["state"]], raw.get("result", "").encode())
         return True
 
     def probe(self, worker: str) -> None:
@@ -204,32 +204,33 @@
 
 @dataclass(slots=True, eq=False)
 class Process:
-    """A dispatcher's process: its host and its work last over incarnations of its member."""
+    """A dispatcher's process. Its host and adapter are kept when its member starts a new incarnation."""
 
-    seat: Seat
-    clock: SeatClock
+    peer: SimulatedPeer
+    clock: DispatcherClock
     host: Host
-    back: Back
-    work: TakeoverAdapter
+    invoker: SimulatedInvoker
+    adapter: TakeoverAdapter
     members: MemberMachine
     ledgers: LedgerMachine
 
 
 @dataclass(slots=True, eq=False)
-class Order:
-    """A job as its client wants it."""
+class ClientRequest:
+    """A job that a client wants done, over all its tries."""
 
     id: str
     job_class: str
-    until: int
-    heard: list[Answer | None] = field(default_factory=list)  # one by each try that got an answer
+    deadline: int
+    # None: refused as a different request of the same id
+    answers: list[Answer | None] = field(default_factory=list)
     tries: int = 0
     at: str = ""
-    left: Callable[[], None] | None = None
+    disconnect: Callable[[], None] | None = None
 
 
-class WorkWorld:
-    """Dispatchers, workers and clients on one clock."""
+class TakeoverSimulation:
+    """Dispatchers, workers and clients on one virtual clock. Everything follows from ``seed``."""
 
     def __init__(
         self,
@@ -246,19 +247,19 @@
         self.net = SimulatedNet(self.clock, Codec(kinds), seed)
         self.settings, self.seed = settings, seed
         self.fleet = fleet or Fleet(listen="127.0.0.1:0")
-        self.refuses = self.fails = self.returns = 0.0
-        self.deletes_lost = False  # workers can't be told to stop what another dispatcher sent
-        self.call_backs_to: str | None = None  # None: to any dispatcher
-        self.lasts = (100 * MS, 600 * MS)
-        self.written: Counter[str] = Counter()  # by id
+        self.refusal_rate = self.failure_rate = self.return_rate = 0.0
+        self.lose_deletes = False  # DELETEs for another dispatcher's attempts get no answer
+        self.call_backs_to: str | None = None  # a dispatcher; None: a random one
+        self.service_times = (100 * MS, 600 * MS)
+        self.written: Counter[str] = Counter()  # requests written, by job id
         self.workers = Workers(self, workers)
         self.processes: dict[str, Process] = {}
-        self.orders: dict[str, Order] = {}
+        self.requests: dict[str, ClientRequest] = {}
         self.adoptions: list[tuple[str, LedgerAdopted]] = []
         self.counts: Counter[str] = Counter()
-        self.faults: dict[str, Callable[[str], None]] = {}  # by name, of the next process
+        self.faults: dict[str, Callable[[str], None]] = {}  # by dispatcher: fault points of its next start
         self._renewing: set[str] = set()
-        self._waiting: dict[str, list[Order]] = defaultdict(list)
+        self._connected: dict[str, list[ClientRequest]] = defaultdict(list)
         for i in range(n):
             self.net.add(f"d{i}", f"s{i % sites}", self._build)
         for i in range(n):
@@ -266,187 +267,196 @@
 
     # Processes
 
-    def _build(self, seat: Seat, node: Node) -> None:
+    def _build(self, peer: SimulatedPeer, node: Node) -> None:
         now = self.clock.now()
-        process = self.processes.get(seat.name)
-        new = process is None or seat.name not in self._renewing
+        process = self.processes.get(peer.name)
+        new = process is None or peer.name not in self._renewing
         known = [
-            p.members.me for p in self.processes.values() if p.seat.node is not None and p.seat is not seat
+            p.members.me for p in self.processes.values() if p.peer.node is not None and p.peer is not peer
         ]
-        card = Card(node.incarnation, f"{seat.name}:1", seat.site, version=1)
-        seeds = {name: f"{name}:1" for name in self.net.seats if name != seat.name}
+        card = Card(node.incarnation, f"{peer.name}:1", peer.site, version=1)
+        seeds = {name: f"{name}:1" for name in self.net.peers if name != peer.name}
         members = MemberMachine(card, self.fleet.members, seeds, now, known)
         ledgers = LedgerMachine(node.incarnation, members, self.fleet.ledgers)
         if new:
-            process = self._process(seat, members, ledgers)
+            process = self._process(peer, members, ledgers)
         assert process is not None
         process.members, process.ledgers = members, ledgers
-        work = process.work
-        earlier = None if new else work.machine
-        rules = takeover_rules(self.settings, self.fleet, self.faults.get(seat.name))
+        adapter = process.adapter
+        previous = None if new else adapter.machine
+        rules = takeover_rules(self.settings, self.fleet, self.faults.get(peer.name))
         machine = Takeover(now, node.incarnation, members, ledgers, rules)
-        work.machine = machine
+        adapter.machine = machine
         node.add((members, ledgers, machine))
-        seat.on_news = work.on_event
+        peer.on_event = adapter.on_event
         node.carry_out(machine.open_ledger(now))
-        if earlier is not None:
-            node.carry_out(machine.inherit(now, earlier))
+        if previous is not None:
+            node.carry_out(machine.inherit(now, previous))
 
-    def _process(self, seat: Seat, members: MemberMachine, ledgers: LedgerMachine) -> Process:
-        clock = SeatClock(self.clock, seat)
+    def _process(self, peer: SimulatedPeer, members: MemberMachine, ledgers: LedgerMachine) -> Process:
+        clock = DispatcherClock(self.clock, peer)
         host = Host(clock, self.settings, self.seed)
-        back = Back(self, clock)
-        back.host = host
+        invoker = SimulatedInvoker(self, clock)
+        invoker.host = host
 
         def carry_out(actions: Iterable[Action]) -> None:
-            gathered = list(actions)
-            self.net.order(seat.name, lambda node, now: node.carry_out(gathered))
+            pending = list(actions)
+            self.net.run_on(peer.name, lambda node, now: node.carry_out(pending))
 
-        work = TakeoverAdapter(clock, host, back, carry_out)
-        work.on_superseded = lambda: clock.call_soon(self._renew, seat.name)
-        work.on_adopted = lambda news: self.adoptions.append((seat.name, news))
+        adapter = TakeoverAdapter(clock, host, invoker, carry_out)
+        adapter.on_superseded = lambda: clock.call_soon(self._renew, peer.name)
+        adapter.on_adopted = lambda event: self.adoptions.append((peer.name, event))
         entries = tuple(
             api.WorkerEntry(worker=name, state=api.WorkerState.UP, zone=self.settings.zone)
             for name in self.workers.all
         )
         host.update_workers(api.WorkerList(api.ListKind.FULL, entries, 1))
-        self.processes[seat.name] = process = Process(seat, clock, host, back, work, members, ledgers)
+        self.processes[peer.name] = process = Process(peer, clock, host, invoker, adapter, members, ledgers)
         return process
 
     def _renew(self, name: str) -> None:
+        """Starts a new incarnation of a process's member; the process itself and its deferred calls are
+        kept."""
         self.counts["renewed"] += 1
         self._renewing.add(name)
-        waiting = self.net.seats[name].waiting
+        deferred = self.net.peers[name].deferred
         self.net.start(name)
-        self.net.seats[name].waiting = waiting
+        self.net.peers[name].deferred = deferred
         self._renewing.discard(name)
 
     def kill(self, name: str) -> None:
-        """Ends a process at once; its clients see their connections end."""
-        if self.net.seats[name].node is None:
+        """Ends a process at once; its clients see their connections end and retry."""
+        if self.net.peers[name].node is None:
             return
         self.net.crash(name)
-        self.processes[name].clock.over = True
-        waiting, self._waiting[name] = self._waiting[name], []
-        for order in waiting:
-            if not order.heard:
-                self.clock.call_at(self.clock.now() + self._pause(), self._try, order)
+        self.processes[name].clock.ended = True
+        requests, self._connected[name] = self._connected[name], []
+        for request in requests:
+            if not request.answers:
+                self.clock.call_at(self.clock.now() + self._retry_delay(), self._send, request)
 
     def restart(self, name: str) -> None:
+        """Starts a new process of a dispatcher that was killed."""
         self.net.start(name)
 
     def resume(self, name: str) -> None:
-        """Lets a process go on that was stopped, if it was not killed meanwhile."""
-        if self.net.seats[name].paused:
+        """Continues a paused process, unless it was killed meanwhile."""
+        if self.net.peers[name].paused:
             self.net.resume(name)
 
-    def hears(self, raw: dict[str, Any]) -> bool:
-        """A worker's call-back reaches whoever is up, the front says whom; False if nobody is."""
-        up = [name for name, seat in self.net.seats.items() if seat.node is not None and not seat.paused]
+    def deliver_call_back(self, raw: dict[str, Any]) -> bool:
+        """Delivers a worker's call-back to one of the running dispatchers; False if none runs."""
+        up = [name for name, peer in self.net.peers.items() if peer.node is not None and not peer.paused]
         if not up:
             return False
         process = self.processes[self.call_backs_to or self.random.choice(up)]
-        if not process.back.called_back(raw):
-            process.work.on_unmatched_call_back(raw)
+        if not process.invoker.called_back(raw):
+            process.adapter.on_unmatched_call_back(raw)
         return True
 
     def up(self) -> list[str]:
-        return [name for name, seat in self.net.seats.items() if seat.node is not None]
+        """Returns the names of the dispatchers that are not down."""
+        return [name for name, peer in self.net.peers.items() if peer.node is not None]
 
     # Clients
 
-    def order(self, job_id: str, job_class: str, time_left: int, at: str | None = None) -> Order:
-        """A client sends a job, to any dispatcher or a named one."""
-        order = self.orders[job_id] = Order(job_id, job_class, self.clock.now() + time_left)
-        self._try(order, at)
-        return order
+    def submit(self, job_id: str, job_class: str, time_left: int, at: str | None = None) -> ClientRequest:
+        """Has a client send a job to a random dispatcher, or to ``at``. ``time_left``: ns until its
+        deadline."""
+        request = self.requests[job_id] = ClientRequest(job_id, job_class, self.clock.now() + time_left)
+        self._send(request, at)
+        return request
 
-    def _pause(self) -> int:
+    def _retry_delay(self) -> int:
         return int(self.random.uniform(20, 400) * MS)
 
-    def _try(self, order: Order, at: str | None = None) -> None:
-        left = order.until - self.clock.now()
-        if left <= MS or order.heard:
+    def _send(self, request: ClientRequest, at: str | None = None) -> None:
+        remaining = request.deadline - self.clock.now()
+        if remaining <= MS or request.answers:
             return
         up = self.up()
         if not up:
-            self.clock.call_at(self.clock.now() + self._pause(), self._try, order)
+            self.clock.call_at(self.clock.now() + self._retry_delay(), self._send, request)
             return
         name = at or self.random.choice(up)
-        order.tries += 1
-        order.at = name
-        self._waiting[name].append(order)
+        request.tries += 1
+        request.at = name
+        self._connected[name].append(request)
 
-        number = order.tries
+        number = request.tries
 
         def answered(answer: Answer | None) -> None:
-            if number == order.tries:
-                order.heard.append(answer)
+            if number == request.tries:
+                request.answers.append(answer)
             else:
                 self.counts["answered to nobody"] += 1
 
-        marked = number > 1
+        is_retry = number > 1
         process = self.processes[name]
 
-        def taken() -> None:
-            order.left = process.work.take(
-                Payload(order.id, "POST", f"/{order.job_class}/{order.id}", b"in"),
+        def pass_on() -> None:
+            request.disconnect = process.adapter.take(
+                Payload(request.id, "POST", f"/{request.job_class}/{request.id}", b"in"),
                 answered,
-                job_class=order.job_class,
-                time_left=max(MS, order.until - self.clock.now()),
+                job_class=request.job_class,
+                time_left=max(MS, request.deadline - self.clock.now()),
                 slots=1.0,
                 memory=0.0,
-                repeat=marked,
+                repeat=is_retry,
             )
 
-        process.clock.call_soon(taken)
+        process.clock.call_soon(pass_on)
 
-    def again(self, order: Order, at: str | None = None) -> None:
-        """The client leaves the connection and comes again."""
-        process = self.processes[order.at]
-        if order.left is not None and not process.clock.over:
-            process.clock.call_soon(order.left)
-        if order in self._waiting[order.at]:
-            self._waiting[order.at].remove(order)
-        self._try(order, at)
+    def reconnect(self, request: ClientRequest, at: str | None = None) -> None:
+        """Has the client disconnect and send its job again."""
+        process = self.processes[request.at]
+        if request.disconnect is not None and not process.clock.ended:
+            process.clock.call_soon(request.disconnect)
+        if request in self._connected[request.at]:
+            self._connected[request.at].remove(request)
+        self._send(request, at)
 
     def run(self, duration: int) -> None:
+        """Advances the virtual time by ``duration`` ns."""
         self.net.run(duration)
 
-    def ends(self) -> Counter[str]:
-        """What clients heard, by verdict; "nothing" where no answer came."""
+    def verdict_counts(self) -> Counter[str]:
+        """Returns the number of jobs by verdict; "nothing" counts those without an answer."""
         found: Counter[str] = Counter()
-        for order in self.orders.values():
-            answer = order.heard[0] if order.heard else None
+        for request in self.requests.values():
+            answer = request.answers[0] if request.answers else None
             found["nothing" if answer is None else answer.verdict.value] += 1
         return found
 
-    def broken(self, unsafe: Iterable[str]) -> list[str]:
-        """Rules that the counts of workers and clients show as broken."""
+    def violations(self, unsafe: Iterable[str]) -> list[str]:
+        """Returns a description of each invariant that the workers' and clients' counts show as broken.
+
+        ``unsafe``: the job classes that must not run twice."""
         found = []
-        wrong = set(unsafe)
-        for order in self.orders.values():
-            booked = order.job_class in wrong
-            runs = self.workers.starts[order.id]
-            attempts = runs + self.workers.returned[order.id]
-            if booked and runs > 1:
-                found.append(f"{order.id}: a booking was run {runs} times")
+        unsafe_classes = set(unsafe)
+        for request in self.requests.values():
+            unsafe_job = request.job_class in unsafe_classes
+            runs = self.workers.starts[request.id]
+            attempts = runs + self.workers.returned[request.id]
+            if unsafe_job and runs > 1:
+                found.append(f"{request.id}: a booking ran {runs} times")
             if attempts > self.settings.max_attempts:
-                found.append(f"{order.id}: {attempts} attempts")
-            if len(order.heard) > 1:
-                found.append(f"{order.id}: {len(order.heard)} answers")
-            for answer in order.heard:
+                found.append(f"{request.id}: {attempts} attempts")
+            if len(request.answers) > 1:
+                found.append(f"{request.id}: {len(request.answers)} answers")
+            for answer in request.answers:
                 if answer is None:
-                    found.append(f"{order.id}: refused as another request")
-                elif booked and answer.verdict is Verdict.REFUSED and runs:
-                    found.append(f"{order.id}: refused though it may have run")
-                elif answer.verdict is Verdict.SERVED and answer.result != f"done {order.id}".encode():
-                    found.append(f"{order.id}: a result that nobody made")
+                    found.append(f"{request.id}: refused as another request")
+                elif unsafe_job and answer.verdict is Verdict.REFUSED and runs:
+                    found.append(f"{request.id}: refused though it may have run")
+                elif answer.verdict is Verdict.SERVED and answer.result != f"done {request.id}".encode():
+                    found.append(f"{request.id}: a result that no worker sent")
         return found
 
 
 def ms(n: float) -> int:
+    """Converts milliseconds to ns."""
     return round(n * MS)
 
 
-__all__ = ["SECOND", "Process", "WorkWorld", "ms"]
+__all__ = ["SECOND", "Process", "TakeoverSimulation", "ms"]
--- a/ironbarrow/lab/live/rollouts.py
+++ b/ironbarrow/lab/live/rollouts.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class LiveBox:
-    """A worker's machine, as its agent uses it: a ``Box``."""
+    """A worker's machine, as its agent uses it: a ``TargetHost``."""
 
     run: "RolloutRun"
     name: str
--- a/tests/test_fleet_base.py
+++ b/tests/test_fleet_base.py
@@ -8,7 +8,7 @@
 from ironbarrow.fleet.api import Incarnation, Message, Send
 from ironbarrow.fleet.codec import MAX_FRAME_BYTES, Codec, FrameError, FrameSplitter
 from ironbarrow.fleet.file import FleetError, parse
-from ironbarrow.lab.fleet.net import SimulatedNet, Way
+from ironbarrow.lab.fleet.net import LinkConditions, SimulatedNet
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import MS
 
@@ -125,10 +125,10 @@
 
         received_during(lambda: None)
         received_during(lambda net=net: net.cut("a", "b", both=False))
-        received_during(lambda net=net: (net.mend(), net.pause("b")))
+        received_during(lambda net=net: (net.heal(), net.pause("b")))
         received_during(lambda net=net: net.resume("b"))
         received_during(lambda net=net: net.crash("a"))
-        net.ways["b", "a"] = Way(lost=0.5, doubled=0.5)
+        net.links["b", "a"] = LinkConditions(lost=0.5, doubled=0.5)
         net.start("a")
         net.run(1000 * MS)
         runs.append((seen, len(senders["a"].received_texts), net.lost))
--- a/tests/test_fleet_ledgers.py
+++ b/tests/test_fleet_ledgers.py
@@ -24,8 +24,8 @@
 from ironbarrow.fleet.ledgers.recovery import LedgerRecovery
 from ironbarrow.fleet.ledgers.replica import SEGMENT_OVERHEAD, Replica
 from ironbarrow.fleet.records import CLAIM
-from ironbarrow.lab.fleet.ledger_costs import LedgerFleet, formula, mass_kill, price
-from ironbarrow.lab.fleet.random_ledgers import World
+from ironbarrow.lab.fleet.ledger_costs import LedgerFleet, append_cost, expected_lost_share, mass_kill
+from ironbarrow.lab.fleet.random_ledgers import LedgerSimulation
 from ironbarrow.runtime.clock import MS
 
 
@@ -47,15 +47,15 @@
             results.append(getattr(self.machines[name], method)(now, *args))
             return results[0][1] if isinstance(results[0], tuple) else results[0]
 
-        self.order(name, order)
+        self.run_on(name, order)
         return results[0] if results else None
 
     def events(self, name: str, kind: type) -> list:
-        return [event for event in self.net.seats[name].told if isinstance(event, kind)]
+        return [event for event in self.net.peers[name].events if isinstance(event, kind)]
 
     def location(self, name: str) -> LedgerLocation:
         """The location of a member's first ledger, as it publishes it."""
-        return self.everyone.members[name].card.ledgers[0]
+        return self.membership.members[name].card.ledgers[0]
 
     def run(self, ms: float) -> None:
         self.net.run(round(ms * MS))
@@ -134,7 +134,7 @@
     seq, _ = fleet.call("m0", "append", ledger, puts(2, 900))
     fleet.run(5)
     assert fleet.events("m0", Committed)[-1].seq == seq == 502
-    by = next(n for n in fleet.names[1:] if fleet.net.seats[n].node)
+    by = next(n for n in fleet.names[1:] if fleet.net.peers[n].node)
     for start in (at, moved.at):  # a recovery that starts at the old location finds the new one
         fleet.call(by, "claim", start)
         fleet.run(200)
@@ -150,7 +150,7 @@
     fleet.call("m0", "append", ledger, puts(1))
     fleet.run(2000)
     assert fleet.events("m0", NoMajority) == [NoMajority(ledger)] and not fleet.events("m0", Committed)
-    fleet.net.mend()
+    fleet.net.heal()
     fleet.run(500)
     assert fleet.events("m0", NoMajority)[-1].restored and fleet.events("m0", Committed)[-1].seq == 1
 
@@ -161,7 +161,7 @@
     fleet.run(5)
     fleet.call("m0", "append", "rollout/r", puts(4))
     fleet.run(5)
-    at = next(a for a in fleet.everyone.members["m0"].card.ledgers if a.ledger == "rollout/r")
+    at = next(a for a in fleet.membership.members["m0"].card.ledgers if a.ledger == "rollout/r")
     fleet.call("m1", "lead", at)
     fleet.run(50)
     moved = fleet.events("m1", Moved)[-1]
@@ -185,7 +185,7 @@
     _, refuses, dead = at.replicas
     fleet.kill("m0")
     fleet.kill(dead.name)
-    others = [n for n in fleet.names if fleet.net.seats[n].node and Incarnation(n) not in at.replicas]
+    others = [n for n in fleet.names if fleet.net.peers[n].node and Incarnation(n) not in at.replicas]
     # the replicas of its own ledger are other members, so it can commit the key of its claim
     first = next(n for n in others if not {refuses, dead} & set(fleet.location(n).replicas))
     rival = next(n for n in others if n != first)
@@ -204,7 +204,7 @@
     )
     fleet.call(rival, "claim", at)
     fleet.run(100)
-    fleet.net.mend()
+    fleet.net.heal()
     fleet.run(1000)
     winners = [name for name in (first, rival) if fleet.events(name, Claimed)]
     assert winners == [first] if sealed_first else len(winners) == 1
@@ -242,7 +242,7 @@
     fleet.run(20)
     stored = [m.replica.segments.get((first.ledger, 0)) for m in fleet.machines.values()]
     assert all(
-        s is None or s.released for s, n in zip(stored, fleet.names, strict=True) if fleet.net.seats[n].node
+        s is None or s.released for s, n in zip(stored, fleet.names, strict=True) if fleet.net.peers[n].node
     )
     fleet.call(by, "claim", first)
     fleet.run(20)
@@ -370,7 +370,7 @@
     fleet.kill(at.replicas[1].name)
     fleet.run(1500)
     assert fleet.location("m0").segment == 1
-    by = next(n for n in fleet.names[1:] if fleet.net.seats[n].node)
+    by = next(n for n in fleet.names[1:] if fleet.net.peers[n].node)
     fleet.kill("m0")
     fleet.call(by, "claim", at)
     fleet.run(200)
@@ -382,15 +382,15 @@
 def test_the_share_of_ledgers_lost_in_a_mass_failure_matches_the_formula(replicas: int) -> None:
     found = [mass_kill(30, replicas, 0.7, seed) for seed in range(5)]
     measured = sum(f.lost for f in found) / sum(f.ledgers for f in found)
-    assert abs(measured - formula(30, replicas, 21)) < 0.1
+    assert abs(measured - expected_lost_share(30, replicas, 21)) < 0.1
     # by hand: three replicas of four members, two of which are dead: at least two of three are dead in half
     # of the cases
-    assert formula(5, 3, 3) == pytest.approx(0.5)
+    assert expected_lost_share(5, 3, 3) == pytest.approx(0.5)
 
 
 @pytest.mark.parametrize(("replicas", "batch"), [(3, 1), (3, 20), (5, 1), (5, 20)])
 def test_changes_appended_together_cost_one_round_trip(replicas: int, batch: int) -> None:
-    messages, size, wait = price(replicas, batch, turns=20)
+    messages, size, wait = append_cost(replicas, batch, turns=20)
     assert messages == pytest.approx(2 * replicas / batch)
     assert size < replicas * (460 + 220 / batch) and wait < 0.8
 
@@ -398,7 +398,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_random_load(seed: int) -> None:
     """Reproduce with: python -m ironbarrow.lab.fleet.random_ledgers --seeds 1 --from SEED"""
-    counts = World(seed).run()
+    counts = LedgerSimulation(seed).run()
     assert counts["jobs"] > 50 and counts["Committed"] > 50
 
 
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -59,7 +59,7 @@
         node.add([machine])
 
     def running(self) -> list[str]:
-        return [name for name in self.names if self.net.seats[name].node is not None]
+        return [name for name in self.names if self.net.peers[name].node is not None]
 
     def healths(self, of: str) -> dict[str, Health | None]:
         """The health of a member's current incarnation as each other running member sees it."""
@@ -81,8 +81,8 @@
         """The number of death events at all running members."""
         return sum(
             isinstance(event, MemberChanged) and event.member.health is Health.DEAD
-            for seat in self.net.seats.values()
-            for event in seat.told
+            for seat in self.net.peers.values()
+            for event in seat.events
         )
 
 
@@ -114,7 +114,7 @@
     fleet.net.cut("m0", "m1", both=both)
     fleet.net.run(60 * SECOND)
     assert fleet.death_events() == 0
-    fleet.net.mend()
+    fleet.net.heal()
     fleet.net.run(2 * SECOND)
     assert fleet.all_alive()
 
@@ -127,9 +127,9 @@
     fleet.net.cut_sites("x", "z")
     fleet.net.run(5 * SECOND)
     assert {name: m.unreachable_sites() for name, m in fleet.machines.items()} == {
-        name: ["y", "z"] if fleet.net.seats[name].site == "x" else ["x"] for name in fleet.names
+        name: ["y", "z"] if fleet.net.peers[name].site == "x" else ["x"] for name in fleet.names
     }
-    fleet.net.mend()
+    fleet.net.heal()
     fleet.run_until(fleet.all_alive, 10 * SECOND)
 
 
@@ -144,7 +144,7 @@
     fleet.run_until(lambda: set(fleet.healths("m4").values()) == {Health.ALIVE}, 3 * SECOND)
     assert (fleet.machines["m4"].refutations > 0) or not dies
     assert not any(isinstance(n, MemberChanged) and n.member.health is Health.DEAD
-                   for n in fleet.net.seats["m4"].told)  # fmt: skip
+                   for n in fleet.net.peers["m4"].events)  # fmt: skip
     fleet.net.run(3 * SECOND)
     assert fleet.all_alive()
 
@@ -157,7 +157,7 @@
     for segment in range(20):
         fleet.net.run((6130 + 97 * segment) * MS)
         at = (LedgerLocation("l", segment, ()),)
-        fleet.net.order("m0", lambda node, now, at=at: node.carry_out(machine.announce_ledgers(at)))
+        fleet.net.run_on("m0", lambda node, now, at=at: node.carry_out(machine.announce_ledgers(at)))
         fleet.net.run(MS)
         assert machine.local_health.score == 0, segment
     fleet.net.pause("m0")
@@ -176,8 +176,8 @@
     fleet.run_until(fleet.all_alive, 3 * SECOND)
     assert all(
         event.member.card.incarnation.name == "m2"
-        for seat in fleet.net.seats.values()
-        for event in seat.told
+        for seat in fleet.net.peers.values()
+        for event in seat.events
         if isinstance(event, MemberChanged) and event.member.health is Health.DEAD
     )
 
@@ -190,7 +190,7 @@
     fleet.net.run(5 * SECOND)
     third, death_events = count // 3, fleet.death_events()
     assert death_events >= 0.9 * (2 * third * 2 * third)
-    fleet.net.mend()
+    fleet.net.heal()
     fleet.run_until(fleet.all_alive, 10 * SECOND)
     fleet.net.run(5 * SECOND)
     assert fleet.death_events() == death_events  # no further deaths from the outdated views of the other side
@@ -200,7 +200,7 @@
 def test_five_percent_message_loss_causes_no_death() -> None:
     for seed in (1, 2, 3):
         fleet = converged_fleet(10, seed)
-        fleet.net.usual.lost = 0.05
+        fleet.net.default_link.lost = 0.05
         fleet.net.run(60 * SECOND)
         assert fleet.death_events() == 0
 
@@ -217,7 +217,7 @@
             assert fleet.machines[name].health(before) is Health.DEAD
             events = [
                 (n.member.card.incarnation, n.member.health)
-                for n in fleet.net.seats[name].told
+                for n in fleet.net.peers[name].events
                 if isinstance(n, MemberChanged) and n.member.card.incarnation.name == "m3"
             ]
             assert events.index((before, Health.DEAD)) == events.index((after, Health.ALIVE)) - 1
@@ -227,7 +227,7 @@
 
 def test_a_member_that_leaves_is_not_dead() -> None:
     fleet = converged_fleet(10)
-    fleet.net.order("m5", lambda node, now: node.carry_out(fleet.machines["m5"].leave(now)))
+    fleet.net.run_on("m5", lambda node, now: node.carry_out(fleet.machines["m5"].leave(now)))
     fleet.net.run(500 * MS)
     fleet.net.crash("m5")
     fleet.run_until(lambda: set(fleet.healths("m5").values()) == {Health.LEFT}, 2 * SECOND)
@@ -243,7 +243,7 @@
     net.run(3 * SECOND)
     for _ in range(steps):
         name, other = rng.sample(fleet.names, 2)
-        seat = net.seats[name]
+        seat = net.peers[name]
         what = rng.choice(["kill", "stop", "leave", "cut", "half", "site", "mend", "loss", "write"])
         if seat.node is None:
             net.start(name)
@@ -254,7 +254,7 @@
         elif what == "stop":
             net.pause(name)
         elif what == "leave":
-            net.order(name, lambda node, now, name=name: node.carry_out(fleet.machines[name].leave(now)))
+            net.run_on(name, lambda node, now, name=name: node.carry_out(fleet.machines[name].leave(now)))
             net.run(rng.randrange(200 * MS))
             net.crash(name)
         elif what in ("cut", "half"):
@@ -262,21 +262,21 @@
         elif what == "site":
             net.cut_sites(*rng.sample(SITES, 2))
         elif what == "mend":
-            net.mend()
+            net.heal()
         elif what == "loss":
-            net.usual.lost, net.usual.doubled = rng.choice([(0.0, 0.0), (0.2, 0.1)])
-            net.usual.jitter = rng.choice([MS // 10, 100 * MS])
+            net.default_link.lost, net.default_link.doubled = rng.choice([(0.0, 0.0), (0.2, 0.1)])
+            net.default_link.jitter = rng.choice([MS // 10, 100 * MS])
         else:
             at = (LedgerLocation("l", rng.randrange(9), ()),)
-            net.order(
+            net.run_on(
                 name, lambda node, now, m=fleet.machines[name], at=at: node.carry_out(m.announce_ledgers(at))
             )
         net.run(rng.randrange(3 * SECOND))
-    net.mend()
-    net.usual.lost = net.usual.doubled = 0.0
-    net.usual.jitter = MS // 10
+    net.heal()
+    net.default_link.lost = net.default_link.doubled = 0.0
+    net.default_link.jitter = MS // 10
     for name in fleet.names:
-        seat = net.seats[name]
+        seat = net.peers[name]
         if seat.node is None:
             net.start(name)
         elif seat.paused:
@@ -289,10 +289,10 @@
         )
 
     fleet.run_until(cards_agree, 15 * SECOND)
-    for seat in net.seats.values():
+    for seat in net.peers.values():
         last: dict[str, Incarnation] = {}
         ended: dict[Incarnation, Health] = {}
-        for event in seat.told:
+        for event in seat.events:
             assert isinstance(event, MemberChanged)
             incarnation, health = event.member.card.incarnation, event.member.health
             before = last.get(incarnation.name, incarnation)
