--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -220,7 +220,7 @@
 def test_faults_apply_to_the_links_that_they_name(tmp_path: Path) -> None:
     run = LiveRun(load_world(EXPERIMENTS / "kill-day.toml"), 1, tmp_path)
     for fault, pairs in FAULTS_AND_PAIRS:
-        assert run.pairs_of(fault) == pairs
+        assert run.link_pairs(fault) == pairs
     run.loop.close()
 
 
@@ -474,11 +474,11 @@
     raw = {**msgspec.toml.decode(LIVE_WORLD), "faults": plain(list(case.faults))}
     run = LiveRun(convert(raw, World, name), 1, folder)
     if case.first_crash_point:
-        run.end_first(case.first_crash_point, 500 * MS)
+        run.inject_first_exit(case.first_crash_point, 500 * MS)
     for number, point in case.crash_points:
-        run.end_at(number, point, 500 * MS)
+        run.inject_exit(number, point, 500 * MS)
     for number, point, lasts in case.pause_points:
-        run.stop_at(number, point, lasts * MS)
+        run.inject_stop(number, point, lasts * MS)
     result = run.run()
     notes = result.notes
     return {
@@ -490,8 +490,8 @@
         "wrong_results": notes["wrong_results"],
         "lost": sum(notes["without_dispatcher"].values()),
         "unheard": notes["unheard_ends"],
-        "ends": sum(len(instance.ended_at) for instance in run.instances),
-        "stops": run.stops,
+        "ends": sum(len(instance.end_times) for instance in run.instances),
+        "stops": run.pauses,
         "adopted": notes["fleet"]["adoptions"],
         "frames": notes["fleet"]["frames"],
         "asked": result.summary()["all"]["asked"],
