--- a/ironbarrow/lab/fleet/takeover_simulation.py
+++ b/ironbarrow/lab/fleet/takeover_simulation.py
@@ -181,13 +181,13 @@
     def detach(self, attempt: Attempt) -> None:
         self._attempts.discard(attempt)
 
-    def call_off(self, job_id: str, worker: str, until: int, done: Callable[[bool], None]) -> None:
+    def cancel_job(self, job_id: str, worker: str, until: int, done: Callable[[bool], None]) -> None:
         if self._world.lose_deletes:
             self._clock.call_at(min(until, self._clock.now() + _DELETE_TIMEOUT), done, False)
         else:
             self._delete(worker, job_id, lambda: done(True))
 
-    def called_back(self, raw: Any) -> bool:
+    def handle_call_back(self, raw: Any) -> bool:
         attempt = self.host.live_attempt(raw["id"], raw["from"])
         if attempt is None:
             return False
@@ -350,7 +350,7 @@
         if not up:
             return False
         process = self.processes[self.call_backs_to or self.random.choice(up)]
-        if not process.invoker.called_back(raw):
+        if not process.invoker.handle_call_back(raw):
             process.adapter.on_unmatched_call_back(raw)
         return True
 
@@ -395,7 +395,7 @@
         process = self.processes[name]
 
         def pass_on() -> None:
-            request.disconnect = process.adapter.take(
+            request.disconnect = process.adapter.submit(
                 Payload(request.id, "POST", f"/{request.job_class}/{request.id}", b"in"),
                 answered,
                 job_class=request.job_class,
