--- a/ironbarrow/lab/live/rollouts.py
+++ b/ironbarrow/lab/live/rollouts.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class LiveWorkerHost:
-    """A worker's machine, as its agent controls it. Implements ``Box`` of ``lab.fleet.agents``."""
+    """A worker's machine, as its agent controls it. Implements ``TargetHost`` of ``lab.fleet.agents``."""
 
     run: "RolloutRun"
     name: str
--- a/ironbarrow/lab/live/run.py
+++ b/ironbarrow/lab/live/run.py
@@ -11,7 +11,7 @@
 
 from ironbarrow.lab.audit import Auditor
 from ironbarrow.lab.fleet.files import fleet_file
-from ironbarrow.lab.fleet.links import CALM, LinkStandIns, Trouble
+from ironbarrow.lab.fleet.links import NO_FAULT, LinkFault, LinkProxies
 from ironbarrow.lab.fleet.logs import read_logs
 from ironbarrow.lab.live.clients import Clients
 from ironbarrow.lab.live.discovery_server import DiscoveryAgent
@@ -121,7 +121,7 @@
         self._discovery_agents: list[DiscoveryAgent] = []
         self.instances: list[Instance] = []
         self.pauses = 0  # of dispatchers, by SIGSTOP
-        self.links = LinkStandIns(loop, seed)
+        self.links = LinkProxies(loop, seed)
         self._relay_links = relay_links
         if world.dispatchers.fleet is not None and relay_links:
             self._routes = {
@@ -296,8 +296,8 @@
         """Applies a fault of the links between dispatchers, and removes it after its duration."""
         pairs = self.link_pairs(fault)
         cut = fault.kind == "links cut"
-        self.links.set(pairs, Trouble(fault.delay, fault.jitter, fault.lost, fault.doubled, cut))
-        self.loop.call_at(self.loop.now() + fault.lasts, self.links.set, pairs, CALM)
+        self.links.set(pairs, LinkFault(fault.delay, fault.jitter, fault.lost, fault.doubled, cut))
+        self.loop.call_at(self.loop.now() + fault.lasts, self.links.set, pairs, NO_FAULT)
 
     def link_pairs(self, fault: Fault) -> list[tuple[str, str]]:
         """The ordered pairs of dispatchers, by name, whose links a fault affects."""
