--- a/ironbarrow/cli/lab.py
+++ b/ironbarrow/cli/lab.py
@@ -287,7 +287,7 @@
     """List the worlds and experiments of a folder, with the number of finished cells."""
     _require_packages()
     from ironbarrow.lab.experiment.runner import default_folder
-    from ironbarrow.lab.experiment.store import Store
+    from ironbarrow.lab.experiment.store import CellStore
     from ironbarrow.lab.model.spec import WorldError, read_toml
 
     if not folder.is_dir():
@@ -300,10 +300,10 @@
             _fail(str(error))
         kind = "experiment" if "world" in raw else "world"
         entry: dict[str, Any] = {"file": str(path), "kind": kind, "name": raw.get("name", "")}
-        store = Store(default_folder(path))
+        store = CellStore(default_folder(path))
         if kind == "experiment" and (store.folder / "plan.json").exists():
-            cells = store.plan()["cells"]
-            entry.update(cells=len(cells), finished=sum(store.has(cell["cell"]) for cell in cells))
+            cells = store.load_plan()["cells"]
+            entry.update(cells=len(cells), finished=sum(store.contains(cell["cell"]) for cell in cells))
         entries.append(entry)
     if as_json:
         typer.echo(json.dumps(entries))
@@ -331,7 +331,7 @@
 
     from ironbarrow.lab.experiment.runner import Runner, default_folder
     from ironbarrow.lab.experiment.spec import load_plan
-    from ironbarrow.lab.experiment.store import Store
+    from ironbarrow.lab.experiment.store import CellStore
     from ironbarrow.lab.model.spec import WorldError
 
     folder = out or default_folder(experiment)
@@ -339,8 +339,8 @@
         plan = load_plan(experiment, folder / "variants", fleet=fleet)
     except WorldError as error:
         _fail(str(error))
-    store = Store(folder)
-    unfinished = sum(not store.has(cell.id) for cell in plan.cells)
+    store = CellStore(folder)
+    unfinished = sum(not store.contains(cell.id) for cell in plan.cells)
     if dry_run:
         typer.echo(f"{len(plan.cells)} cells, {unfinished} to run, into {folder}")
         return
@@ -355,7 +355,7 @@
     )
     with progress_bar:
         task = progress_bar.add_task(plan.experiment.name, total=len(plan.cells))
-        runner.on_cell = lambda cell, error: progress_bar.advance(task)
+        runner.on_cell_done = lambda cell, error: progress_bar.advance(task)
         try:
             outcome = runner.run()
         except KeyboardInterrupt:
@@ -366,9 +366,9 @@
         except OSError as error:
             _fail(f"{error.filename or folder}: {error.strerror}", 1)
     broken = {
-        cell.id: store.described(cell.id)["breaches"]
+        cell.id: store.load_cell(cell.id)["breaches"]
         for cell in plan.cells
-        if store.has(cell.id) and store.described(cell.id)["breaches"]
+        if store.contains(cell.id) and store.load_cell(cell.id)["breaches"]
     }
     if as_json:
         output = {
@@ -396,13 +396,13 @@
 
 def _load_cells(folder: Path) -> tuple[Any, list[dict[str, Any]]]:
     _require_packages()
-    from ironbarrow.lab.experiment.compare import cells_of
-    from ironbarrow.lab.experiment.store import Store
+    from ironbarrow.lab.experiment.compare import load_cells
+    from ironbarrow.lab.experiment.store import CellStore
 
-    store = Store(folder)
+    store = CellStore(folder)
     if not (folder / "plan.json").exists():
         _fail(f"{folder}: no cells found; run `ironbarrow lab run` first")
-    cells = cells_of(store)
+    cells = load_cells(store)
     if not cells:
         _fail(f"{folder}: no finished cells", 1)
     return store, cells
@@ -419,7 +419,7 @@
     store, cells = _load_cells(folder)
     from ironbarrow.lab.experiment.compare import METRICS, compare
 
-    variants = store.plan()["variants"]
+    variants = store.load_plan()["variants"]
     base_variant = base or variants[0]
     unknown = [name for name in metric or () if name not in METRICS]
     if base_variant not in variants:
@@ -493,10 +493,10 @@
 ) -> None:
     """Write a self-contained HTML report: plots, tables, comparisons, rules."""
     store, cells = _load_cells(folder)
-    from ironbarrow.lab.experiment.report import page
+    from ironbarrow.lab.experiment.report import render_page
 
     target = out or folder / "report.html"
-    target.write_text(page(store, cells), encoding="utf-8")
+    target.write_text(render_page(store, cells), encoding="utf-8")
     typer.echo(str(target))
 
 
--- a/ironbarrow/lab/experiment/__init__.py
+++ b/ironbarrow/lab/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: a world swept over axes, seeds and variants, kept cell by cell, compared and drawn."""
+"""Experiments: sweeps of a world over axes, seeds and variants; storage, comparison and plots of cells."""
--- a/ironbarrow/lab/experiment/cell_process.py
+++ b/ironbarrow/lab/experiment/cell_process.py
@@ -1,7 +1,7 @@
-"""A process that runs cells: takes cells by lines of JSON on standard input, runs each, says how it went.
+"""A process that runs cells: reads a cell per line of JSON from standard input, answers with a line of JSON.
 
-A process of its own for each variant: the decisions come from the folder that comes first on its
-path, and no cell can leave anything behind for one of another variant.
+Each variant has processes of its own, because heathway is imported from the first folder of PYTHONPATH and
+stays imported: a process shared by two variants would run the second one with the code of the first.
 """
 
 import json
@@ -12,33 +12,33 @@
 import structlog
 
 from ironbarrow.lab.experiment.spec import Cell
-from ironbarrow.lab.experiment.store import Store
+from ironbarrow.lab.experiment.store import CellStore
 from ironbarrow.lab.live.processes import Program
 from ironbarrow.lab.live.run import LiveError, LiveRun
 from ironbarrow.lab.model.spec import World, WorldError, convert
 from ironbarrow.lab.sim.run import Simulation
 
 
-def run_cell(cell: Cell, store: Store, package: Path) -> None:
-    """Runs a cell and keeps its result. ``package``: in live mode, the folder of the program."""
+def run_cell(cell: Cell, store: CellStore, package: Path) -> None:
+    """Runs a cell and saves its result. ``package``: the folder of the program that live mode starts."""
     world = convert(cell.world, World, cell.id)
     if cell.mode == "live":
         result = LiveRun(world, cell.seed, store.folder / "live" / cell.id, Program.in_folder(package)).run()
     else:
         result = Simulation(world, cell.seed).run()
-    store.keep(cell, result)
+    store.save(cell, result)
 
 
 def main() -> None:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
-    store, package = Store(Path(sys.argv[1])), Path(sys.argv[2])
+    store, package = CellStore(Path(sys.argv[1])), Path(sys.argv[2])
     for line in sys.stdin:
         raw = json.loads(line)
         cell = Cell(**raw)
         answer: dict[str, object] = {"cell": cell.id, "error": ""}
         try:
             run_cell(cell, store, package)
-        except OSError as error:  # no room for it, or no right to write it
+        except OSError as error:  # the disk is full or the folder is not writable
             answer.update(error=f"{error.filename or store.folder}: {error.strerror}", disk=True)
         except (LiveError, WorldError, ValueError, AttributeError, TypeError) as error:
             answer["error"] = f"{type(error).__name__}: {error}"
--- a/ironbarrow/lab/experiment/runner.py
+++ b/ironbarrow/lab/experiment/runner.py
@@ -1,4 +1,4 @@
-"""Runs the cells of a plan in several processes; what is finished stays, whatever happens to the rest."""
+"""Runs the cells of a plan in several processes. Each finished cell is saved, even if the run fails later."""
 
 import json
 import os
@@ -11,46 +11,49 @@
 from pathlib import Path
 
 from ironbarrow.lab.experiment.spec import ROOT, Cell, Plan
-from ironbarrow.lab.experiment.store import Store
+from ironbarrow.lab.experiment.store import CellStore
 
-_TRIES = 2  # of a cell whose process died
+_MAX_ATTEMPTS = 2  # a cell fails when this many of its processes have died
 
 
 @dataclass(slots=True)
 class Outcome:
-    """How a run ended. ``failed``: cell ids and why."""
+    """The result of a run: numbers of cells, and the error of each failed cell by its id."""
 
     finished: int = 0
-    kept: int = 0  # that were there already
+    kept: int = 0  # finished by an earlier run
     failed: dict[str, str] = field(default_factory=dict)
-    stopped: str = ""  # why it was not taken to its end
+    stopped: str = ""  # why the run was aborted; empty if it was completed
 
 
 class Runner:
-    """A pool of cell processes, each for one variant at a time."""
+    """Runs cells in a pool of processes, each of which serves one variant at a time.
 
-    def __init__(self, plan: Plan, store: Store, jobs: int) -> None:
-        self._plan, self._store, self._jobs = plan, store, jobs
+    ``on_cell_done`` is called with each cell and its error, which is empty if the cell is finished.
+    """
+
+    def __init__(self, plan: Plan, store: CellStore, max_processes: int) -> None:
+        self._plan, self._store, self._max_processes = plan, store, max_processes
         self._lock = threading.Lock()
-        self._todo: deque[Cell] = deque()
-        self._tries: dict[str, int] = {}
+        self._pending: deque[Cell] = deque()
+        self._attempts: dict[str, int] = {}
         self._processes: dict[int, subprocess.Popen[str]] = {}
-        self._stop = False
+        self._stopping = False
         self.outcome = Outcome()
-        self.on_cell: Callable[[Cell, str], None] = lambda cell, error: None
+        self.on_cell_done: Callable[[Cell, str], None] = lambda cell, error: None
 
     @property
     def total(self) -> int:
         return len(self._plan.cells)
 
     def pids(self) -> list[int]:
-        """The cell processes that run now."""
+        """Ids of the cell processes that are running."""
         with self._lock:
             return [process.pid for process in self._processes.values() if process.poll() is None]
 
     def run(self) -> Outcome:
-        """Runs what is missing. A KeyboardInterrupt ends the cell processes and passes on."""
-        self._store.remember(
+        """Runs the unfinished cells. A KeyboardInterrupt kills the cell processes and is raised again."""
+        self._store.save_plan(
             {
                 "name": self._plan.experiment.name,
                 "axes": self._plan.experiment.axes,
@@ -63,15 +66,15 @@
         )
         seen: set[str] = set()
         for cell in self._plan.cells:
-            if self._store.has(cell.id):
+            if self._store.contains(cell.id):
                 self.outcome.kept += 1
-                self.on_cell(cell, "")
-            elif cell.id not in seen:  # two variants may come to the same cell
+                self.on_cell_done(cell, "")
+            elif cell.id not in seen:  # two variants may have the same inputs, and so the same cell
                 seen.add(cell.id)
-                self._todo.append(cell)
+                self._pending.append(cell)
         threads = [
-            threading.Thread(target=self._work, args=(slot,), daemon=True)
-            for slot in range(min(self._jobs, len(self._todo)))
+            threading.Thread(target=self._run_cells, args=(thread_index,), daemon=True)
+            for thread_index in range(min(self._max_processes, len(self._pending)))
         ]
         for thread in threads:
             thread.start()
@@ -80,7 +83,7 @@
                 while thread.is_alive():
                     thread.join(0.2)
         finally:
-            self._stop = True
+            self._stopping = True
             with self._lock:
                 for process in self._processes.values():
                     process.kill()
@@ -88,45 +91,45 @@
                 thread.join(5)
         return self.outcome
 
-    def _work(self, slot: int) -> None:
+    def _run_cells(self, thread_index: int) -> None:
         process: subprocess.Popen[str] | None = None
         variant = ""
         while True:
             with self._lock:
-                if self._stop or not self._todo:
+                if self._stopping or not self._pending:
                     break
-                cell = self._todo.popleft()
+                cell = self._pending.popleft()
             if process is None or variant != cell.variant or process.poll() is not None:
-                self._end(slot, process)
-                process, variant = self._start(slot, cell.variant), cell.variant
-            answer = self._ask(process, cell)
-            if self._stop:
+                self._stop_process(thread_index, process)
+                process, variant = self._start_process(thread_index, cell.variant), cell.variant
+            answer = self._request(process, cell)
+            if self._stopping:
                 break
-            self._note(cell, answer)
-        self._end(slot, process)
+            self._record(cell, answer)
+        self._stop_process(thread_index, process)
 
-    def _note(self, cell: Cell, answer: dict[str, object] | None) -> None:
+    def _record(self, cell: Cell, answer: dict[str, object] | None) -> None:
         with self._lock:
             if answer is None:
-                self._tries[cell.id] = self._tries.get(cell.id, 0) + 1
-                if self._tries[cell.id] < _TRIES:
-                    self._todo.append(cell)
+                self._attempts[cell.id] = self._attempts.get(cell.id, 0) + 1
+                if self._attempts[cell.id] < _MAX_ATTEMPTS:
+                    self._pending.append(cell)
                     return
-                error = f"its process died {_TRIES} times"
+                error = f"the cell process died {_MAX_ATTEMPTS} times"
             else:
                 error = str(answer["error"])
                 if answer.get("disk"):
-                    self._stop = True  # the next cell would find no room either
+                    self._stopping = True  # writing the next cell would fail, too
                     self.outcome.stopped = error
             if error:
                 self.outcome.failed[cell.id] = error
             else:
                 self.outcome.finished += 1
-        self.on_cell(cell, error)
+        self.on_cell_done(cell, error)
 
-    def _start(self, slot: int, variant: str) -> subprocess.Popen[str]:
+    def _start_process(self, thread_index: int, variant: str) -> subprocess.Popen[str]:
         package = self._plan.packages[variant]
-        # live, the variant is the program that is started; simulated, it is what is imported
+        # a simulated cell imports heathway from the variant's folder; a live cell starts the program in it
         live = self._plan.experiment.mode == "live"
         path = [str(package)] if package != ROOT and not live else []
         environment = dict(
@@ -146,14 +149,14 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.DEVNULL,
             text=True,
-            start_new_session=True,  # an interrupt at the terminal comes to the runner alone
+            start_new_session=True,  # Ctrl-C must reach the runner only, which then kills its cell processes
         )
         with self._lock:
-            self._processes[slot] = process
+            self._processes[thread_index] = process
         return process
 
-    def _ask(self, process: subprocess.Popen[str], cell: Cell) -> dict[str, object] | None:
-        """The process's answer, or None if it died."""
+    def _request(self, process: subprocess.Popen[str], cell: Cell) -> dict[str, object] | None:
+        """Runs a cell in a process and returns its answer, or None if the process died."""
         assert process.stdin is not None and process.stdout is not None
         try:
             process.stdin.write(json.dumps(asdict(cell)) + "\n")
@@ -163,7 +166,7 @@
             return None
         return dict(json.loads(line)) if line.endswith("\n") else None
 
-    def _end(self, slot: int, process: subprocess.Popen[str] | None) -> None:
+    def _stop_process(self, thread_index: int, process: subprocess.Popen[str] | None) -> None:
         if process is not None:
             process.kill()
             process.wait()
@@ -171,10 +174,10 @@
                 if pipe is not None:
                     pipe.close()
             with self._lock:
-                if self._processes.get(slot) is process:
-                    del self._processes[slot]
+                if self._processes.get(thread_index) is process:
+                    del self._processes[thread_index]
 
 
 def default_folder(plan_path: Path) -> Path:
-    """Where an experiment's cells go unless it is said."""
+    """The folder of an experiment's cells if none is given: ``results/NAME`` beside its file."""
     return plan_path.parent / "results" / plan_path.stem
--- a/ironbarrow/lab/experiment/store.py
+++ b/ironbarrow/lab/experiment/store.py
@@ -1,4 +1,4 @@
-"""Finished cells on disk. A cell is there whole or not at all: its JSON file is put in place last."""
+"""Storage of finished cells. Saving a cell is atomic: its JSON file is renamed into place last."""
 
 import io
 import json
@@ -13,52 +13,52 @@
 from ironbarrow.lab.result import Result
 
 
-class Store:
-    """A folder of cells: ``ID.parquet`` with one row a job and ``ID.json`` with figures and faults."""
+class CellStore:
+    """A folder of cells: ``ID.parquet`` with one row per job, ``ID.json`` with metrics and faults."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.cells = folder / "cells"
 
-    def has(self, cell_id: str) -> bool:
+    def contains(self, cell_id: str) -> bool:
         return (self.cells / f"{cell_id}.json").exists()
 
-    def keep(self, cell: Cell, result: Result) -> None:
-        """Writes a finished cell; an OSError leaves nothing that ``has`` would find."""
+    def save(self, cell: Cell, result: Result) -> None:
+        """Saves a finished cell. After an OSError, ``contains`` does not find the cell."""
         self.cells.mkdir(parents=True, exist_ok=True)
         rows = polars.DataFrame({name: list(column) for name, column in result.rows.items()}, strict=False)
-        fresh = self.cells / f".{cell.id}.{os.getpid()}"
+        temporary = self.cells / f".{cell.id}.{os.getpid()}"
         buffer = io.BytesIO()
         try:
-            # through Python's own files, whose errors tell a full disk from anything else
+            # Python writes the file, not polars: its OSError tells a full disk from other errors
             rows.write_parquet(buffer)
-            fresh.write_bytes(buffer.getvalue())
-            fresh.replace(self.cells / f"{cell.id}.parquet")
-            fresh.write_text(json.dumps(_described(cell, result)))
-            fresh.replace(self.cells / f"{cell.id}.json")
+            temporary.write_bytes(buffer.getvalue())
+            temporary.replace(self.cells / f"{cell.id}.parquet")
+            temporary.write_text(json.dumps(_cell_record(cell, result)))
+            temporary.replace(self.cells / f"{cell.id}.json")
         finally:
-            fresh.unlink(missing_ok=True)
+            temporary.unlink(missing_ok=True)
 
-    def described(self, cell_id: str) -> dict[str, Any]:
-        """A finished cell's figures."""
+    def load_cell(self, cell_id: str) -> dict[str, Any]:
+        """The contents of a finished cell's JSON file."""
         return dict(json.loads((self.cells / f"{cell_id}.json").read_text()))
 
-    def rows(self, cell_id: str) -> polars.DataFrame:
-        """A finished cell's jobs."""
+    def load_rows(self, cell_id: str) -> polars.DataFrame:
+        """The jobs of a finished cell, one per row."""
         return polars.read_parquet(self.cells / f"{cell_id}.parquet")
 
-    def remember(self, plan: dict[str, Any]) -> None:
-        """Which cells the newest run of this folder is made of."""
+    def save_plan(self, plan: dict[str, Any]) -> None:
+        """Saves the plan of the latest run in this folder: its name, axes, variants and cells."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        fresh = self.folder / ".plan"
-        fresh.write_text(json.dumps(plan))
-        fresh.replace(self.folder / "plan.json")
+        temporary = self.folder / ".plan"
+        temporary.write_text(json.dumps(plan))
+        temporary.replace(self.folder / "plan.json")
 
-    def plan(self) -> dict[str, Any]:
+    def load_plan(self) -> dict[str, Any]:
         return dict(json.loads((self.folder / "plan.json").read_text()))
 
 
-def _described(cell: Cell, result: Result) -> dict[str, Any]:
+def _cell_record(cell: Cell, result: Result) -> dict[str, Any]:
     return {
         "cell": cell.id,
         "variant": cell.variant,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -26,11 +26,11 @@
 from ironbarrow.core.rules import Rule
 from ironbarrow.lab import theory
 from ironbarrow.lab.audit import Breach
-from ironbarrow.lab.experiment.compare import cells_of, compare
-from ironbarrow.lab.experiment.report import page
+from ironbarrow.lab.experiment.compare import compare, load_cells
+from ironbarrow.lab.experiment.report import render_page
 from ironbarrow.lab.experiment.runner import Runner
 from ironbarrow.lab.experiment.spec import load_plan
-from ironbarrow.lab.experiment.store import Store
+from ironbarrow.lab.experiment.store import CellStore
 from ironbarrow.lab.live.run import LiveRun
 from ironbarrow.lab.model.spec import Fault, World, WorldError, convert, load_world, read_toml
 from ironbarrow.lab.record import service_over_time
@@ -301,17 +301,19 @@
     return path
 
 
-def play(path: Path, jobs: int = 2, meddle: Callable[[Runner], None] = lambda runner: None) -> Runner:
+def run_experiment(
+    path: Path, jobs: int = 2, interfere: Callable[[Runner], None] = lambda runner: None
+) -> Runner:
     folder = path.parent / "out"
-    runner = Runner(load_plan(path, folder / "variants"), Store(folder), jobs)
-    thread = threading.Thread(target=meddle, args=(runner,), daemon=True)
+    runner = Runner(load_plan(path, folder / "variants"), CellStore(folder), jobs)
+    thread = threading.Thread(target=interfere, args=(runner,), daemon=True)
     thread.start()
     runner.run()
     thread.join(10)
     return runner
 
 
-def test_a_sweep_runs_once_survives_killed_cell_processes_and_mixes_nothing(sweep: Path) -> None:
+def test_a_sweep_runs_once_survives_killed_cell_processes_and_does_not_mix_results(sweep: Path) -> None:
     killed: list[int] = []
 
     def kill_one(runner: Runner) -> None:
@@ -322,28 +324,28 @@
                 killed.append(pid)
             time.sleep(0.005)
 
-    first = play(sweep, 8, kill_one)
+    first = run_experiment(sweep, 8, kill_one)
     assert killed
     assert (first.outcome.finished, first.outcome.kept, first.outcome.failed) == (8, 0, {})
-    again = play(sweep)
+    again = run_experiment(sweep)
     assert (again.outcome.finished, again.outcome.kept) == (0, 8)
-    # the same figures for one process and for several
+    # results must not depend on the number of processes
     folder = sweep.parent / "out"
-    digests = {cell["cell"]: cell["digest"] for cell in cells_of(Store(folder))}
+    digests = {cell["cell"]: cell["digest"] for cell in load_cells(CellStore(folder))}
     folder.rename(sweep.parent / "kept")
-    play(sweep, 1)
-    assert {cell["cell"]: cell["digest"] for cell in cells_of(Store(folder))} == digests
-    # other words, other cells
+    run_experiment(sweep, 1)
+    assert {cell["cell"]: cell["digest"] for cell in load_cells(CellStore(folder))} == digests
+    # a changed world has other cells, so none of the finished ones may be reused
     tiny = sweep.parent / "tiny.toml"
     tiny.write_text(tiny.read_text().replace("speed = 2.0", "speed = 2.1"))
-    assert play(sweep).outcome.kept == 0
+    assert run_experiment(sweep).outcome.kept == 0
 
 
 def test_an_interrupt_keeps_what_is_finished(sweep: Path) -> None:
     out = sweep.parent / "out"
     command = [sys.executable, "-m", "ironbarrow", "lab", "run", str(sweep), "--jobs", "1", "--out", str(out)]
     process = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
-    store, limit = Store(out), time.monotonic() + 60
+    store, limit = CellStore(out), time.monotonic() + 60
     while not (store.cells.exists() and list(store.cells.glob("*.json"))):
         assert time.monotonic() < limit and process.poll() is None
         time.sleep(0.01)
@@ -352,50 +354,50 @@
     assert process.returncode == 130
     kept = len(list(store.cells.glob("*.json")))
     assert 1 <= kept < 8
-    assert play(sweep).outcome.kept == kept
+    assert run_experiment(sweep).outcome.kept == kept
 
 
 def test_a_full_disk_ends_the_run_and_keeps_what_is_finished(sweep: Path) -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
     # room for a cell's figures at the lower load, and none for those at the higher one: half a disk
-    play(sweep)
-    store = Store(sweep.parent / "out")
+    run_experiment(sweep)
+    store = CellStore(sweep.parent / "out")
     names = list(store.cells.iterdir())
     for path in names[: len(names) // 2]:
         path.unlink()
-    done = sum(store.has(cell.id) for cell in load_plan(sweep, store.folder / "variants").cells)
+    done = sum(store.contains(cell.id) for cell in load_plan(sweep, store.folder / "variants").cells)
     resource.setrlimit(resource.RLIMIT_FSIZE, (2048, hard))
     try:
-        full = play(sweep)
+        full = run_experiment(sweep)
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, (soft, hard))
     assert "File too large" in full.outcome.stopped
     assert full.outcome.finished == 0
     assert not list(store.cells.glob(".*"))
-    after = play(sweep)
+    after = run_experiment(sweep)
     assert (after.outcome.kept, after.outcome.finished) == (done, 8 - done)
 
 
 def test_comparison_and_report_of_a_sweep(sweep: Path) -> None:
-    play(sweep)
-    store = Store(sweep.parent / "out")
-    cells = cells_of(store)
+    run_experiment(sweep)
+    store = CellStore(sweep.parent / "out")
+    cells = load_cells(store)
     rows = compare(cells, "present", "no probes", ("service",))
     assert {row.group for row in rows} == {"all", "map", "decode", "booking"}
     assert all(row.pairs == 2 and row.low <= row.mean <= row.high for row in rows)
-    # a cell that is kept from an earlier plan goes by its names in this one
+    # a cell saved by an earlier plan is listed under the variant name of the latest plan
     sweep.write_text(SWEEP.replace('"present"', '"now"').replace("seeds = 2", "seeds = 1"))
-    renamed = play(sweep)
+    renamed = run_experiment(sweep)
     assert (renamed.outcome.kept, renamed.outcome.finished) == (4, 0)
-    assert {cell["variant"] for cell in cells_of(store)} == {"now", "no probes"}
+    assert {cell["variant"] for cell in load_cells(store)} == {"now", "no probes"}
     same = compare(cells, "present", "present", ("service",))
     assert all(row.mean == 0 and not row.sure for row in same)
-    html = page(store, cells)
+    html = render_page(store, cells)
     assert html.count("data:image/png;base64,") >= 5
     assert not re.search(r'(?:src|href)="(?!data:)', html)  # nothing is fetched from elsewhere
     invoke = CliRunner().invoke
-    said = json.loads(invoke(app, ["lab", "compare", str(store.folder), "--json"]).output)
-    assert {row["variant"] for row in said} == {"no probes"}
+    comparison = json.loads(invoke(app, ["lab", "compare", str(store.folder), "--json"]).output)
+    assert {row["variant"] for row in comparison} == {"no probes"}
 
 
 WRONG_SWEEPS = {
@@ -460,9 +462,9 @@
     head, _, _ = SWEEP.partition("[[variants]]")
     variants = ('"present"\n', '"head"\nrevision = "HEAD"\n', '"shut"\nmodule = "logic.py"\n')
     sweep.write_text(head + "".join(f"[[variants]]\nname = {variant}" for variant in variants))
-    assert play(sweep).outcome.failed == {}
+    assert run_experiment(sweep).outcome.failed == {}
     by = {name: [] for name in ("present", "head", "shut")}  # type: ignore[var-annotated]
-    for cell in cells_of(Store(sweep.parent / "out")):
+    for cell in load_cells(CellStore(sweep.parent / "out")):
         by[cell["variant"]].append(cell)
     refused = {name: sum(c["summary"]["all"]["refused"] for c in cells) for name, cells in by.items()}
     assert refused["shut"] > refused["head"] + 20
