--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -1,4 +1,4 @@
-"""The simulated clock (a plain heap) against simpy on one and the same model: an M/M/c queue.
+"""Speed of the simulated clock (a binary heap) compared with simpy, on the same model: an M/M/c queue.
 
 python benchmarks/engine.py [--jobs 100000] [--servers 4]
 """
@@ -14,17 +14,17 @@
 _LOAD = 0.8
 
 
-def by_heap(jobs: int, servers: int) -> tuple[float, float]:
-    """Mean wait and seconds of wall time."""
+def simulate_with_heap(jobs: int, servers: int) -> tuple[float, float]:
+    """Returns the mean wait in seconds of simulated time, and the wall time in seconds."""
     clock, streams = SimulatedClock(0), Streams(1)
     arrivals, services = streams["arrivals"], streams["services"]
     queue: list[int] = []
     head = busy = done = waited = 0
 
-    def start(arrived: int) -> None:
+    def start(arrived_at: int) -> None:
         nonlocal busy, waited
         busy += 1
-        waited += clock.now() - arrived
+        waited += clock.now() - arrived_at
         clock.call_at(clock.now() + int(services.exponential(1e9)), end)
 
     def end() -> None:
@@ -35,34 +35,36 @@
             head += 1
             start(queue[head - 1])
 
-    def arrive(left: int) -> None:
+    def arrive(remaining: int) -> None:
         if busy < servers:
             start(clock.now())
         else:
             queue.append(clock.now())
-        if left:
-            clock.call_at(clock.now() + int(arrivals.exponential(1e9 / (_LOAD * servers))), arrive, left - 1)
+        if remaining:
+            clock.call_at(
+                clock.now() + int(arrivals.exponential(1e9 / (_LOAD * servers))), arrive, remaining - 1
+            )
 
-    begun = time.perf_counter()
+    started = time.perf_counter()
     clock.call_at(0, arrive, jobs - 1)
     while done < jobs:
         clock.run(clock.now() + 10**12)
-    return waited / jobs / 1e9, time.perf_counter() - begun
+    return waited / jobs / 1e9, time.perf_counter() - started
 
 
-def by_simpy(jobs: int, servers: int) -> tuple[float, float]:
-    """Mean wait and seconds of wall time."""
+def simulate_with_simpy(jobs: int, servers: int) -> tuple[float, float]:
+    """Returns the mean wait in seconds of simulated time, and the wall time in seconds."""
     environment, streams = simpy.Environment(), Streams(1)
     arrivals, services = streams["arrivals"], streams["services"]
-    desks = simpy.Resource(environment, capacity=servers)
+    resource = simpy.Resource(environment, capacity=servers)
     waited = 0.0
 
     def job():  # type: ignore[no-untyped-def]
         nonlocal waited
-        arrived = environment.now
-        with desks.request() as desk:
-            yield desk
-            waited += environment.now - arrived
+        arrived_at = environment.now
+        with resource.request() as slot_request:
+            yield slot_request
+            waited += environment.now - arrived_at
             yield environment.timeout(services.exponential(1.0))
 
     def source():  # type: ignore[no-untyped-def]
@@ -70,20 +72,20 @@
             environment.process(job())
             yield environment.timeout(arrivals.exponential(1 / (_LOAD * servers)))
 
-    begun = time.perf_counter()
+    started = time.perf_counter()
     environment.process(source())
     environment.run()
-    return waited / jobs, time.perf_counter() - begun
+    return waited / jobs, time.perf_counter() - started
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--jobs", type=int, default=100_000)
     parser.add_argument("--servers", type=int, default=4)
-    given = parser.parse_args()
-    for name, run in (("heap", by_heap), ("simpy", by_simpy)):
-        wait, wall = run(given.jobs, given.servers)
-        print(f"{name:6} {given.jobs / wall:10.0f} jobs/s  mean wait {wait:.4f} service times")
+    options = parser.parse_args()
+    for name, run in (("heap", simulate_with_heap), ("simpy", simulate_with_simpy)):
+        wait, wall = run(options.jobs, options.servers)
+        print(f"{name:6} {options.jobs / wall:10.0f} jobs/s  mean wait {wait:.4f} service times")
 
 
 if __name__ == "__main__":
