--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,9 +1,9 @@
-"""What the members of a fleet cost and how soon they know a death, as the fleet grows. Virtual time.
+"""Traffic of fleet members and their failure detection times, by fleet size, in simulated time.
 
     python benchmarks/members.py --members 3 10 30 100 230 [--loss-minutes 60] [--seed 1] [--json]
 
-Each size runs in a process of its own: three sites, every member's machine and messages as in service, 0.25
-to 0.35 ms from one to another, nothing said by links of broken connections.
+Each size runs in a separate process: three sites, the production membership protocol and codec, 0.25 to
+0.35 ms of network delay. Links do not report broken connections: only the protocol detects deaths.
 """
 
 import argparse
@@ -27,22 +27,22 @@
 SITES = ("north", "south", "west")
 
 
-class Crowd:
-    """So many members over three sites, each of which writes a ledger kept by three."""
+class SimulatedMembers:
+    """Members over three sites, each with a ledger that has three replicas."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.net = SimulatedNet(SimulatedClock(), Codec(MemberMachine.handles), seed)
         self.machines: dict[str, MemberMachine] = {}
         self.names = [f"dispatcher-{i}" for i in range(count)]
         self.incarnations: dict[str, Incarnation] = {}
-        self.deaths: list[tuple[str, str, int]] = []  # who was told, of whom, when
+        self.deaths: list[tuple[str, str, int]] = []  # observer, dead member, time (ns)
         self.suspicions = 0
         for i, name in enumerate(self.names):
-            self.net.add(name, SITES[i % 3], self._build).on_news = self._noted(name)
+            self.net.add(name, SITES[i % 3], self._build).on_news = self._event_recorder(name)
         for name in self.names:
             self.incarnations[name] = self.net.start(name)
         for name in self.names:
-            self.writes(name)
+            self.announce_ledger(name)
 
     def _build(self, seat: Seat, node: Node) -> None:
         card = Card(node.incarnation, f"10.0.0.1:{len(self.machines)}", seat.site, "10.0.0.1:8080", 1)
@@ -50,133 +50,139 @@
         self.machines[seat.name] = MemberMachine(card, MemberRules(), seeds, self.net.clock.now())
         node.add([self.machines[seat.name]])
 
-    def writes(self, name: str) -> None:
+    def announce_ledger(self, name: str) -> None:
         replicas = tuple(self.incarnations[n] for n in self.names[:3])
         at = (LedgerLocation(f"jobs/{self.incarnations[name]}", 1, replicas),)
         self.net.order(name, lambda node, now: node.carry_out(self.machines[name].announce_ledgers(at)))
 
-    def _noted(self, name: str) -> Callable[[FleetEvent], None]:
-        def noted(news: FleetEvent) -> None:
-            if isinstance(news, MemberChanged):
-                self.suspicions += news.member.health is Health.SUSPECT
-                if news.member.health is Health.DEAD:
-                    self.deaths.append((name, news.member.card.incarnation.name, self.net.clock.now()))
+    def _event_recorder(self, name: str) -> Callable[[FleetEvent], None]:
+        def record_event(event: FleetEvent) -> None:
+            if isinstance(event, MemberChanged):
+                self.suspicions += event.member.health is Health.SUSPECT
+                if event.member.health is Health.DEAD:
+                    self.deaths.append((name, event.member.card.incarnation.name, self.net.clock.now()))
 
-        return noted
+        return record_event
 
     def running(self) -> list[str]:
         return [name for name in self.names if self.net.seats[name].node is not None]
 
-    def see(self, of: list[str], health: Health) -> bool:
-        """Whether all that run hold all of these for that."""
+    def all_see(self, names: list[str], health: Health) -> bool:
+        """Whether every running member sees all named members in this state of health."""
         return all(
             self.machines[name].health(self.machines[other].me.incarnation) is health
             for name in self.running()
-            for other in of
+            for other in names
             if other != name
         )
 
-    def until(self, holds: Callable[[], bool], limit_s: float, step: int = 50 * MS) -> float | None:
-        """Seconds until something holds; None if it does not in time."""
+    def run_until(self, condition: Callable[[], bool], limit_s: float, step: int = 50 * MS) -> float | None:
+        """Runs until the condition holds; returns the seconds, or None after the limit."""
         start = self.net.clock.now()
-        while not holds():
+        while not condition():
             if self.net.clock.now() - start > limit_s * SECOND:
                 return None
             self.net.run(step)
         return (self.net.clock.now() - start) / SECOND
 
 
-def _at(values: list[float], part: float) -> float | None:
-    return round(sorted(values)[min(len(values) - 1, int(part * len(values)))], 2) if values else None
+def _quantile(values: list[float], fraction: float) -> float | None:
+    return round(sorted(values)[min(len(values) - 1, int(fraction * len(values)))], 2) if values else None
 
 
 def measure(count: int, seed: int, loss_minutes: float) -> dict[str, object]:
-    """One size, in this process."""
+    """Measures one size in this process."""
     INVARIANTS.fatal = True
-    began = time.perf_counter()
-    crowd = Crowd(count, seed)
-    net = crowd.net
-    joined = crowd.until(lambda: crowd.see(crowd.names, Health.ALIVE), 120)
-    net.run(60 * SECOND)  # until the news of all these starts has been told
+    started = time.perf_counter()
+    fleet = SimulatedMembers(count, seed)
+    net = fleet.net
+    join_time = fleet.run_until(lambda: fleet.all_see(fleet.names, Health.ALIVE), 120)
+    net.run(60 * SECOND)  # until all starts have been disseminated
 
     def traffic(seconds: int) -> dict[str, float]:
         net.messages.clear()
         net.bytes.clear()
         net.run(seconds * SECOND)
-        each = [net.bytes[name] / seconds for name in crowd.running()]
+        each = [net.bytes[name] / seconds for name in fleet.running()]
         return {
             "messages_s": round(net.messages.total() / seconds / len(each), 1),
             "bytes_s": round(sum(each) / len(each)),
             "bytes_s_most": round(max(each)),
         }
 
-    quiet = traffic(30)
+    idle_traffic = traffic(30)
 
-    dice = random.Random(seed)
-    took: list[float] = []  # of each pair of a death and one that is told
-    last: list[float] = []  # of each death, until all knew
+    rng = random.Random(seed)
+    detection_times: list[float] = []  # one for each pair of a death and an observer
+    full_detection_times: list[float] = []  # for each death, until all members saw it
     for _ in range(max(8, 60 // count)):
-        name = dice.choice(crowd.names)
-        net.run(dice.randrange(SECOND))
-        crowd.deaths.clear()
-        died = net.clock.now()
+        name = rng.choice(fleet.names)
+        net.run(rng.randrange(SECOND))
+        fleet.deaths.clear()
+        crashed_at = net.clock.now()
         net.crash(name)
-        known = crowd.until(lambda name=name: crowd.see([name], Health.DEAD), 30, 20 * MS)
-        took += [(at - died) / SECOND for _, of, at in crowd.deaths if of == name]
-        last.append(known if known is not None else float("inf"))
-        crowd.incarnations[name] = net.start(name)
-        crowd.writes(name)
-        crowd.until(lambda: crowd.see(crowd.names, Health.ALIVE), 60)
+        detection_time = fleet.run_until(lambda name=name: fleet.all_see([name], Health.DEAD), 30, 20 * MS)
+        detection_times += [
+            (at - crashed_at) / SECOND for _, member_name, at in fleet.deaths if member_name == name
+        ]
+        full_detection_times.append(detection_time if detection_time is not None else float("inf"))
+        fleet.incarnations[name] = net.start(name)
+        fleet.announce_ledger(name)
+        fleet.run_until(lambda: fleet.all_see(fleet.names, Health.ALIVE), 60)
         net.run(5 * SECOND)
 
-    gone = dice.sample(crowd.names, count * 7 // 10)
-    died, _ = net.clock.now(), crowd.deaths.clear()
-    for name in gone:
+    crashed = rng.sample(fleet.names, count * 7 // 10)
+    crashed_at, _ = net.clock.now(), fleet.deaths.clear()
+    for name in crashed:
         net.crash(name)
-    mass = crowd.until(lambda: crowd.see(gone, Health.DEAD), 120)
-    mass_took = [(at - died) / SECOND for _, of, at in crowd.deaths if of in gone]
-    for name in gone:
-        crowd.incarnations[name] = net.start(name)
-        crowd.writes(name)
-    crowd.until(lambda: crowd.see(crowd.names, Health.ALIVE), 120)
+    mass_detection_time = fleet.run_until(lambda: fleet.all_see(crashed, Health.DEAD), 120)
+    mass_detection_times = [
+        (at - crashed_at) / SECOND for _, member_name, at in fleet.deaths if member_name in crashed
+    ]
+    for name in crashed:
+        fleet.incarnations[name] = net.start(name)
+        fleet.announce_ledger(name)
+    fleet.run_until(lambda: fleet.all_see(fleet.names, Health.ALIVE), 120)
     net.run(10 * SECOND)
 
     for other in SITES[1:]:
         net.cut_sites(SITES[0], other)
     net.run(5 * SECOND)
     net.mend()
-    crowd.deaths.clear()
-    healed = crowd.until(lambda: crowd.see(crowd.names, Health.ALIVE), 120)
-    after = len(crowd.deaths)
-    side = {name: net.seats[name].site == SITES[0] for name in crowd.names}
-    own = sum(side[told] == side[of] for told, of, _ in crowd.deaths)  # of those that were in sight all along
+    fleet.deaths.clear()
+    healed = fleet.run_until(lambda: fleet.all_see(fleet.names, Health.ALIVE), 120)
+    deaths_after_heal = len(fleet.deaths)
+    in_cut_site = {name: net.seats[name].site == SITES[0] for name in fleet.names}
+    own_side_deaths = sum(
+        in_cut_site[observer] == in_cut_site[member_name] for observer, member_name, _ in fleet.deaths
+    )  # deaths of members that the cut did not separate from the observer
     net.run(20 * SECOND)
 
     net.usual.lost = 0.05
-    crowd.deaths.clear()
-    crowd.suspicions = 0
-    lossy = traffic(max(1, round(loss_minutes * 60)))
-    pairs = {(of, at // SECOND) for _, of, at in crowd.deaths}
+    fleet.deaths.clear()
+    fleet.suspicions = 0
+    lossy_traffic = traffic(max(1, round(loss_minutes * 60)))
+    pairs = {(member_name, at // SECOND) for _, member_name, at in fleet.deaths}
     hours = loss_minutes / 60 * count
     return {
         "members": count,
-        "join_s": joined,
-        **quiet,
-        "death_p50_s": _at(took, 0.5),
-        "death_p99_s": _at(took, 0.99),
-        "death_last_s": _at(last, 1.0),
-        "mass_p50_s": _at(mass_took, 0.5),
-        "mass_last_s": mass,
+        "join_s": join_time,
+        **idle_traffic,
+        "death_p50_s": _quantile(detection_times, 0.5),
+        "death_p99_s": _quantile(detection_times, 0.99),
+        "death_last_s": _quantile(full_detection_times, 1.0),
+        "mass_p50_s": _quantile(mass_detection_times, 0.5),
+        "mass_last_s": mass_detection_time,
         "healed_s": healed,
-        "deaths_after_heal": after,
-        "deaths_after_heal_own_side": own,
+        "deaths_after_heal": deaths_after_heal,
+        "deaths_after_heal_own_side": own_side_deaths,
         "loss_minutes": loss_minutes,
-        "lossy_bytes_s": lossy["bytes_s"],
-        "lossy_messages_s": lossy["messages_s"],
-        "suspicions_per_member_hour": round(crowd.suspicions / max(1, count - 1) / hours, 2),
-        "false_deaths": len({of for of, _ in pairs}),
-        "false_deaths_told": len(crowd.deaths),
-        "wall_s": round(time.perf_counter() - began, 1),
+        "lossy_bytes_s": lossy_traffic["bytes_s"],
+        "lossy_messages_s": lossy_traffic["messages_s"],
+        "suspicions_per_member_hour": round(fleet.suspicions / max(1, count - 1) / hours, 2),
+        "false_deaths": len({member_name for member_name, _ in pairs}),
+        "false_deaths_told": len(fleet.deaths),
+        "wall_s": round(time.perf_counter() - started, 1),
     }
 
 
@@ -186,14 +192,17 @@
     parser.add_argument("--loss-minutes", type=float, default=60)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", action="store_true")
-    given = parser.parse_args()
-    if given.json:
-        print(json.dumps(measure(given.members[0], given.seed, given.loss_minutes)))
+    options = parser.parse_args()
+    if options.json:
+        print(json.dumps(measure(options.members[0], options.seed, options.loss_minutes)))
         return
-    for count in given.members:
-        command = [sys.executable, __file__, "--json", "--members", str(count), "--seed", str(given.seed)]
+    for count in options.members:
+        command = [sys.executable, __file__, "--json", "--members", str(count), "--seed", str(options.seed)]
         done = subprocess.run(
-            [*command, "--loss-minutes", str(given.loss_minutes)], check=True, capture_output=True, text=True
+            [*command, "--loss-minutes", str(options.loss_minutes)],
+            check=True,
+            capture_output=True,
+            text=True,
         )
         print(done.stdout.strip(), flush=True)
 
