--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -1,9 +1,9 @@
-"""Starts of live runs side by side: how many of them came up, and how long that took.
+"""Starts live runs in parallel: how many became ready, and how long it took.
 
     python benchmarks/starts.py [--runs 100] [--at-once 10] [--json]
 
-Runs that start at once are in processes of their own; each has two dispatchers with routes and a fleet file.
-One that does not come up is printed with the last lines of its dispatchers' logs; the exit status is then 1.
+Each run has a process of the pool and two dispatchers with routes and a fleet file. A run that does not
+become ready is printed with the last lines of its dispatchers' logs, and the exit status is 1.
 """
 
 import argparse
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True)
 class Start:
-    """How one run came up."""
+    """The start of one run."""
 
-    failure: str  # empty if it did
-    ready_after_s: list[float]  # of each dispatcher that became ready
+    failure: str  # empty if the run became ready
+    ready_after_s: list[float]  # one per dispatcher that became ready
 
 
 def start_once(number: int) -> Start:
-    """Starts a run and ends it again, in a process of the pool."""
+    """Starts and stops a run, in a process of the pool."""
     with tempfile.TemporaryDirectory(prefix="starts-") as folder:
         run = LiveRun(convert(msgspec.toml.decode(WORLD), World, "starts"), number, Path(folder))
         failure = ""
@@ -75,7 +75,7 @@
 
 
 def start_all(runs: int, at_once: int) -> Iterator[Start]:
-    """Starts so many runs, a few at a time, each as it ends."""
+    """Starts the runs, ``at_once`` at a time, and yields each as it completes."""
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(at_once, mp_context=context) as pool:
         for future in as_completed([pool.submit(start_once, number) for number in range(runs)]):
@@ -87,21 +87,21 @@
     parser.add_argument("--runs", type=int, default=100)
     parser.add_argument("--at-once", type=int, default=10)
     parser.add_argument("--json", action="store_true")
-    asked = parser.parse_args()
-    begun = time.monotonic()
+    options = parser.parse_args()
+    started = time.monotonic()
     starts = []
-    for start in start_all(asked.runs, asked.at_once):
+    for start in start_all(options.runs, options.at_once):
         starts.append(start)
         if start.failure:
             print(start.failure, file=sys.stderr, flush=True)
     failed = sum(bool(start.failure) for start in starts)
     times = sorted(seconds for start in starts for seconds in start.ready_after_s)
-    took = time.monotonic() - begun
-    if asked.json:
-        print(json.dumps({"took_s": took, "starts": [asdict(start) for start in starts]}))
+    duration = time.monotonic() - started
+    if options.json:
+        print(json.dumps({"took_s": duration, "starts": [asdict(start) for start in starts]}))
     else:
         p50, longest = (times[len(times) // 2], times[-1]) if times else (0.0, 0.0)
-        print(f"{len(starts)} runs, {asked.at_once} at once, in {took:.0f} s: {failed} did not come up")
+        print(f"{len(starts)} runs, {options.at_once} at once, in {duration:.0f} s: {failed} did not come up")
         print(f"start to ready of {len(times)} dispatchers: p50 {p50:.2f} s, longest {longest:.2f} s")
     return 1 if failed else 0
 
