--- a/experiments/starvation.py
+++ b/experiments/starvation.py
@@ -1,8 +1,8 @@
-"""Who starves, as the fleet sees it: worlds with known truth, some of the tables lost, beside the naive rule.
+"""Starvation detection on worlds with known ground truth, with lost tables, compared with a naive rule.
 
-python experiments/starvation.py --worlds 44 --jobs 4     # of each of eight kinds
-python experiments/starvation.py --size 3 10 30 100 230   # bytes and messages a second by size of fleet
-python experiments/starvation.py --only "too few/3"        # one world, with all that was told of it
+python experiments/starvation.py --worlds 44 --jobs 4     # 44 of each of eight kinds
+python experiments/starvation.py --size 3 10 30 100 230   # bytes and messages per second by fleet size
+python experiments/starvation.py --only "too few/3"        # one world with all its evidence
 """
 
 import argparse
@@ -22,19 +22,22 @@
 from ironbarrow.lab.fleet.starved import KINDS, STARVED, Fleet, generate, naive, watched
 from ironbarrow.runtime.clock import SECOND
 
-LOST = (0.0, 0.2, 0.4)
-EVERY = 3  # one world in so many is looked at with tables lost, too
+LOSS_RATES = (0.0, 0.2, 0.4)
+LOSS_SAMPLE_INTERVAL = 3  # one world in this many is also evaluated with lost tables
 RULES = StarvationRules()
 
 
-def one(task: tuple[str, int]) -> dict:
-    """A world, looked at with each part of the tables lost, and by the naive rule."""
+def evaluate_world(task: tuple[str, int]) -> dict:
+    """Evaluates a world with each loss rate of the tables, and by the naive rule."""
     INVARIANTS.fatal = True
     kind, seed = task
     world = generate(kind, seed)
     row = {"kind": kind, "seed": seed, "hours": world.length / 3600, "partitions": len(world.sites)}
-    some = LOST if seed % EVERY == 0 else LOST[:1]
-    for name, seen in [*((str(lost), watched(world, RULES, lost)) for lost in some), ("naive", naive(world))]:
+    loss_rates = LOSS_RATES if seed % LOSS_SAMPLE_INTERVAL == 0 else LOSS_RATES[:1]
+    for name, seen in [
+        *((str(lost), watched(world, RULES, lost)) for lost in loss_rates),
+        ("naive", naive(world)),
+    ]:
         found = seen.found_at(world)
         row[name] = {
             "found": None if found is None else found - world.onset,
@@ -46,24 +49,27 @@
     return row
 
 
-def table(rows: list[dict]) -> None:
-    """Prints all as a table."""
+def print_table(rows: list[dict]) -> None:
+    """Prints a table by kind and rule, then the traffic by loss rate."""
     print("| kind | worlds | rule | found | time to find p50 / p90 s | false alarms | a fleet-hour |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for kind in (*KINDS, "all"):
-        for name in [*map(str, LOST), "naive"]:
-            some = [row for row in rows if kind in (row["kind"], "all") and name in row]
-            if not some:
+        for name in [*map(str, LOSS_RATES), "naive"]:
+            worlds = [row for row in rows if kind in (row["kind"], "all") and name in row]
+            if not worlds:
                 continue
-            times = sorted(row[name]["found"] for row in some if row[name]["found"] is not None)
-            starved = sum(row["kind"] in STARVED for row in some)
-            false, hours = sum(row[name]["false"] for row in some), sum(row["hours"] for row in some)
+            times = sorted(row[name]["found"] for row in worlds if row[name]["found"] is not None)
+            starved = sum(row["kind"] in STARVED for row in worlds)
+            false, hours = (
+                sum(row[name]["false"] for row in worlds),
+                sum(row["hours"] for row in worlds),
+            )
             p90 = times[int(0.9 * (len(times) - 1))] if times else 0
             when = f"{statistics.median(times):.0f} / {p90:.0f}" if times else "-"
             rule = name if name == "naive" else f"{float(name):.0%} lost"
             found = f"{len(times)} of {starved}" if starved else "-"
-            print(f"| {kind} | {len(some)} | {rule} | {found} | {when} | {false} | {false / hours:.2f} |")
-    for name in map(str, LOST):
+            print(f"| {kind} | {len(worlds)} | {rule} | {found} | {when} | {false} | {false / hours:.2f} |")
+    for name in map(str, LOSS_RATES):
         mean = statistics.mean(row[name]["bytes"] for row in rows if name in row)
         most = max(row[name]["most"] for row in rows if name in row)
         messages = statistics.mean(row[name]["messages"] for row in rows if name in row)
@@ -71,46 +77,46 @@
         print(f"{float(name):.0%} lost: {traffic}")
 
 
-def sizes(counts: list[int]) -> None:
-    """Traffic of a member by the size of the fleet: 12 tenants, 3 classes, 20 jobs/s a partition."""
+def print_traffic(counts: list[int]) -> None:
+    """Prints a member's traffic by fleet size, with 12 tenants, 3 classes and 20 jobs/s per partition."""
     print("| members | bytes/s mean | bytes/s most | messages/s mean | messages/s most | CPU ms/s a member |")
     print("| --- | --- | --- | --- | --- | --- |")
     for count in counts:
-        draw = random.Random(count)
+        rng = random.Random(count)
         sites = {f"p{i}": "abc"[i % 3] for i in range(count)}
         fleet = Fleet(sites, {}, RULES, 1)
         length = 40
         for name in sites:
             events = []
             for number in range(20 * length):
-                at = draw.randrange(length * SECOND)
-                job = (number, f"t{draw.randrange(12)}", draw.choice(["map", "decode", "booking"]), 1.0)
-                events += [(at, 0, *job), (at + int(draw.expovariate(5) * SECOND), 1, *job)]
+                at = rng.randrange(length * SECOND)
+                job = (number, f"t{rng.randrange(12)}", rng.choice(["map", "decode", "booking"]), 1.0)
+                events += [(at, 0, *job), (at + int(rng.expovariate(5) * SECOND), 1, *job)]
             fleet.tell(name, sorted(events))
         fleet.net.run(30 * SECOND)
         bytes_before, messages_before = Counter(fleet.net.bytes), Counter(fleet.net.messages)
-        began = time.process_time()
+        started = time.process_time()
         fleet.net.run(10 * SECOND)
-        spent = (time.process_time() - began) / 10 / count * 1000
+        cpu_ms = (time.process_time() - started) / 10 / count * 1000
         sent = [(fleet.net.bytes[n] - bytes_before[n]) / 10 for n in sites]
         messages = [(fleet.net.messages[n] - messages_before[n]) / 10 for n in sites]
         mean, mean_m = statistics.mean(sent), statistics.mean(messages)
         print(
-            f"| {count} | {mean:.0f} | {max(sent):.0f} | {mean_m:.1f} | {max(messages):.1f} | {spent:.1f} |",
+            f"| {count} | {mean:.0f} | {max(sent):.0f} | {mean_m:.1f} | {max(messages):.1f} | {cpu_ms:.1f} |",
             flush=True,
         )
 
 
-def show(name: str) -> None:
-    """All that was told of one world."""
+def print_world(name: str) -> None:
+    """Prints the detections and the evidence of one world."""
     kind, _, seed = name.rpartition("/")
     world = generate(kind, int(seed))
     print(f"{world.tenant} in {world.partition} from {world.onset:.0f} s on: {kind}")
-    for lost in LOST:
+    for lost in LOSS_RATES:
         seen = watched(world, RULES, lost)
         print(f"{lost:.0%} lost:", "began", seen.began, "ended", seen.ended)
-        for news in seen.evidence:
-            print("   ", news.tenant, news.partition, news.evidence)
+        for update in seen.evidence:
+            print("   ", update.tenant, update.partition, update.evidence)
 
 
 def main() -> None:
@@ -118,27 +124,27 @@
     parser.add_argument("--worlds", type=int, default=44, help="of each kind")
     parser.add_argument("--first", type=int, default=0, help="seed of the first")
     parser.add_argument("--jobs", type=int, default=4, help="processes")
-    parser.add_argument("--out", type=Path, help="keeps each world's line as JSON")
+    parser.add_argument("--out", type=Path, help="file to append each world's result to, as a line of JSON")
     parser.add_argument("--size", type=int, nargs="+", help="of the fleets whose traffic is measured")
     parser.add_argument("--only", help="KIND/SEED")
-    parser.add_argument("--read", type=Path, help="prints the table of lines kept before")
+    parser.add_argument("--read", type=Path, help="file of --out to print the table of")
     options = parser.parse_args()
     if options.size:
-        sizes(options.size)
+        print_traffic(options.size)
     elif options.read:
-        table([json.loads(line) for line in options.read.read_text().splitlines()])
+        print_table([json.loads(line) for line in options.read.read_text().splitlines()])
     elif options.only:
-        show(options.only)
+        print_world(options.only)
     else:
         tasks = [(k, s) for s in range(options.first, options.first + options.worlds) for k in KINDS]
         rows = []
         with Pool(options.jobs) as pool:
-            for row in pool.imap_unordered(one, tasks):
+            for row in pool.imap_unordered(evaluate_world, tasks):
                 rows.append(row)
                 if options.out:
                     with options.out.open("a") as file:
                         file.write(json.dumps(row) + "\n")
-        table(rows)
+        print_table(rows)
 
 
 if __name__ == "__main__":
