--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -112,12 +112,12 @@
     "records_jobs": Measurement((2, 8, 32, 64), lambda size: decisions.count_decisions(1, 830, size).records),
     "moves": Measurement((2, 8, 32), _moves_without_reports),
     "cold": Measurement((8, 28, 230), _cold_shares),
-    "cold_agenda": Measurement((20, 40, 80, 119), lambda size: decisions.agenda_after_cold_lists(size, 20)),
+    "cold_agenda": Measurement((20, 40, 80, 119), lambda size: decisions.timers_after_cold_lists(size, 20)),
     "cpu_list": Measurement((104, 208, 415, 830), costs.list_cpu_ms),
     "cpu_turn": Measurement((104, 208, 415, 830), costs.turn_cost),
     "cpu_member": Measurement((8, 16, 32, 64), costs.member_cpu_ms),
     "cpu_start": Measurement((100, 200, 400), costs.start_cpu_ms),
-    "cpu_look": Measurement((8, 16, 32, 64), costs.look_cost),
+    "cpu_look": Measurement((8, 16, 32, 64), costs.starvation_check_cost),
     "rss_workers": Measurement((104, 208, 415, 830), costs.workers_resident_kb),
     "rss_members": Measurement((16, 32, 64, 115), costs.members_resident_kb),
     "rss_replicas": Measurement((250, 500, 1000, 2000), costs.replicas_resident_kb),
@@ -190,7 +190,7 @@
         result = msgspec.to_builtins(_to_plain(MEASUREMENTS[part].run(int(size))))
         print(json.dumps(result).replace("Infinity", "null"))  # infinite: it did not happen within the limit
     elif options.tables:
-        print(tables.page(json.loads(options.results.read_text())))
+        print(tables.markdown(json.loads(options.results.read_text())))
     else:
         run(options.only, options.parallel, options.results, options.missing)
 
