--- a/experiments/rollouts.py
+++ b/experiments/rollouts.py
@@ -19,7 +19,7 @@
 
 from ironbarrow.config.units import ms
 from ironbarrow.fleet.invariants import INVARIANTS
-from ironbarrow.lab.fleet.rollouts import KINDS_OF_BAD, RolloutRun
+from ironbarrow.lab.fleet.rollouts import BAD_RUNTIMES, RolloutRun
 from ironbarrow.lab.model.spec import Fault, World, load_world
 
 FOLDER = Path(__file__).parent
@@ -80,8 +80,8 @@
         world = make_world(small=False, faults=[], seconds=120)
     else:
         world, plan = make_world(small=False, faults=[]), PLAN
-    run = RolloutRun(world, seed, plan, KINDS_OF_BAD.get(kind))
-    result, outcome = run.play()
+    run = RolloutRun(world, seed, plan, BAD_RUNTIMES.get(kind))
+    result, outcome = run.run_rollout()
     figures = result.summary()["all"]
     return {
         "what": mode,
@@ -102,7 +102,7 @@
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--jobs", type=int, default=4)
     options = parser.parse_args()
-    kinds = {"bad": ["none", *KINDS_OF_BAD], "clean": [""], "service": ["none", "rollout", "deploy"]}
+    kinds = {"bad": ["none", *BAD_RUNTIMES], "clean": [""], "service": ["none", "rollout", "deploy"]}
     seeds = range(options.first, options.first + options.seeds)
     jobs = [(options.what, kind, seed) for seed in seeds for kind in kinds[options.what]]
     rows = []
--- a/experiments/starvation.py
+++ b/experiments/starvation.py
@@ -19,7 +19,14 @@
 
 from ironbarrow.fleet.file import StarvationRules
 from ironbarrow.fleet.invariants import INVARIANTS
-from ironbarrow.lab.fleet.starved import KINDS, STARVED, Fleet, generate, naive, watched
+from ironbarrow.lab.fleet.starvation import (
+    KINDS,
+    STARVED_KINDS,
+    StarvationFleet,
+    generate,
+    run_detection,
+    run_naive_rule,
+)
 from ironbarrow.runtime.clock import SECOND
 
 LOSS_RATES = (0.0, 0.2, 0.4)
@@ -35,16 +42,16 @@
     row = {"kind": kind, "seed": seed, "hours": world.length / 3600, "partitions": len(world.sites)}
     loss_rates = LOSS_RATES if seed % LOSS_SAMPLE_INTERVAL == 0 else LOSS_RATES[:1]
     for name, seen in [
-        *((str(lost), watched(world, RULES, lost)) for lost in loss_rates),
-        ("naive", naive(world)),
+        *((str(lost), run_detection(world, RULES, lost)) for lost in loss_rates),
+        ("naive", run_naive_rule(world)),
     ]:
-        found = seen.found_at(world)
+        found = seen.detected_at(world)
         row[name] = {
             "found": None if found is None else found - world.onset,
             "false": seen.false_alarms(world),
-            "bytes": seen.bytes_a_second,
-            "most": seen.bytes_most,
-            "messages": seen.messages_a_second,
+            "bytes": seen.bytes_per_second,
+            "most": seen.max_bytes_per_second,
+            "messages": seen.messages_per_second,
         }
     return row
 
@@ -59,7 +66,7 @@
             if not worlds:
                 continue
             times = sorted(row[name]["found"] for row in worlds if row[name]["found"] is not None)
-            starved = sum(row["kind"] in STARVED for row in worlds)
+            starved = sum(row["kind"] in STARVED_KINDS for row in worlds)
             false, hours = (
                 sum(row[name]["false"] for row in worlds),
                 sum(row["hours"] for row in worlds),
@@ -84,7 +91,7 @@
     for count in counts:
         rng = random.Random(count)
         sites = {f"p{i}": "abc"[i % 3] for i in range(count)}
-        fleet = Fleet(sites, {}, RULES, 1)
+        fleet = StarvationFleet(sites, {}, RULES, 1)
         length = 40
         for name in sites:
             events = []
@@ -92,7 +99,7 @@
                 at = rng.randrange(length * SECOND)
                 job = (number, f"t{rng.randrange(12)}", rng.choice(["map", "decode", "booking"]), 1.0)
                 events += [(at, 0, *job), (at + int(rng.expovariate(5) * SECOND), 1, *job)]
-            fleet.tell(name, sorted(events))
+            fleet.replay(name, sorted(events))
         fleet.net.run(30 * SECOND)
         bytes_before, messages_before = Counter(fleet.net.bytes), Counter(fleet.net.messages)
         started = time.process_time()
@@ -113,7 +120,7 @@
     world = generate(kind, int(seed))
     print(f"{world.tenant} in {world.partition} from {world.onset:.0f} s on: {kind}")
     for lost in LOSS_RATES:
-        seen = watched(world, RULES, lost)
+        seen = run_detection(world, RULES, lost)
         print(f"{lost:.0%} lost:", "began", seen.began, "ended", seen.ended)
         for update in seen.evidence:
             print("   ", update.tenant, update.partition, update.evidence)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -30,7 +30,7 @@
 )
 from ironbarrow.lab.capacity.budget import Slopes, Verdict, evaluate
 from ironbarrow.lab.capacity.fit import Fit, fit
-from ironbarrow.lab.fleet import starved
+from ironbarrow.lab.fleet import starvation
 
 MAX_CURVATURE = 0.05  # largest share of the quadratic term in the value at the largest size
 MAX_RESIDUAL = 0.05  # largest distance of a point from the line, relative to the mean
@@ -260,7 +260,7 @@
         starvation_machine,
         ("row for shard, row in rows if shard in owned_shards", "row for shard, row in rows"),
     )
-    monkeypatch.setattr(starved, "StarvationMachine", broken.StarvationMachine)
+    monkeypatch.setattr(starvation, "StarvationMachine", broken.StarvationMachine)
     found = rows_by_dispatchers()
     with pytest.raises(AssertionError):
         assert_line(found, 47, 49)
