--- a/ironbarrow/lab/live/clients.py
+++ b/ironbarrow/lab/live/clients.py
@@ -8,7 +8,7 @@
 from ironbarrow.lab.audit import Auditor
 from ironbarrow.lab.live.wire import HttpClient
 from ironbarrow.lab.model.client import Ended, Habits
-from ironbarrow.lab.model.front import Front
+from ironbarrow.lab.model.load_balancer import LoadBalancer
 from ironbarrow.lab.model.network import Network
 from ironbarrow.lab.model.spec import World
 from ironbarrow.lab.model.workload import Order
@@ -38,7 +38,7 @@
         world: World,
         habits: Habits,
         network: Network,
-        front: Front,
+        front: LoadBalancer,
         http_clients: list[HttpClient],
         audit: Auditor,
         recorder: Recorder,
@@ -102,7 +102,7 @@
     def _try(self, client: _Client, until: int) -> Coroutine[tuple[str, int]]:
         """How it went; ``unreachable``: no connection, ``broken``: it ended before an answer."""
         order = client.order
-        number = self._front.pick(order.zone)
+        number = self._front.choose(order.zone)
         yield from sleep(self._loop.now() + self._network.client_latency("consumers"))
         if number is None:
             return "unreachable", 0
--- a/ironbarrow/lab/live/run.py
+++ b/ironbarrow/lab/live/run.py
@@ -21,7 +21,7 @@
 from ironbarrow.lab.live.worker_server import Door
 from ironbarrow.lab.model.client import Habits
 from ironbarrow.lab.model.fleet import Faults, Fleet
-from ironbarrow.lab.model.front import Front
+from ironbarrow.lab.model.load_balancer import LoadBalancer
 from ironbarrow.lab.model.randomness import Streams
 from ironbarrow.lab.model.spec import Fault, Group, World
 from ironbarrow.lab.model.worker import State, Worker
@@ -96,7 +96,7 @@
         self._call_backs = [HttpClient(loop, address) for address in self._listen]
         self._addresses: list[dict[str, str]] = [{} for _ in range(count)]
         self._discovery_told: list[set[str]] = [set() for _ in range(count)]
-        self.front = Front(loop, [zone_of(world, n) for n in range(count)], world.clients.notice)
+        self.front = LoadBalancer(loop, [zone_of(world, n) for n in range(count)], world.clients.notice)
         for worker in self.fleet.workers.values():
             self._open(worker)
         self.fleet.opened = self._open
@@ -190,7 +190,7 @@
             def elsewhere(own: int = number, zone: str = zone) -> HttpClient | None:
                 """Another dispatcher, through the front of some zone, its own first."""
                 zones = [zone, *(z for z in self.world.network.zones if z != zone)]
-                picked = (self.front.pick(z) for z in zones)
+                picked = (self.front.choose(z) for z in zones)
                 other = next((n for n in picked if n is not None and n != own), None)
                 return None if other is None else self._call_backs[other]
 
@@ -218,12 +218,12 @@
 
     def _is_ready(self, number: int) -> None:
         self._ready.add(number)
-        self.front.ready(number)
+        self.front.mark_ready(number)
 
     def _has_ended(self, number: int) -> None:
         self._ready.discard(number)
         self.audit.dispatcher_died(number)
-        self.front.died(number)
+        self.front.mark_failed(number)
         if number in self._down:
             self.loop.call_at(self.loop.now() + self._down.pop(number), self.instances[number].start)
 
@@ -233,7 +233,7 @@
 
     def restart(self, number: int, down: int) -> None:
         self._down[number] = down
-        self.front.leaves(number)
+        self.front.mark_stopping(number)
         self.instances[number].stop()
 
     def reload(self, number: int) -> None:
@@ -244,14 +244,14 @@
         self.stops += 1
         self.instances[number].pause()
         self.audit.dispatcher_stopped(number)
-        self.front.died(number)
+        self.front.mark_failed(number)
         self.loop.call_at(self.loop.now() + lasts, self._goes_on, number, self.instances[number].pid)
 
     def _goes_on(self, number: int, pid: int | None) -> None:
         if pid is not None and self.instances[number].pid == pid:
             self.instances[number].go_on()
             self.audit.dispatcher_goes_on(number)
-            self.front.ready(number)
+            self.front.mark_ready(number)
 
     def end_first(self, point: str, down: int) -> None:
         """Whichever dispatcher comes to a named point first ends there by itself, and starts again so many ns
--- a/ironbarrow/lab/sim/run.py
+++ b/ironbarrow/lab/sim/run.py
@@ -15,7 +15,7 @@
 from ironbarrow.lab.model.client import Ended, Habits
 from ironbarrow.lab.model.discovery import News
 from ironbarrow.lab.model.fleet import Faults, Fleet
-from ironbarrow.lab.model.front import Front
+from ironbarrow.lab.model.load_balancer import LoadBalancer
 from ironbarrow.lab.model.randomness import Streams
 from ironbarrow.lab.model.spec import Fault, World, WorldError
 from ironbarrow.lab.model.worker import Watcher
@@ -128,7 +128,7 @@
         process.leave_discovery = run.fleet.discovery.subscribe(
             f"d{self.number}", lambda news: clock.run(self._listed, (process, news))
         )
-        run.front.ready(self.number)
+        run.load_balancer.mark_ready(self.number)
 
     def known(self) -> News:
         """The list of workers as it knows it."""
@@ -168,7 +168,7 @@
         if killed or process.host.unanswered:
             self._run.audit.dispatcher_died(self.number)
         self._run.clients_lost(self)
-        self._run.front.died(self.number)
+        self._run.load_balancer.mark_failed(self.number)
         self._run.clock.call_at(self._run.clock.now() + down, self.start)
 
     def stop(self, down: int) -> None:
@@ -177,7 +177,7 @@
         if process is None or process.stopping_at is not None:
             return
         process.stopping_at = self._run.clock.now()
-        self._run.front.leaves(self.number)
+        self._run.load_balancer.mark_stopping(self.number)
         process.host.answer_deadline = process.stopping_at + _LAST_ANSWER
         stop_time = self._run.world.dispatchers.stop_time
         self._run.clock.call_at(process.stopping_at + _CLOSE_IDLE, self._end_when_done, process, down)
@@ -232,7 +232,7 @@
         self.digest = Digest(self.clock, apart)
         self.fleet = Fleet(self.clock, world, self.streams, _Watchers(self.audit, self.digest))
         self.habits = Habits(self.clock, world, self.streams)
-        self.front = Front(
+        self.load_balancer = LoadBalancer(
             self.clock, [zone_of(world, n) for n in range(world.dispatchers.count)], world.clients.notice
         )
         self.dispatchers = [_Dispatcher(self, n) for n in range(world.dispatchers.count)]
@@ -340,7 +340,7 @@
         if client.over:
             return
         client.tries += 1
-        number = self.front.pick(client.order.zone)
+        number = self.load_balancer.choose(client.order.zone)
         delay = self.fleet.network.client_latency("consumers")
         if number is None:
             self.clock.call_at(self.clock.now() + 2 * delay, self._heard, client, "unreachable", 0)
