--- a/benchmarks/fleet20.py
+++ b/benchmarks/fleet20.py
@@ -53,11 +53,13 @@
 def world(seed: int, rate: float) -> tuple[spec.World, list[tuple[str, float]]]:
     faults, phases, length = timeline(seed)
     classes = [
-        spec.Class(name="map", share=0.7, work=spec.Draw(mean=ms(200)), wanted=ms(2000), deadline=ms(10_000)),
-        spec.Class(
+        spec.JobClass(
+            name="map", share=0.7, work=spec.Distribution(mean=ms(200)), wanted=ms(2000), deadline=ms(10_000)
+        ),
+        spec.JobClass(
             name="booking",
             share=0.3,
-            work=spec.Draw(mean=ms(1500)),
+            work=spec.Distribution(mean=ms(1500)),
             wanted=ms(5000),
             deadline=ms(15_000),
             effect="unsafe",
@@ -67,7 +69,7 @@
         name="fleet20",
         duration=ms(length),
         classes=classes,
-        workers=[spec.Group(name="p", count=12, slots=8, cores=8)],
+        workers=[spec.WorkerGroup(name="p", count=12, slots=8, cores=8)],
         arrivals=spec.Arrivals(rate=rate),
         network=spec.Network(zones=ZONES),
         dispatchers=spec.Dispatchers(count=COUNT, fleet=spec.Fleet()),
--- a/benchmarks/fleet_price.py
+++ b/benchmarks/fleet_price.py
@@ -183,13 +183,18 @@
     fleet = None
     if replicas:
         fleet = spec.convert({"ledgers": {"keepers": replicas}}, spec.Fleet, "benchmark")
-    cls = spec.Class(
-        name="map", share=4, work=spec.Draw(mean=ms(5)), wanted=ms(500), deadline=ms(5000), stretch=4.0
+    cls = spec.JobClass(
+        name="map",
+        share=4,
+        work=spec.Distribution(mean=ms(5)),
+        wanted=ms(500),
+        deadline=ms(5000),
+        stretch=4.0,
     )
-    booking = spec.Class(
+    booking = spec.JobClass(
         name="booking",
         share=1,
-        work=spec.Draw(mean=ms(5)),
+        work=spec.Distribution(mean=ms(5)),
         wanted=ms(500),
         deadline=ms(5000),
         effect="unsafe",
@@ -199,7 +204,7 @@
         name="price",
         duration=ms(1000),
         classes=[cls, booking],
-        workers=[spec.Group(name="p", count=WORKERS, slots=32, cores=32)],
+        workers=[spec.WorkerGroup(name="p", count=WORKERS, slots=32, cores=32)],
         arrivals=spec.Arrivals(rate=1.0),
         network=spec.Network(zones=["north", "middle", "south"]),
         dispatchers=spec.Dispatchers(count=count, probes=False, tells_start=False, fleet=fleet),
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -12,7 +12,15 @@
 import sys
 
 from ironbarrow.config.units import ms
-from ironbarrow.lab.model.spec import Arrivals, Class, Dispatchers, Draw, Group, Sessions, World
+from ironbarrow.lab.model.spec import (
+    Arrivals,
+    Dispatchers,
+    Distribution,
+    JobClass,
+    Sessions,
+    WorkerGroup,
+    World,
+)
 from ironbarrow.lab.sim.run import Simulation
 
 
@@ -22,19 +30,24 @@
         name="scale",
         duration=ms(1000),
         classes=[
-            Class(
-                name="map", share=3, work=Draw(mean=ms(200)), wanted=ms(1000), deadline=ms(5000), stretch=2.0
+            JobClass(
+                name="map",
+                share=3,
+                work=Distribution(mean=ms(200)),
+                wanted=ms(1000),
+                deadline=ms(5000),
+                stretch=2.0,
             ),
-            Class(
+            JobClass(
                 name="booking",
                 share=1,
-                work=Draw(mean=ms(200)),
+                work=Distribution(mean=ms(200)),
                 wanted=ms(1000),
                 deadline=ms(5000),
                 effect="unsafe",
             ),
         ],
-        workers=[Group(name="p", count=workers)],
+        workers=[WorkerGroup(name="p", count=workers)],
         arrivals=Arrivals(load=0.6),
         dispatchers=Dispatchers(count=min(dispatchers, workers), probes=False),
         sessions=Sessions(count=20 * workers),
--- a/ironbarrow/cli/lab.py
+++ b/ironbarrow/cli/lab.py
@@ -121,12 +121,12 @@
 ) -> None:
     """Count what a fleet did, by second, by worker and how each class's jobs ended and why, from logs
     written with BALANCER_TRACE=1."""
-    from ironbarrow.lab.tally import COLUMNS, LogsError
-    from ironbarrow.lab.tally import tally as count
+    from ironbarrow.lab.tally import COLUMNS, TraceLogError
+    from ironbarrow.lab.tally import count_traces as count
 
     try:
         found = count(logs, cold)
-    except LogsError as error:
+    except TraceLogError as error:
         _fail(str(error))
     if as_json:
         typer.echo(json.dumps(found.as_object()))
@@ -156,12 +156,12 @@
     as_json: Json = False,
 ) -> None:
     """Follow one job through all dispatchers' logs, with what was known of each worker it was sent to."""
-    from ironbarrow.lab.follow import follow as steps_of
-    from ironbarrow.lab.tally import LogsError
+    from ironbarrow.lab.follow import follow_job as steps_of
+    from ironbarrow.lab.tally import TraceLogError
 
     try:
         steps, torn = steps_of(logs, job)
-    except LogsError as error:
+    except TraceLogError as error:
         _fail(str(error))
     if as_json:
         rows = [{"at": s.at, "dispatcher": s.dispatcher, "what": s.what, **s.fields} for s in steps]
--- a/ironbarrow/lab/audit.py
+++ b/ironbarrow/lab/audit.py
@@ -14,11 +14,11 @@
 from enum import Enum
 
 from ironbarrow.lab.model.spec import World
-from ironbarrow.lab.model.worker import Watcher
+from ironbarrow.lab.model.worker import WorkerObserver
 from ironbarrow.runtime.clock import MS, SECOND, Clock
 
-_KEPT_EXAMPLES = 5
-_FORGET_AFTER = 60 * SECOND  # a finished job's traces are kept for late starts and call-backs
+_MAX_EXAMPLES = 5
+_RETENTION = 60 * SECOND  # a finished job's traces are kept for late starts and call-backs
 
 
 class Breach(Enum):
@@ -27,17 +27,17 @@
     NO_ANSWER = "no final answer in time"
     TWO_ANSWERS = "more than one final answer"
     SECOND_COPY = "a second copy at the same time"
-    TOO_MANY = "more attempts than allowed"
-    PAST_DRAIN = "something new past the drain grace"
-    PUSHED_OVER = "a cold worker pushed over"
-    RAN_TWICE = "a booking run twice"
-    FALSE_PROOF = "sent again though it may have run"
-    UNLAWFUL = "a refusal of what may have run"
-    INVENTED = "served with what no worker made"
+    TOO_MANY_ATTEMPTS = "more attempts than allowed"
+    SENT_AFTER_DRAIN_GRACE = "something new past the drain grace"
+    COLD_WORKER_OVERLOADED = "a cold worker pushed over"
+    UNSAFE_JOB_RAN_TWICE = "a booking run twice"
+    UNSAFE_RESEND = "sent again though it may have run"
+    UNSAFE_REFUSAL = "a refusal of what may have run"
+    UNFOUNDED_SUCCESS = "served with what no worker made"
 
 
 @dataclass(slots=True, eq=False)
-class _Try:
+class _JobRecord:
     """A job as a dispatcher took it: one try of its client's."""
 
     root: int
@@ -45,19 +45,19 @@
     dispatcher: int
     due: int  # when its answer is due at the latest, slack included
     attempts: int = 0
-    out: dict[str, int] = field(default_factory=dict)  # workers where an attempt is, and since when
+    in_flight: dict[str, int] = field(default_factory=dict)  # workers where an attempt is, and since when
     may_have_run: bool = False
     ran: bool = False
     done: bool = False
     answered: bool = False
     excused: bool = False  # its dispatcher died or was stopped, or its client left
-    heard: str = ""  # the first answer that a client heard
-    askings: int = 1
+    first_verdict: str = ""  # the first answer that a client heard
+    requests: int = 1
     answers: int = 0
 
 
 @dataclass(slots=True)
-class Verdicts:
+class AuditResult:
     """The result: how often each rule was broken, with examples, and what was looked at."""
 
     breaches: Counter[str]
@@ -69,113 +69,113 @@
         return not self.breaches
 
 
-class Auditor(Watcher):
+class Auditor(WorkerObserver):
     """Is told what happens and finds what must not."""
 
     def __init__(
-        self, clock: Clock, world: World, *, sockets_slack: int = 0, lost_after: int | None = None
+        self, clock: Clock, world: World, *, transport_slack: int = 0, lost_after: int | None = None
     ) -> None:
         """``lost_after``: how long after its time (ns) a job without an answer is lost; None: as the settings
         have it."""
         rules = world.dispatchers
         self._clock = clock
-        self._most = rules.max_attempts
-        self._slack = rules.answer_slack + sockets_slack if lost_after is None else lost_after
-        self._grace = rules.drain_grace + sockets_slack
-        self._tries: dict[str, _Try] = {}
-        self._over: deque[tuple[int, str]] = deque()
-        self._shared = world.dispatchers.fleet is not None
-        self._stopped: set[int] = set()  # dispatchers that are stopped where they are
-        self._starts: dict[int, int] = {}  # of an unsafe root
-        self._told: dict[tuple[int, str], int] = {}  # when it was told that one drains or is gone
-        self._found: Counter[str] = Counter()
+        self._max_attempts = rules.max_attempts
+        self._slack = rules.answer_slack + transport_slack if lost_after is None else lost_after
+        self._drain_grace = rules.drain_grace + transport_slack
+        self._jobs: dict[str, _JobRecord] = {}
+        self._finished: deque[tuple[int, str]] = deque()
+        self._shares_jobs = world.dispatchers.fleet is not None
+        self._paused: set[int] = set()  # dispatchers that are stopped where they are
+        self._unsafe_starts: dict[int, int] = {}  # of an unsafe root
+        self._not_up_since: dict[tuple[int, str], int] = {}  # when it was told that one drains or is gone
+        self._breaches: Counter[str] = Counter()
         self._examples: list[str] = []
-        self._looked: Counter[str] = Counter()
+        self._checked: Counter[str] = Counter()
         self.taken_by_second: Counter[int] = Counter()  # jobs and attempts, by Unix second
         self.sent_by_second: Counter[int] = Counter()
 
-    def _breach(self, what: Breach, detail: str) -> None:
-        self._found[what.value] += 1
-        if len(self._examples) < _KEPT_EXAMPLES:
+    def _report(self, what: Breach, detail: str) -> None:
+        self._breaches[what.value] += 1
+        if len(self._examples) < _MAX_EXAMPLES:
             self._examples.append(f"{what.value}: {detail} at {self._clock.now() / SECOND:.3f} s")
 
     # Dispatchers and clients
 
-    def taken(self, job_id: str, root: int, dispatcher: int, time_left: int, *, unsafe: bool) -> None:
+    def job_taken(self, job_id: str, root: int, dispatcher: int, time_left: int, *, unsafe: bool) -> None:
         """A dispatcher has the whole request."""
-        self._looked["jobs taken"] += 1
+        self._checked["jobs taken"] += 1
         self.taken_by_second[self._clock.now() // SECOND] += 1
         due = self._clock.now() + time_left + self._slack
-        job = self._tries.get(job_id) if self._shared else None
+        job = self._jobs.get(job_id) if self._shares_jobs else None
         if job is None:
-            job = self._tries[job_id] = _Try(root, unsafe, dispatcher, due)
+            job = self._jobs[job_id] = _JobRecord(root, unsafe, dispatcher, due)
         else:
-            self._looked["asked for again"] += 1
+            self._checked["asked for again"] += 1
             job.dispatcher, job.due = dispatcher, due
-            job.askings += 1
+            job.requests += 1
             job.answered = False
-        job.excused = dispatcher in self._stopped
+        job.excused = dispatcher in self._paused
 
-    def answered(self, job_id: str, verdict: str) -> None:
+    def job_answered(self, job_id: str, verdict: str) -> None:
         """A final answer left a dispatcher: served, refused or failed."""
-        job = self._tries.get(job_id)
-        if job is None or (job.excused and not self._shared):
+        job = self._jobs.get(job_id)
+        if job is None or (job.excused and not self._shares_jobs):
             return
-        self._looked["answers"] += 1
+        self._checked["answers"] += 1
         job.answers += 1
-        if job.answered or job.answers > job.askings or job.heard not in ("", verdict):
-            self._breach(Breach.TWO_ANSWERS, f"{job_id} {verdict} after {job.heard or 'nothing'}")
-        job.heard = job.heard or verdict
+        if job.answered or job.answers > job.requests or job.first_verdict not in ("", verdict):
+            self._report(Breach.TWO_ANSWERS, f"{job_id} {verdict} after {job.first_verdict or 'nothing'}")
+        job.first_verdict = job.first_verdict or verdict
         if self._clock.now() > job.due and not job.excused:
-            self._breach(Breach.NO_ANSWER, f"{job_id} late by {(self._clock.now() - job.due) / MS:.1f} ms")
+            self._report(Breach.NO_ANSWER, f"{job_id} late by {(self._clock.now() - job.due) / MS:.1f} ms")
         if verdict == "served" and not job.done:
-            self._breach(Breach.INVENTED, job_id)
+            self._report(Breach.UNFOUNDED_SUCCESS, job_id)
         if verdict == "refused" and job.unsafe and (job.ran or job.may_have_run):
-            self._breach(Breach.UNLAWFUL, job_id)
+            self._report(Breach.UNSAFE_REFUSAL, job_id)
         job.answered = True
         self._finish(job_id, job)
 
-    def left(self, job_id: str) -> None:
+    def client_left(self, job_id: str) -> None:
         """The client has gone: no answer is owed any more, unless it was due before."""
-        job = self._tries.get(job_id)
+        job = self._jobs.get(job_id)
         if job is not None and not job.answered:
             if self._clock.now() > job.due and not job.excused:
-                self._breach(Breach.NO_ANSWER, job_id)
+                self._report(Breach.NO_ANSWER, job_id)
             job.excused = True
             self._finish(job_id, job)
 
     def dispatcher_died(self, dispatcher: int) -> None:
         """What it had taken is lost with it, and its calls with their connections; but where others may
         take it over, its attempts are still out."""
-        self._stopped.discard(dispatcher)
-        for job_id, job in list(self._tries.items()):  # old traces go while it is walked
+        self._paused.discard(dispatcher)
+        for job_id, job in list(self._jobs.items()):  # old traces go while it is walked
             if job.dispatcher == dispatcher and not job.answered:
                 job.excused = True
-                if not self._shared:
-                    job.out.clear()
+                if not self._shares_jobs:
+                    job.in_flight.clear()
                 self._finish(job_id, job)
 
-    def dispatcher_stopped(self, dispatcher: int) -> None:
+    def dispatcher_paused(self, dispatcher: int) -> None:
         """It stands still, and no answer of its own can be in time."""
-        self._stopped.add(dispatcher)
-        for job in self._tries.values():
+        self._paused.add(dispatcher)
+        for job in self._jobs.values():
             if job.dispatcher == dispatcher and not job.answered:
                 job.excused = True
 
-    def dispatcher_goes_on(self, dispatcher: int) -> None:
+    def dispatcher_resumed(self, dispatcher: int) -> None:
         """It runs again."""
-        self._stopped.discard(dispatcher)
+        self._paused.discard(dispatcher)
 
-    def told(self, dispatcher: int, worker: str, *, up: bool) -> None:
+    def status_received(self, dispatcher: int, worker: str, *, up: bool) -> None:
         """A dispatcher was told of a worker's state."""
         if up:
-            self._told.pop((dispatcher, worker), None)
+            self._not_up_since.pop((dispatcher, worker), None)
         else:
-            self._told.setdefault((dispatcher, worker), self._clock.now())
+            self._not_up_since.setdefault((dispatcher, worker), self._clock.now())
 
     # Attempts
 
-    def sent(
+    def attempt_sent(
         self,
         job_id: str,
         worker: str,
@@ -187,64 +187,66 @@
         """A dispatcher began to write an attempt (``first_byte``: when, if not now; ``dispatcher``:
         which, if not the one that was asked last; ``given_up``: it has closed the connection since, so that
         the worker does not begin the job)."""
-        job = self._tries.get(job_id)
+        job = self._jobs.get(job_id)
         if job is None:
             return
-        self._looked["attempts"] += 1
+        self._checked["attempts"] += 1
         self.sent_by_second[self._clock.now() // SECOND] += 1
         at = self._clock.now() if first_byte is None else first_byte
         job.attempts += 1
-        if job.attempts > self._most:
-            self._breach(Breach.TOO_MANY, f"{job_id}: {job.attempts}")
-        if job.out and not given_up:
-            self._breach(Breach.SECOND_COPY, f"{job_id} at {worker} while at {', '.join(job.out)}")
+        if job.attempts > self._max_attempts:
+            self._report(Breach.TOO_MANY_ATTEMPTS, f"{job_id}: {job.attempts}")
+        if job.in_flight and not given_up:
+            self._report(Breach.SECOND_COPY, f"{job_id} at {worker} while at {', '.join(job.in_flight)}")
         if job.unsafe and job.may_have_run:
-            self._breach(Breach.FALSE_PROOF, f"{job_id} at {worker}")
+            self._report(Breach.UNSAFE_RESEND, f"{job_id} at {worker}")
         sender = job.dispatcher if dispatcher is None else dispatcher
-        since = self._told.get((sender, worker))
-        if since is not None and at > since + self._grace:
-            self._breach(Breach.PAST_DRAIN, f"{job_id} to {worker} after {(at - since) / MS:.0f} ms")
+        since = self._not_up_since.get((sender, worker))
+        if since is not None and at > since + self._drain_grace:
+            self._report(
+                Breach.SENT_AFTER_DRAIN_GRACE, f"{job_id} to {worker} after {(at - since) / MS:.0f} ms"
+            )
         if not given_up:
-            job.out[worker] = at
+            job.in_flight[worker] = at
 
-    def attempt_over(self, job_id: str, worker: str, *, never_ran: bool) -> None:
+    def attempt_finished(self, job_id: str, worker: str, *, never_ran: bool) -> None:
         """The dispatcher heard how it ended, or gave it up; ``never_ran``: with proof."""
-        job = self._tries.get(job_id)
-        if job is not None and job.out.pop(worker, None) is not None and not never_ran:
+        job = self._jobs.get(job_id)
+        if job is not None and job.in_flight.pop(worker, None) is not None and not never_ran:
             job.may_have_run = True
 
     # Workers
 
     def job_started(self, worker: str, job_id: str) -> None:
-        job = self._tries.get(job_id)
+        job = self._jobs.get(job_id)
         if job is None:
             return
-        self._looked["starts"] += 1
+        self._checked["starts"] += 1
         job.ran = True
         if job.unsafe:
-            if job.heard == "refused":
-                self._breach(Breach.UNLAWFUL, f"{job_id} started at {worker} after its refusal")
-            starts = self._starts[job.root] = self._starts.get(job.root, 0) + 1
+            if job.first_verdict == "refused":
+                self._report(Breach.UNSAFE_REFUSAL, f"{job_id} started at {worker} after its refusal")
+            starts = self._unsafe_starts[job.root] = self._unsafe_starts.get(job.root, 0) + 1
             if starts > 1:
-                self._breach(Breach.RAN_TWICE, f"{job_id} (order {job.root}) at {worker}")
+                self._report(Breach.UNSAFE_JOB_RAN_TWICE, f"{job_id} (order {job.root}) at {worker}")
 
-    def job_ended(self, worker: str, job_id: str, how: str) -> None:
-        job = self._tries.get(job_id)
-        if job is not None and how == "done":
+    def job_ended(self, worker: str, job_id: str, outcome: str) -> None:
+        job = self._jobs.get(job_id)
+        if job is not None and outcome == "done":
             job.done = True
 
-    def fell(self, worker: str) -> None:
-        self._breach(Breach.PUSHED_OVER, worker)
+    def collapsed(self, worker: str) -> None:
+        self._report(Breach.COLD_WORKER_OVERLOADED, worker)
 
     # Its end
 
-    def _finish(self, job_id: str, job: _Try) -> None:
+    def _finish(self, job_id: str, job: _JobRecord) -> None:
         now = self._clock.now()
-        self._over.append((now, job_id))
-        while self._over[0][0] < now - _FORGET_AFTER:  # bounded: old traces go
-            self._tries.pop(self._over.popleft()[1], None)
+        self._finished.append((now, job_id))
+        while self._finished[0][0] < now - _RETENTION:  # bounded: old traces go
+            self._jobs.pop(self._finished.popleft()[1], None)
 
-    def loads(self, started_at: int) -> dict[str, list[int]]:
+    def rates_by_second(self, started_at: int) -> dict[str, list[int]]:
         """Jobs taken and attempts sent in each second from ``started_at`` (ns) on."""
         first = started_at // SECOND
         last = max([first, *self.taken_by_second, *self.sent_by_second])
@@ -254,10 +256,10 @@
             "attempts_per_s": [self.sent_by_second[second] for second in seconds],
         }
 
-    def finish(self) -> Verdicts:
+    def finish(self) -> AuditResult:
         """Judges what is still open now."""
         now = self._clock.now()
-        for job_id, job in self._tries.items():
+        for job_id, job in self._jobs.items():
             if not job.answered and not job.excused and now > job.due:
-                self._breach(Breach.NO_ANSWER, job_id)
-        return Verdicts(self._found, self._examples, self._looked)
+                self._report(Breach.NO_ANSWER, job_id)
+        return AuditResult(self._breaches, self._examples, self._checked)
--- a/ironbarrow/lab/capacity/costs.py
+++ b/ironbarrow/lab/capacity/costs.py
@@ -22,7 +22,7 @@
 from ironbarrow.lab.capacity.lists import addresses_of, live_weight, worker_entries
 from ironbarrow.lab.capacity.members import MemberFleet
 from ironbarrow.lab.fleet.losses import LedgerFleet
-from ironbarrow.lab.model.discovery import Entry, News
+from ironbarrow.lab.model.discovery import Entry, ListUpdate
 from ironbarrow.lab.settings import list_object
 from ironbarrow.runtime.clock import MS, SECOND
 from ironbarrow.runtime.loop import Loop
@@ -60,12 +60,12 @@
     """A whole list and changes of all weights, as the discovery service sends them."""
     entries = worker_entries(size)
     addresses = addresses_of(entries)
-    news = [News(1, True, tuple(entries))]
+    news = [ListUpdate(1, True, tuple(entries))]
     for turn in range(1, turns + 1):
         changed = tuple(
             Entry(e.name, e.zone, e.kind, live_weight(n, turn), since=e.since) for n, e in enumerate(entries)
         )
-        news.append(News(turn + 1, False, changed))
+        news.append(ListUpdate(turn + 1, False, changed))
     return [json.dumps(list_object(one, addresses)).encode() + b"\n" for one in news]
 
 
--- a/ironbarrow/lab/capacity/lists.py
+++ b/ironbarrow/lab/capacity/lists.py
@@ -9,7 +9,7 @@
 from ironbarrow.lab.capacity.counting import zone_of
 from ironbarrow.lab.live.discovery_server import Agent
 from ironbarrow.lab.model import spec
-from ironbarrow.lab.model.discovery import Discovery, Entry, News
+from ironbarrow.lab.model.discovery import Discovery, Entry, ListUpdate
 from ironbarrow.lab.model.randomness import Streams
 from ironbarrow.runtime.loop import SECOND, Loop
 
@@ -28,7 +28,7 @@
         """Whether a client follows it."""
         return bool(self._watches)
 
-    def _line(self, news: News) -> bytes:
+    def _line(self, news: ListUpdate) -> bytes:
         line = super()._line(news)
         self.lines.append(len(line))
         return line
@@ -85,7 +85,7 @@
         for turn in range(1, turns + 1):
             before = len(told)
             weights = {e.name: live_weight(n, turn) for n, e in enumerate(entries)}
-            model.weigh(weights)
+            model.set_weights(weights)
             _run_until(loop, lambda before=before: len(told) > before)  # type: ignore[misc]
         before = len(told)
         model.change(replace(model.entries[entries[0].name], status="draining"))
--- a/ironbarrow/lab/experiment/spec.py
+++ b/ironbarrow/lab/experiment/spec.py
@@ -14,14 +14,14 @@
 from msgspec import Meta
 
 from ironbarrow.lab.model.spec import (
-    Part,
+    Table,
     World,
     WorldError,
     convert,
-    plain,
-    present_path,
+    current_path,
     read_toml,
-    with_present_names,
+    to_plain_data,
+    with_current_names,
 )
 
 ROOT = Path(__file__).resolve().parents[3]
@@ -31,7 +31,7 @@
 _LIVE_SOURCES = ("heathway", "ironbarrow", "ironbarrow/lab")
 
 
-class Variant(Part, frozen=True):
+class Variant(Table, frozen=True):
     """One way to run each cell: other decisions (a git revision or a module's path) or other settings."""
 
     name: str
@@ -40,7 +40,7 @@
     set: dict[str, Any] = msgspec.field(default_factory=dict)  # keys of the world, with dots
 
 
-class Experiment(Part, frozen=True):
+class Experiment(Table, frozen=True):
     """A sweep. Axes and ``set`` name keys of the world by path, such as "arrivals.load"."""
 
     name: str
@@ -86,7 +86,7 @@
     if len(set(names)) != len(names):
         raise WorldError(f"{path}: `variants`: expected names that differ, got {names}")
     world_path = path.parent / experiment.world
-    base = with_present_names(read_toml(world_path), str(world_path))
+    base = with_current_names(read_toml(world_path), str(world_path))
     live = experiment.mode == "live"
     if fleet and not live:
         raise WorldError(f"{path}: `mode`: expected 'live' with --fleet, got {experiment.mode!r}")
@@ -110,7 +110,7 @@
             for key, value in (*variant.set.items(), *axes.items()):
                 _set(raw, key, value, str(path))
             where = f"{path}: variant {variant.name!r}, {axes or 'no axes'}: {world_path.name}"
-            world = plain(convert(raw, World, where))
+            world = to_plain_data(convert(raw, World, where))
             for seed in seeds:
                 words = json.dumps([world, seed, experiment.mode, sources], sort_keys=True)
                 name = blake2b(words.encode(), digest_size=10).hexdigest()
@@ -120,7 +120,7 @@
 
 def _set(raw: dict[str, Any], key: str, value: Any, path: str) -> None:
     """Sets a key by its path; a part that is a list is searched by its entries' names."""
-    *way, last = present_path(key).split(".")
+    *way, last = current_path(key).split(".")
     place: Any = raw
     for part in way:
         if isinstance(place, list):
--- a/ironbarrow/lab/fleet/files.py
+++ b/ironbarrow/lab/fleet/files.py
@@ -3,7 +3,7 @@
 import json
 from typing import Any
 
-from ironbarrow.lab.model.spec import Fleet, plain
+from ironbarrow.lab.model.spec import Fleet, to_plain_data
 
 
 def fleet_file(rules: Fleet, listen: str, site: str, others: dict[str, str]) -> str:
@@ -14,7 +14,7 @@
         "site": site,
         "seeds": [f"{name}={address}" for name, address in sorted(others.items())],
     }
-    tables = {name: table for name, table in plain(rules).items() if table is not None}
+    tables = {name: table for name, table in to_plain_data(rules).items() if table is not None}
     tables["routes"] = dict(others)
     lines = [f"{key} = {json.dumps(value)}" for key, value in top.items()]
     for name, table in tables.items():
--- a/ironbarrow/lab/fleet/rollouts.py
+++ b/ironbarrow/lab/fleet/rollouts.py
@@ -26,12 +26,12 @@
 from ironbarrow.lab.fleet.agents import AgentMachine
 from ironbarrow.lab.fleet.field import KINDS
 from ironbarrow.lab.fleet.net import Seat, SimulatedNet
-from ironbarrow.lab.model.fleet import Faults
+from ironbarrow.lab.model.fleet import FaultSchedule
 from ironbarrow.lab.model.spec import Fault, World
-from ironbarrow.lab.model.worker import Held, Need, Reply, Report, State, Tell, Worker
+from ironbarrow.lab.model.worker import Admission, Demand, HeldJob, Report, State, StateListener, Worker
 from ironbarrow.lab.result import Result
 from ironbarrow.lab.settings import zone_of
-from ironbarrow.lab.sim.back import SimulatedBack, _Way
+from ironbarrow.lab.sim.back import SimulatedBack, _Exchange
 from ironbarrow.lab.sim.clock import ProcessClock
 from ironbarrow.lab.sim.run import Simulation
 from ironbarrow.runtime.clock import MS, SECOND
@@ -96,24 +96,24 @@
         if runtime.falls:
             self._cold = msgspec.structs.replace(self._cold, fall_multiple=0.2)
 
-    def arrive(self, job_id: str, need: Need, tell: Tell) -> Reply:
-        self._usual[job_id] = need.usual
+    def arrive(self, job_id: str, need: Demand, tell: StateListener) -> Admission:
+        self._usual[job_id] = need.class_mean
         return super().arrive(job_id, need, tell)
 
-    def _begin(self, job: Held) -> None:
+    def _start_job(self, job: HeldJob) -> None:
         runtime = self.runtime
         if runtime.failing:
             struck = self.failing_usual in (None, self._usual.get(job.id))
             late = self._clock.now() - self.started_at >= runtime.failing_after
-            self.trouble.failing = runtime.failing if struck and late else 0.0
-        super()._begin(job)
+            self.impairment.failure_share = runtime.failing if struck and late else 0.0
+        super()._start_job(job)
 
-    def _drop(self, job: Held) -> None:
-        before = self.slots_taken
-        super()._drop(job)
+    def _remove(self, job: HeldJob) -> None:
+        before = self.used_slots
+        super()._remove(job)
         self._usual.pop(job.id, None)
-        if self.runtime.leaks and self.slots_taken < before and self._stream.chance(_LEAK):
-            self.slots_taken = before
+        if self.runtime.leaks and self.used_slots < before and self._stream.chance(_LEAK):
+            self.used_slots = before
 
 
 class WatchedBack(SimulatedBack):
@@ -125,20 +125,20 @@
     def watch(self, signals: Signals) -> None:
         self.signals, self._noted = signals, {}
 
-    def _write(self, attempt: Attempt, way: _Way) -> None:
+    def _write(self, attempt: Attempt, way: _Exchange) -> None:
         super()._write(attempt, way)
-        if attempt.written and not way.over and attempt not in self._noted:
+        if attempt.written and not way.closed and attempt not in self._noted:
             job = attempt.job.arrival
             since = way.worker.started_at // MS * MS
-            usual = self._needs[attempt.job.payload.id].usual
+            usual = self._demands[attempt.job.payload.id].class_mean
             self._noted[attempt] = (attempt.worker, since, job.job_class, job.slots, 0)
             self.signals.sent(attempt.worker, since, job.job_class, int(usual), job.slots)
 
-    def _told(self, attempt: Attempt, way: _Way, state: str, report: Report | None) -> None:
+    def _state_received(self, attempt: Attempt, way: _Exchange, state: str, report: Report | None) -> None:
         noted = self._noted.get(attempt)
         if state == "started" and noted is not None:
             self._noted[attempt] = (*noted[:4], self._clock.now())
-        super()._told(attempt, way, state, report)
+        super()._state_received(attempt, way, state, report)
 
     def _end(
         self, attempt: Attempt, ending: Ending, report: api.LoadReport | None = None, result: bytes = b""
@@ -184,9 +184,9 @@
         if bad.only_zone not in ("", old.zone):
             bad = Runtime()
         self.listed_as = f"{self.target.name}~{number}"
-        fleet.make = NewWorker
+        fleet.worker_class = NewWorker
         made = fleet.add(old.group, self.listed_as, old.zone, run.clock.now())
-        fleet.make = Worker
+        fleet.worker_class = Worker
         assert isinstance(made, NewWorker)
         usual = next((float(c.work.mean) for c in run.world.classes if c.name == bad.failing_class), None)
         made.install(bad, usual)
@@ -203,13 +203,13 @@
         return self.listed_as, self._run.fleet.workers[self.listed_as].started_at // MS * MS
 
 
-class CurrentFaults(Faults):
+class CurrentFaults(FaultSchedule):
     """Faults that strike whatever process a machine has at the time, the new runtime's too."""
 
     boxes: dict[str, WorkerBox]
 
-    def _play(self, fault: Fault, who: list[str]) -> None:
-        super()._play(fault, [self.boxes[name].listed_as for name in who])
+    def _inject(self, fault: Fault, who: list[str]) -> None:
+        super()._inject(fault, [self.boxes[name].listed_as for name in who])
 
 
 @dataclass(slots=True)
@@ -270,7 +270,9 @@
 
     def make_back(self, number: int, clock: ProcessClock, host: Host) -> SimulatedBack:
         zone = zone_of(self.world, number)
-        back = WatchedBack(clock, host, self.fleet, self.audit, f"d{number}", zone, self.habits.needs)
+        back = WatchedBack(
+            clock, host, self.fleet, self.audit, f"d{number}", zone, self.client_behaviour.demands
+        )
         self.signals[number] = Signals(zone)
         back.watch(self.signals[number])
         machine = self.machines.get(f"d{number}")
--- a/ironbarrow/lab/follow.py
+++ b/ironbarrow/lab/follow.py
@@ -9,9 +9,19 @@
 from pathlib import Path
 from typing import Any
 
-from ironbarrow.lab.tally import SECOND, LogsError, read_lines, trace_files
-
-_SHOWN = ("attempt", "worker", "outcome", "kind", "elapsed", "verdict", "retry_after", "job_class", "slots")
+from ironbarrow.lab.tally import SECOND, TraceLogError, read_lines, trace_files
+
+_SHOWN_FIELDS = (
+    "attempt",
+    "worker",
+    "outcome",
+    "kind",
+    "elapsed",
+    "verdict",
+    "retry_after",
+    "job_class",
+    "slots",
+)
 _MS = 1_000_000
 
 
@@ -26,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class _Told:
+class _KnownWorker:
     """What one dispatcher had been told of a worker. Times in ns."""
 
     state: str = "not listed"
@@ -44,53 +54,53 @@
         return found
 
 
-def _learn(told: dict[str, _Told], line: dict[str, Any]) -> None:
+def _update_known(workers: dict[str, _KnownWorker], line: dict[str, Any]) -> None:
     if line.get("what") == "WorkerList":
         if line["kind"] not in ("changes", "lost"):  # a whole list: who is not in it is gone
-            for known in told.values():
+            for known in workers.values():
                 known.state = "gone"
         for name, state, weight, _ in line["lines"]:
-            known = told.setdefault(name, _Told())
+            known = workers.setdefault(name, _KnownWorker())
             known.state, known.weight, known.listed_at = state, weight, line["at"]
     elif line.get("report") and line.get("worker"):
-        known = told.setdefault(line["worker"], _Told())
+        known = workers.setdefault(line["worker"], _KnownWorker())
         known.report, known.reported_at = line["report"], line["at"]
 
 
 def _steps(dispatcher: str, lines: list[dict[str, Any]], job_id: str, start: int) -> Iterator[Step]:
-    told: dict[str, _Told] = {}
+    workers: dict[str, _KnownWorker] = {}
     number: int | None = None
     for line in lines:
         if line.get("event") == "settings":  # a new process: its numbers begin anew, and it knows nothing
-            told, number = {}, None
-        _learn(told, line)
+            workers, number = {}, None
+        _update_known(workers, line)
         if line.get("event") == "taken" and line["id"] == job_id:
             number = line["job"]
         if number is None or line.get("job") != number:
             continue
-        fields = {name: line[name] for name in _SHOWN if line.get(name) is not None}
+        fields = {name: line[name] for name in _SHOWN_FIELDS if line.get(name) is not None}
         if "elapsed" in fields:
             fields["elapsed_ms"] = fields.pop("elapsed") // _MS
         if line.get("what") == "Send":
-            fields |= told.get(line["worker"], _Told()).as_fields(line["at"])
+            fields |= workers.get(line["worker"], _KnownWorker()).as_fields(line["at"])
         what = line.get("what") or line["event"]
         yield Step((line["at"] - start) / SECOND, dispatcher, what, fields)
 
 
-def follow(folder: Path, job_id: str) -> tuple[list[Step], list[Path]]:
-    """All lines of a folder's traces that tell of a job, by time, and the logs whose torn last line was
-    passed over; a LogsError says what is wrong with the logs, or that none has the id."""
+def follow_job(folder: Path, job_id: str) -> tuple[list[Step], list[Path]]:
+    """All lines of a folder's traces that tell of a job, by time, and the logs whose truncated last line was
+    passed over; a TraceLogError says what is wrong with the logs, or that none has the id."""
     found: dict[Path, list[dict[str, Any]]] = {}
-    torn: list[Path] = []
+    truncated: list[Path] = []
     for path in trace_files(folder):
-        found[path] = list(read_lines(path, torn))
+        found[path] = list(read_lines(path, truncated))
     start = min((line["at"] for lines in found.values() for line in lines), default=0)
     steps: list[Step] = []
     for path, lines in found.items():
         try:
             steps.extend(_steps(path.stem, lines, job_id, start))
         except (KeyError, TypeError, ValueError) as error:
-            raise LogsError(f"{path}: a line lacks what a trace has: {error!r}") from None
+            raise TraceLogError(f"{path}: a line lacks what a trace has: {error!r}") from None
     if not steps:
-        raise LogsError(f"{folder}: no job with the id {job_id} in {len(found)} logs")
-    return sorted(steps, key=lambda step: step.at), torn
+        raise TraceLogError(f"{folder}: no job with the id {job_id} in {len(found)} logs")
+    return sorted(steps, key=lambda step: step.at), truncated
--- a/ironbarrow/lab/live/clients.py
+++ b/ironbarrow/lab/live/clients.py
@@ -7,11 +7,11 @@
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.lab.audit import Auditor
 from ironbarrow.lab.live.wire import HttpClient
-from ironbarrow.lab.model.client import Ended, Habits
+from ironbarrow.lab.model.client import ClientBehaviour, Finished
 from ironbarrow.lab.model.load_balancer import LoadBalancer
 from ironbarrow.lab.model.network import Network
 from ironbarrow.lab.model.spec import World
-from ironbarrow.lab.model.workload import Order
+from ironbarrow.lab.model.workload import ClientRequest
 from ironbarrow.lab.record import Recorder
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine, Loop, sleep
 from ironbarrow.wire.http import Message
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Client:
-    order: Order
+    order: ClientRequest
     tries: int = 0  # jobs that it asked for, each under an id of its own
     askings: int = 0  # of the present one
     late_by: int = 0
@@ -36,7 +36,7 @@
         self,
         loop: Loop,
         world: World,
-        habits: Habits,
+        habits: ClientBehaviour,
         network: Network,
         front: LoadBalancer,
         http_clients: list[HttpClient],
@@ -49,10 +49,10 @@
         self.wrong_results = 0
         self.refused_connections = 0
         self.came_again = 0  # under the same id
-        self.without_dispatcher: list[Order] = []  # no answer for want of one
-        self.heard: Callable[[Order, str], None] | None = None  # told of each end
+        self.without_dispatcher: list[ClientRequest] = []  # no answer for want of one
+        self.heard: Callable[[ClientRequest, str], None] | None = None  # told of each end
 
-    def take(self, order: Order) -> None:
+    def take(self, order: ClientRequest) -> None:
         """An order is due now."""
         self.open += 1
         self._loop.spawn(self._serve(_Client(order)))
@@ -82,7 +82,7 @@
             step = self._habits.next_step(
                 order, "failed" if how == "broken" else how, client.tries, retry_after
             )
-            if isinstance(step, Ended):
+            if isinstance(step, Finished):
                 if lost:
                     self.without_dispatcher.append(order)
                 return step.outcome
@@ -93,7 +93,7 @@
         while True:
             client.askings += 1
             how, retry_after = yield from self._try(client, until)
-            again = self._habits.comes_again(client.order, how) if how in _NOBODY_THERE else None
+            again = self._habits.retry_same_id(client.order, how) if how in _NOBODY_THERE else None
             if again is None:
                 return how, retry_after
             self.came_again += 1
@@ -107,7 +107,7 @@
         if number is None:
             return "unreachable", 0
         cls = self._world.classes[order.cls]
-        job_id = self._habits.new_try(order, client.tries)
+        job_id = self._habits.start_try(order, client.tries)
         left = (order.due + order.deadline - self._loop.now()) // MS
         if left < 1:
             return "no answer", 0
@@ -123,7 +123,7 @@
             client.late_by = max(0, self._loop.now() - due)
 
         def sent() -> None:
-            self._audit.taken(job_id, order.number, number, left * MS, unsafe=cls.effect == "unsafe")
+            self._audit.job_taken(job_id, order.number, number, left * MS, unsafe=cls.effect == "unsafe")
 
         target = f"/{cls.name}/{order.number}"
         if order.patience >= order.deadline:
@@ -134,9 +134,9 @@
                 "POST", target, headers, _BODY, until, sent
             )
         except ConnectionEndedError as error:
-            self._audit.left(job_id)
+            self._audit.client_left(job_id)
             if error.ending is Ending.STALLED:
-                return self._habits.gives_up(order), 0
+                return self._habits.timeout_outcome(order), 0
             if error.ending in (Ending.CONNECT_REFUSED, Ending.CONNECT_TIMED_OUT):
                 self.refused_connections += 1
                 return "unreachable", 0
@@ -148,13 +148,13 @@
         if answer.status == 200:
             if answer.body != f"done {job_id}".encode():
                 self.wrong_results += 1
-            self._audit.answered(job_id, "served")
+            self._audit.job_answered(job_id, "served")
             return "served", 0
         if answer.status in (429, 503):
-            self._audit.answered(job_id, "refused")
+            self._audit.job_answered(job_id, "refused")
             try:
                 return "refused", int(float(answer.headers.get("retry-after", "0")) * SECOND)
             except ValueError:
                 return "refused", 0
-        self._audit.answered(job_id, "failed")
+        self._audit.job_answered(job_id, "failed")
         return "failed", 0
--- a/ironbarrow/lab/live/discovery_server.py
+++ b/ironbarrow/lab/live/discovery_server.py
@@ -5,7 +5,7 @@
 from urllib.parse import parse_qs
 
 from ironbarrow.lab.live.wire import Server, next_message
-from ironbarrow.lab.model.discovery import Discovery, News
+from ironbarrow.lab.model.discovery import Discovery, ListUpdate
 from ironbarrow.lab.settings import list_object
 from ironbarrow.runtime.loop import SECOND, Coroutine, Loop, Task, sleep
 from ironbarrow.runtime.sockets import Address, listen
@@ -30,8 +30,8 @@
     ) -> None:
         self._loop, self._addresses, self._told = loop, addresses, told
         self._host = address[0]
-        self._known = discovery.whole()
-        self._news: list[News] = []
+        self._known = discovery.full_list()
+        self._news: list[ListUpdate] = []
         self._watches: dict[Task, None] = {}
         listener = listen(address)
         self.address: Address = listener.getsockname()[:2]
@@ -54,18 +54,20 @@
         """The list as it has it now, in the discovery service's form."""
         return list_object(self._known, self._addresses)
 
-    def _hear(self, news: News) -> None:
-        if not news.whole:
+    def _hear(self, news: ListUpdate) -> None:
+        if not news.is_full:
             kept = {e.name: e for e in self._known.entries}
             kept.update((e.name, e) for e in news.entries)
-            self._known = News(news.version, True, tuple(e for e in kept.values() if e.status != "removed"))
+            self._known = ListUpdate(
+                news.version, True, tuple(e for e in kept.values() if e.status != "removed")
+            )
         elif news.version >= self._known.version:
             self._known = news
         self._news.append(news)
         for task in list(self._watches):
             task.wake()
 
-    def _line(self, news: News) -> bytes:
+    def _line(self, news: ListUpdate) -> bytes:
         for entry in news.entries:
             self._told(entry.name, entry.status == "up")
         return json.dumps(list_object(news, self._addresses)).encode() + b"\n"
--- a/ironbarrow/lab/live/run.py
+++ b/ironbarrow/lab/live/run.py
@@ -19,14 +19,14 @@
 from ironbarrow.lab.live.processes import Instance, Program
 from ironbarrow.lab.live.wire import HttpClient
 from ironbarrow.lab.live.worker_server import Door
-from ironbarrow.lab.model.client import Habits
-from ironbarrow.lab.model.fleet import Faults, Fleet
+from ironbarrow.lab.model.client import ClientBehaviour
+from ironbarrow.lab.model.fleet import FaultSchedule, Fleet
 from ironbarrow.lab.model.load_balancer import LoadBalancer
 from ironbarrow.lab.model.randomness import Streams
-from ironbarrow.lab.model.spec import Fault, Group, World
+from ironbarrow.lab.model.spec import Fault, WorkerGroup, World
 from ironbarrow.lab.model.worker import State, Worker
 from ironbarrow.lab.model.workload import Workload
-from ironbarrow.lab.record import Recorder, Sampler
+from ironbarrow.lab.record import LoadSamples, Recorder
 from ironbarrow.lab.result import Result
 from ironbarrow.lab.settings import zone_of
 from ironbarrow.runtime.clock import MS, SECOND
@@ -51,7 +51,7 @@
     opened: Callable[[Worker], None] = staticmethod(lambda worker: None)
     ended: Callable[[str], None] = staticmethod(lambda name: None)
 
-    def add(self, group: Group, name: str, zone: str, started_at: int = 0) -> Worker:
+    def add(self, group: WorkerGroup, name: str, zone: str, started_at: int = 0) -> Worker:
         made = super().add(group, name, zone, started_at)
         self.opened(made)
         return made
@@ -86,9 +86,9 @@
         self.loop = loop = Loop(self._failed)
         self.errors = 0
         self.streams = Streams(seed)
-        self.audit = Auditor(loop, world, sockets_slack=SOCKETS_SLACK, lost_after=self.lost_after)
+        self.audit = Auditor(loop, world, transport_slack=SOCKETS_SLACK, lost_after=self.lost_after)
         self.fleet = _LiveFleet(loop, world, self.streams, self.audit)
-        self._habits = Habits(loop, world, self.streams)
+        self._habits = ClientBehaviour(loop, world, self.streams)
         self._doors: dict[str, list[Door]] = {}
         count = world.dispatchers.count
         self._loopback = LoopbackNetwork.reserve(count)
@@ -102,7 +102,7 @@
         self.fleet.opened = self._open
         self.fleet.ended = self._shut
         self.recorder = Recorder(world)
-        self.samples = Sampler(_SAMPLE_STEP, [], [])
+        self.samples = LoadSamples(_SAMPLE_STEP, [], [])
         http_clients = [HttpClient(loop, address) for address in self._listen]
         self.clients = Clients(
             loop,
@@ -115,7 +115,7 @@
             self.recorder,
         )
         self.workload = Workload(loop, world, self.streams, self.clients.take)
-        self.faults = Faults(loop, world, self.fleet, self.workload, self, self.streams)
+        self.faults = FaultSchedule(loop, world, self.fleet, self.workload, self, self.streams)
         self._down: dict[int, int] = {}
         self._ready: set[int] = set()
         self._agents: list[Agent] = []
@@ -156,7 +156,7 @@
 
     def _add_instance(self, number: int) -> None:
         def told(name: str, up: bool) -> None:
-            self.audit.told(number, name, up=up)
+            self.audit.status_received(number, name, up=up)
 
         agent = Agent(
             self.loop,
@@ -200,7 +200,7 @@
                 self._loopback.party(number),
                 zone=zone,
                 call_back=client,
-                needs=self._habits.needs,
+                needs=self._habits.demands,
                 audit=self.audit,
                 network=self.fleet.network,
                 number=number,
@@ -243,14 +243,14 @@
         """Its connections stay, and say nothing; the front notices as it notices a dead one."""
         self.stops += 1
         self.instances[number].pause()
-        self.audit.dispatcher_stopped(number)
+        self.audit.dispatcher_paused(number)
         self.front.mark_failed(number)
         self.loop.call_at(self.loop.now() + lasts, self._goes_on, number, self.instances[number].pid)
 
     def _goes_on(self, number: int, pid: int | None) -> None:
         if pid is not None and self.instances[number].pid == pid:
             self.instances[number].go_on()
-            self.audit.dispatcher_goes_on(number)
+            self.audit.dispatcher_resumed(number)
             self.front.mark_ready(number)
 
     def end_first(self, point: str, down: int) -> None:
@@ -277,7 +277,7 @@
             yield from sleep(self.loop.now() + _SEES_STOP)
         self.pause(number, lasts)
 
-    def trouble_links(self, fault: Fault) -> None:
+    def impair_links(self, fault: Fault) -> None:
         pairs = self.pairs_of(fault)
         cut = fault.kind == "links cut"
         self.links.set(pairs, Trouble(fault.delay, fault.jitter, fault.lost, fault.doubled, cut))
@@ -362,7 +362,7 @@
             self._turn(50 * MS)
             if self._progress is not None and self.loop.now() > told + 200 * MS:
                 told = self.loop.now()
-                self._progress((told - started_at) / SECOND, self.workload.made, len(self.recorder))
+                self._progress((told - started_at) / SECOND, self.workload.created, len(self.recorder))
         span = (self.loop.now() - started_at) / SECOND
         rows = self.recorder.columns()
         late = float(np.percentile(rows["late_by"], 99)) if len(rows["late_by"]) else 0.0
@@ -373,7 +373,7 @@
             "live",
             rows,
             self.audit.finish(),
-            self.faults.played,
+            self.faults.injected,
             self.samples,
             0.0,
             span,
@@ -395,7 +395,7 @@
                 },
                 "fleet": self._fleet_notes(),
                 "folder": str(self._folder),
-                **self.audit.loads(started_at),
+                **self.audit.rates_by_second(started_at),
             },
         )
 
--- a/ironbarrow/lab/live/worker_server.py
+++ b/ironbarrow/lab/live/worker_server.py
@@ -9,7 +9,7 @@
 from ironbarrow.lab.audit import Auditor
 from ironbarrow.lab.live.wire import HttpClient, Server, next_message
 from ironbarrow.lab.model.network import Network
-from ironbarrow.lab.model.worker import Need, Reply, Report, State, Worker
+from ironbarrow.lab.model.worker import Admission, Demand, Report, State, Worker
 from ironbarrow.runtime.loop import HANGUP, MS, SECOND, Coroutine, Loop, Task, Wait, sleep
 from ironbarrow.runtime.sockets import Address, listen
 from ironbarrow.transport.http import Connection
@@ -46,7 +46,7 @@
         *,
         zone: str,
         call_back: HttpClient,
-        needs: Mapping[str, Need],
+        needs: Mapping[str, Demand],
         audit: Auditor,
         network: Network,
         number: int = 0,
@@ -112,7 +112,7 @@
                 status, headers, body = answered
             else:
                 status, headers, body = 404, [], b""
-            while self._worker.trouble.hung:  # it says nothing while it hangs
+            while self._worker.impairment.hung:  # it says nothing while it hangs
                 yield from sleep(self._loop.now() + 20 * MS)
             yield from self._way()
             if status == _ACCEPTED and connection.peer_hung_up():
@@ -130,7 +130,7 @@
 
     def _give_up(self, job_id: str) -> None:
         """Its dispatcher has given the job up."""
-        self._audit.attempt_over(job_id, self._worker.name, never_ran=False)
+        self._audit.attempt_finished(job_id, self._worker.name, never_ran=False)
         self._worker.cancel(job_id)
 
     def _job(
@@ -142,7 +142,7 @@
             return (404 if not job_id else 400), [], b""
         name = self._worker.name
         given_up = connection.peer_hung_up()  # closed before the 202, though this process sees it only now
-        self._audit.sent(job_id, name, first, self._number, given_up=given_up)
+        self._audit.attempt_sent(job_id, name, first, self._number, given_up=given_up)
         if given_up:
             return None
         taken = self._taken[job_id] = _Taken(job_id)
@@ -151,7 +151,7 @@
             self._tell(taken, state, report)
 
         reply = self._worker.arrive(job_id, need, tell)
-        if reply is Reply.NOTHING:
+        if reply is Admission.NO_REPLY:
             taken.waiter = self._loop.current
             while not taken.late_reply:
                 woken = yield Wait(connection.sock.fileno(), HANGUP, self._loop.now() + 600 * SECOND)
@@ -160,15 +160,15 @@
                     self._give_up(job_id)
                     return None
             taken.waiter = None
-            reply = Reply.TAKEN if taken.late_reply == "accepted" else Reply.FULL
-        if reply is Reply.TAKEN:
+            reply = Admission.ACCEPTED if taken.late_reply == "accepted" else Admission.FULL
+        if reply is Admission.ACCEPTED:
             return _ACCEPTED, [], b""
         self._taken.pop(job_id, None)
-        if reply is Reply.FULL:
-            self._audit.attempt_over(job_id, name, never_ran=True)
+        if reply is Admission.FULL:
+            self._audit.attempt_finished(job_id, name, never_ran=True)
             load = ("X-Server-Load", _header(self._worker.report()))
             return 503, [("X-Not-Processed", "1"), load], b""
-        self._audit.attempt_over(job_id, name, never_ran=False)
+        self._audit.attempt_finished(job_id, name, never_ran=False)
         return None
 
     # Call-backs
@@ -180,7 +180,7 @@
                 taken.waiter.wake()
             return
         if state in ("done", "failed", "returned", "lost"):
-            self._audit.attempt_over(taken.job_id, self._worker.name, never_ran=state == "returned")
+            self._audit.attempt_finished(taken.job_id, self._worker.name, never_ran=state == "returned")
         taken.states.append((state, report))
         if not taken.telling:
             taken.telling = True
--- a/ironbarrow/lab/model/fleet.py
+++ b/ironbarrow/lab/model/fleet.py
@@ -6,9 +6,9 @@
 from ironbarrow.lab.model.discovery import Discovery, Entry
 from ironbarrow.lab.model.network import Network
 from ironbarrow.lab.model.randomness import Streams
-from ironbarrow.lab.model.spec import Fault, Group, World
+from ironbarrow.lab.model.spec import Fault, WorkerGroup, World
 from ironbarrow.lab.model.store import Store
-from ironbarrow.lab.model.worker import State, Watcher, Worker
+from ironbarrow.lab.model.worker import State, Worker, WorkerObserver
 from ironbarrow.lab.model.workload import Workload
 from ironbarrow.runtime.clock import MS, Clock
 
@@ -16,10 +16,10 @@
 class Fleet:
     """All workers, the store they share, the network and the discovery service that lists them."""
 
-    make: type[Worker] = Worker  # what the next ones are
+    worker_class: type[Worker] = Worker  # what the next ones are
 
-    def __init__(self, clock: Clock, world: World, streams: Streams, watcher: Watcher) -> None:
-        self._clock, self._world, self._streams, self._watcher = clock, world, streams, watcher
+    def __init__(self, clock: Clock, world: World, streams: Streams, observer: WorkerObserver) -> None:
+        self._clock, self._world, self._streams, self._observer = clock, world, streams, observer
         self.network = Network(clock, world.network, streams)
         self.discovery = Discovery(clock, world.discovery, streams)
         self.store = Store(clock, world.store.fetch, world.store.at_once, streams["store"])
@@ -28,16 +28,16 @@
         listed = []
         for group in world.workers:
             for number in range(group.count):
-                made = self.add(group, f"{group.name}-{number}", zones[number % len(zones)])
+                worker = self.add(group, f"{group.name}-{number}", zones[number % len(zones)])
                 if group.listed:
-                    listed.append(self.entry(made))
+                    listed.append(self.entry(worker))
         self.discovery.start(listed)
         if world.discovery.weights == "live":
-            clock.call_at(clock.now() + world.discovery.weight_period, self._weigh)
+            clock.call_at(clock.now() + world.discovery.weight_period, self._update_weights)
 
-    def add(self, group: Group, name: str, zone: str, started_at: int = 0) -> Worker:
+    def add(self, group: WorkerGroup, name: str, zone: str, started_at: int = 0) -> Worker:
         """Starts a worker's process."""
-        made = self.make(
+        worker = self.worker_class(
             self._clock,
             name,
             group,
@@ -45,12 +45,12 @@
             self._world.reports,
             self.store,
             self._streams[f"provider {name}"],
-            self._watcher,
+            self._observer,
             zone=zone,
             started_at=started_at,
         )
-        self.workers[name] = made
-        return made
+        self.workers[name] = worker
+        return worker
 
     def entry(self, worker: Worker) -> Entry:
         status = "draining" if worker.state is State.DRAINING else "up"
@@ -58,15 +58,15 @@
         since = worker.started_at // MS * MS  # as the discovery service tells it: in whole milliseconds
         return Entry(worker.name, worker.zone, worker.group.kind, weight, status, since)
 
-    def _weigh(self) -> None:
-        self.discovery.weigh(
+    def _update_weights(self) -> None:
+        self.discovery.set_weights(
             {
-                p.name: round(p.group.slots / (1 + p.held / p.group.slots), 2)
-                for p in self.workers.values()
-                if p.group.listed
+                w.name: round(w.group.slots / (1 + w.held / w.group.slots), 2)
+                for w in self.workers.values()
+                if w.group.listed
             }
         )
-        self._clock.call_at(self._clock.now() + self._world.discovery.weight_period, self._weigh)
+        self._clock.call_at(self._clock.now() + self._world.discovery.weight_period, self._update_weights)
 
     def drain(self, name: str, then_end_after: int | None = None) -> None:
         """Drains a worker and tells the discovery service; its process ends after so many ns."""
@@ -74,7 +74,7 @@
         if worker.state is not State.UP:
             return
         worker.drain()
-        self.discovery.mark(name, "draining")
+        self.discovery.set_status(name, "draining")
         if then_end_after is not None:
             self._clock.call_at(self._clock.now() + then_end_after, self.end, name)
 
@@ -83,20 +83,20 @@
         worker = self.workers[name]
         if worker.state in (State.DOWN, State.VANISHED):
             return
-        worker.die(silent=silent)
+        worker.terminate(silent=silent)
         entry = self.discovery.entries.get(name)
         if entry is not None:
             self.discovery.change(Entry(name, entry.zone, entry.kind, entry.weight, "removed", entry.since))
 
-    def succeed(self, name: str) -> None:
+    def start_successor(self, name: str) -> None:
         """Starts a cold successor of a worker, under a new name."""
         old = self.workers[name]
         stem, _, number = name.partition("~")
-        made = self.add(old.group, f"{stem}~{int(number or 0) + 1}", old.zone, self._clock.now())
-        self.discovery.change(self.entry(made))
+        worker = self.add(old.group, f"{stem}~{int(number or 0) + 1}", old.zone, self._clock.now())
+        self.discovery.change(self.entry(worker))
 
 
-class Instances(Protocol):
+class DispatcherControl(Protocol):
     """The dispatchers, as far as faults touch them."""
 
     def kill(self, number: int, down: int) -> None:
@@ -111,12 +111,12 @@
     def pause(self, number: int, lasts: int) -> None:
         """Stops one where it is, as by SIGSTOP, for so many ns."""
 
-    def trouble_links(self, fault: Fault) -> None:
+    def impair_links(self, fault: Fault) -> None:
         """Does to the links between dispatchers what a fault of theirs says, as long as it lasts."""
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
+class InjectedFault:
     """A fault as it was played: for plots and reports. Times from the run's start, ns."""
 
     kind: str
@@ -125,7 +125,7 @@
     who: tuple[str, ...]
 
 
-class Faults:
+class FaultSchedule:
     """Plays the faults of a world."""
 
     def __init__(
@@ -134,59 +134,59 @@
         world: World,
         fleet: Fleet,
         workload: Workload,
-        instances: Instances,
+        dispatchers: DispatcherControl,
         streams: Streams,
     ) -> None:
         self._clock, self._world, self._fleet = clock, world, fleet
-        self._workload, self._instances = workload, instances
+        self._workload, self._dispatchers = workload, dispatchers
         self._stream = streams["faults"]
-        self.played: list[Played] = []
+        self.injected: list[InjectedFault] = []
         self._started_at = 0
 
     def start(self) -> None:
         self._started_at = self._clock.now()
-        # who is struck is drawn now, in the file's order: what happens in the run must not change it
+        # who is affected is drawn now, in the file's order: what happens in the run must not change it
         for fault in self._world.faults:
-            who = fault.workers or self._draw(fault)
-            self._clock.call_at(self._started_at + fault.at, self._play, fault, who)
+            who = fault.workers or self._choose_workers(fault)
+            self._clock.call_at(self._started_at + fault.at, self._inject, fault, who)
 
-    def _draw(self, fault: Fault) -> list[str]:
-        if fault.kind not in _ON_WORKERS:
+    def _choose_workers(self, fault: Fault) -> list[str]:
+        if fault.kind not in _WORKER_FAULTS:
             return []
-        names = [p.name for p in self._fleet.workers.values() if p.group.listed]
+        names = [w.name for w in self._fleet.workers.values() if w.group.listed]
         order = sorted((self._stream.uniform(), name) for name in names)
         least = 0 if fault.part == 0 else 1
         return [name for _, name in order[: max(least, round(fault.part * len(names)))]]
 
-    def _play(self, fault: Fault, who: list[str]) -> None:
+    def _inject(self, fault: Fault, who: list[str]) -> None:
         now = self._clock.now()
         target = tuple(who) or ((f"dispatcher {fault.dispatcher}",) if "dispatcher" in fault.kind else ())
-        begun = now - self._started_at
-        self.played.append(Played(fault.kind, begun, begun + fault.lasts, target))
+        started = now - self._started_at
+        self.injected.append(InjectedFault(fault.kind, started, started + fault.lasts, target))
         ends = now + fault.lasts
         network, discovery = self._fleet.network, self._fleet.discovery
-        struck = [self._fleet.workers[name] for name in who]
+        affected = [self._fleet.workers[name] for name in who]
         if fault.kind in ("deploy", "shrink"):
-            self._roll(fault, who)
+            self._replace_in_batches(fault, who)
         elif fault.kind == "cut":
             network.cut(fault.zones)
-            self._clock.call_at(ends, network.mend, fault.zones)
+            self._clock.call_at(ends, network.heal, fault.zones)
         elif fault.kind == "discovery outage":
-            discovery.out(ends)
+            discovery.start_outage(ends)
         elif fault.kind == "flood":
-            self._workload.flood, self._workload.flooding_farm = fault.size, fault.farm
-            self._clock.call_at(ends, self._calm)
+            self._workload.flood_factor, self._workload.flood_farm = fault.size, fault.farm
+            self._clock.call_at(ends, self._end_flood)
         elif fault.kind == "dispatcher killed":
-            self._instances.kill(fault.dispatcher, fault.down)
+            self._dispatchers.kill(fault.dispatcher, fault.down)
         elif fault.kind == "dispatcher restarted":
-            self._instances.restart(fault.dispatcher, fault.down)
+            self._dispatchers.restart(fault.dispatcher, fault.down)
         elif fault.kind == "dispatcher stopped":
-            self._instances.pause(fault.dispatcher, fault.lasts)
+            self._dispatchers.pause(fault.dispatcher, fault.lasts)
         elif fault.kind in ("links", "links cut"):
-            self._instances.trouble_links(fault)
+            self._dispatchers.impair_links(fault)
         elif fault.kind == "reload":
-            self._instances.reload(fault.dispatcher)
-        for worker in struck:
+            self._dispatchers.reload(fault.dispatcher)
+        for worker in affected:
             if fault.kind == "slow":
                 worker.slow(fault.size)
                 self._clock.call_at(ends, worker.slow, 1.0)
@@ -202,19 +202,19 @@
             elif fault.kind == "drain":
                 self._fleet.drain(worker.name)
                 if fault.lasts:
-                    self._clock.call_at(ends, self._undrain, worker)
+                    self._clock.call_at(ends, self._end_drain, worker)
             elif fault.kind in ("die", "vanish"):
                 self._fleet.end(worker.name, silent=fault.kind == "vanish")
 
-    def _calm(self) -> None:
-        self._workload.flood, self._workload.flooding_farm = 1.0, None
+    def _end_flood(self) -> None:
+        self._workload.flood_factor, self._workload.flood_farm = 1.0, None
 
-    def _undrain(self, worker: Worker) -> None:
-        worker.undrain()
+    def _end_drain(self, worker: Worker) -> None:
+        worker.cancel_drain()
         if worker.state is State.UP:
-            self._fleet.discovery.mark(worker.name, "up")
+            self._fleet.discovery.set_status(worker.name, "up")
 
-    def _roll(self, fault: Fault, who: list[str]) -> None:
+    def _replace_in_batches(self, fault: Fault, who: list[str]) -> None:
         """Replaces (deploy) or ends (shrink) workers, a batch at a time."""
         size = max(1, round(fault.batch * len(self._fleet.discovery.entries)))
         batches = [who[i : i + size] for i in range(0, len(who), size)]
@@ -224,9 +224,9 @@
             for name in batch:
                 self._clock.call_at(at, self._fleet.drain, name, int(fault.drain))
                 if fault.kind == "deploy":
-                    self._clock.call_at(at + fault.drain + 1, self._fleet.succeed, name)
+                    self._clock.call_at(at + fault.drain + 1, self._fleet.start_successor, name)
 
 
-_ON_WORKERS = frozenset(
+_WORKER_FAULTS = frozenset(
     ("slow", "hang", "fail fast", "late reports", "deploy", "shrink", "drain", "die", "vanish")
 )
--- a/ironbarrow/lab/model/network.py
+++ b/ironbarrow/lab/model/network.py
@@ -12,42 +12,42 @@
     """Carries things from zone to zone, one way, late, or not at all."""
 
     def __init__(self, clock: Clock, settings: spec.Network, streams: Streams) -> None:
-        self._clock, self._set, self._streams = clock, settings, streams
-        self._cut: dict[frozenset[str], int] = {}  # pairs of zones, and by how many faults
+        self._clock, self._settings, self._streams = clock, settings, streams
+        self._cuts: dict[frozenset[str], int] = {}  # pairs of zones, and by how many faults
         self._last: dict[str, int] = {}
 
-    def latency(self, source: str, target: str, who: str) -> int:
-        """One way, ns. ``who`` names the stream, so that one party's draws shift no other's."""
-        base = self._set.same_zone if source == target else self._set.cross_zone
-        return self._jittered(base, who)
+    def latency(self, source: str, target: str, stream_name: str) -> int:
+        """One way, ns. ``stream_name`` names the stream, so that one party's draws shift no other's."""
+        base = self._settings.same_zone if source == target else self._settings.cross_zone
+        return self._with_jitter(base, stream_name)
 
-    def client_latency(self, who: str) -> int:
+    def client_latency(self, stream_name: str) -> int:
         """One way between a client and its front, ns."""
-        return self._jittered(self._set.client, who)
+        return self._with_jitter(self._settings.client, stream_name)
 
-    def _jittered(self, base: int, who: str) -> int:
-        return base + int(self._streams[f"latency {who}"].exponential(self._set.jitter * base))
+    def _with_jitter(self, base: int, stream_name: str) -> int:
+        return base + int(self._streams[f"latency {stream_name}"].exponential(self._settings.jitter * base))
 
     def reaches(self, source: str, target: str) -> bool:
-        return not self._cut or frozenset((source, target)) not in self._cut
+        return not self._cuts or frozenset((source, target)) not in self._cuts
 
-    def send(self, source: str, target: str, who: str, call: Callable[..., None], *args: Any) -> bool:
+    def send(self, source: str, target: str, stream_name: str, call: Callable[..., None], *args: Any) -> bool:
         """Calls after the latency; False, and nothing arrives, if the way is cut."""
         if not self.reaches(source, target):
             return False
-        self._clock.call_at(self._clock.now() + self.latency(source, target, who), call, *args)
+        self._clock.call_at(self._clock.now() + self.latency(source, target, stream_name), call, *args)
         return True
 
     def cut(self, zones: list[str]) -> None:
         """The first zone and each of the others no longer reach each other."""
         for other in zones[1:]:
             pair = frozenset((zones[0], other))
-            self._cut[pair] = self._cut.get(pair, 0) + 1
+            self._cuts[pair] = self._cuts.get(pair, 0) + 1
 
-    def mend(self, zones: list[str]) -> None:
+    def heal(self, zones: list[str]) -> None:
         """Takes one such cut back."""
         for other in zones[1:]:
             pair = frozenset((zones[0], other))
-            self._cut[pair] -= 1
-            if not self._cut[pair]:
-                del self._cut[pair]
+            self._cuts[pair] -= 1
+            if not self._cuts[pair]:
+                del self._cuts[pair]
--- a/ironbarrow/lab/model/randomness.py
+++ b/ironbarrow/lab/model/randomness.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-_BLOCK = 256  # draws at once: a scalar draw from numpy costs about a microsecond, one of a block a tenth
+_BLOCK_SIZE = 256  # draws at once: a scalar draw from numpy costs about a microsecond, one of a block a tenth
 
 
 class Stream:
@@ -30,18 +30,18 @@
     def uniform(self, low: float = 0.0, high: float = 1.0) -> float:
         """A draw from [low, high)."""
         if not self._uniforms:
-            self._uniforms = self._generator(0).random(_BLOCK).tolist()
+            self._uniforms = self._generator(0).random(_BLOCK_SIZE).tolist()
         return low + (high - low) * self._uniforms.pop()
 
     def exponential(self, mean: float) -> float:
         if not self._exponentials:
-            self._exponentials = self._generator(1).standard_exponential(_BLOCK).tolist()
+            self._exponentials = self._generator(1).standard_exponential(_BLOCK_SIZE).tolist()
         return mean * self._exponentials.pop()
 
     def normal(self) -> float:
         """A draw with mean 0 and deviation 1."""
         if not self._normals:
-            self._normals = self._generator(2).standard_normal(_BLOCK).tolist()
+            self._normals = self._generator(2).standard_normal(_BLOCK_SIZE).tolist()
         return self._normals.pop()
 
     def lognormal(self, mean: float, cv: float) -> float:
@@ -54,11 +54,11 @@
     def chance(self, probability: float) -> bool:
         return probability > 0 and self.uniform() < probability
 
-    def below(self, number: int) -> int:
+    def randrange(self, number: int) -> int:
         """A whole number from 0 to ``number`` - 1."""
         return min(number - 1, int(self.uniform() * number))
 
-    def pick(self, cumulative: list[float]) -> int:
+    def choose_index(self, cumulative: list[float]) -> int:
         """An index, by cumulative weights that end in their sum."""
         return min(len(cumulative) - 1, bisect_right(cumulative, self.uniform() * cumulative[-1]))
 
@@ -68,12 +68,12 @@
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
-        self._made: dict[str, Stream] = {}
+        self._streams: dict[str, Stream] = {}
 
     def __getitem__(self, name: str) -> Stream:
-        found = self._made.get(name)
+        found = self._streams.get(name)
         if found is None:
-            found = self._made[name] = Stream(self.seed, name)
+            found = self._streams[name] = Stream(self.seed, name)
         return found
 
 
--- a/ironbarrow/lab/model/spec.py
+++ b/ironbarrow/lab/model/spec.py
@@ -14,7 +14,7 @@
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
-Number = Annotated[float, Meta(ge=0)]
+NonNegative = Annotated[float, Meta(ge=0)]
 Positive = Annotated[float, Meta(gt=0)]
 
 
@@ -22,11 +22,11 @@
     """A file that can't be used; the text names the file, the key and what was expected."""
 
 
-class Part(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class Table(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """What all tables of a world file have in common: unknown keys are refused."""
 
 
-class Draw(Part, frozen=True):
+class Distribution(Table, frozen=True):
     """A random time: its distribution, its mean and its coefficient of variation (lognormal alone)."""
 
     mean: Duration
@@ -34,7 +34,7 @@
     cv: Positive = 1.0
 
 
-class Network(Part, frozen=True):
+class Network(Table, frozen=True):
     """Zones and one-way latencies. ``jitter``: the mean of an exponential extra, as a share."""
 
     zones: Annotated[list[str], Meta(min_length=1)] = msgspec.field(default_factory=lambda: ["a"])
@@ -44,7 +44,7 @@
     jitter: Share = 0.1
 
 
-class Reports(Part, frozen=True):
+class LoadReports(Table, frozen=True):
     """Load reports that come with answers: renewed each period, seen ``delay`` later, noisy."""
 
     period: Duration = ms(1000)
@@ -52,7 +52,7 @@
     noise: Share = 0.03
 
 
-class Fleet(Part, frozen=True):
+class Fleet(Table, frozen=True):
     """What the dispatchers share (see ``ironbarrow.fleet.file``); addresses, seeds and sites are the
     laboratory's own. Played live alone."""
 
@@ -66,7 +66,7 @@
     )
 
 
-class Dispatchers(Part, frozen=True):
+class Dispatchers(Table, frozen=True):
     """How many there are and what their settings say (see the fields of ``heathway.api.Settings``)."""
 
     count: Count = 3
@@ -87,7 +87,7 @@
     fleet: Fleet | None = None  # None: they share nothing
 
 
-class Group(Part, frozen=True):
+class WorkerGroup(Table, frozen=True):
     """Workers of one generation. Speed 1 does one second of work in a second on one core."""
 
     name: str
@@ -98,8 +98,8 @@
     speed_cv: Share = 0.0
     queue: Annotated[int, Meta(ge=0)] = 10
     order: Literal["in order", "first fit"] = "in order"
-    overfull_at: Number = 8.0  # jobs held at which it starts to slow down
-    overfull: Number = 0.0  # part of its speed that each job beyond costs
+    overfull_at: NonNegative = 8.0  # jobs held at which it starts to slow down
+    overfull: NonNegative = 0.0  # part of its speed that each job beyond costs
     keys_kept: Count = 8
     connections: Count = 4000
     error_rate: Share = 0.0
@@ -108,7 +108,7 @@
     listed: bool = True
 
 
-class Cold(Part, frozen=True):
+class ColdStart(Table, frozen=True):
     """Start of a worker: its part of capacity at first, the time to full, when it falls over."""
 
     time: Duration = ms(15_000)
@@ -117,16 +117,16 @@
     fall_window: Duration = ms(3000)
 
 
-class Store(Part, frozen=True):
+class Store(Table, frozen=True):
     """What jobs need and workers keep for a while; fetched from one store of limited capacity."""
 
-    fetch: Draw = Draw(mean=ms(200), kind="exp")
+    fetch: Distribution = Distribution(mean=ms(200), kind="exp")
     at_once: Count = 8
     keys: Annotated[int, Meta(ge=0)] = 0  # 0: jobs need nothing
-    zipf: Number = 0.9
+    zipf: NonNegative = 0.9
 
 
-class Discovery(Part, frozen=True):
+class Discovery(Table, frozen=True):
     """The list of workers: pushed, and late by a uniform draw."""
 
     soonest: Duration = ms(500)
@@ -135,22 +135,22 @@
     weight_period: Duration = ms(1000)
 
 
-class Class(Part, frozen=True):
+class JobClass(Table, frozen=True):
     """A class of jobs; its share is by number of jobs."""
 
     name: str
     share: Positive
-    work: Draw
+    work: Distribution
     wanted: Duration
     deadline: Duration
     effect: Literal["safe", "unsafe"] = "safe"
-    stretch: Number = 2.0
+    stretch: NonNegative = 2.0
     slots: list[Share] = msgspec.field(default_factory=lambda: [1.0])  # shares of jobs of 1, 2, ... slots
     worth: Positive = 1.0
-    attempt_noise: Number = 0.0  # cv of the work from one attempt to the next
+    attempt_noise: NonNegative = 0.0  # cv of the work from one attempt to the next
 
 
-class Arrivals(Part, frozen=True):
+class Arrivals(Table, frozen=True):
     """When jobs are due: an open loop, at ``rate`` a second or at ``load`` of the fleet's capacity."""
 
     rate: Positive | None = None
@@ -162,15 +162,15 @@
     zone_skew: Share = 0.0  # 0: all zones alike; 1: all jobs come in the first zone
 
 
-class Sessions(Part, frozen=True):
+class Sessions(Table, frozen=True):
     """Keys of sessions, by Zipf's law; 0: jobs have none. Session n belongs to farm n modulo ``farms``."""
 
     farms: Count = 20
     count: Annotated[int, Meta(ge=0)] = 200
-    zipf: Number = 0.8
+    zipf: NonNegative = 0.8
 
 
-class Clients(Part, frozen=True):
+class Clients(Table, frozen=True):
     """How clients behave, and the front that deals them out."""
 
     retries: Annotated[int, Meta(ge=0)] = 1
@@ -182,7 +182,7 @@
     same_id: bool = False  # where the dispatchers share a fleet: a broken connection, come again under one id
 
 
-class Fault(Part, frozen=True):
+class Fault(Table, frozen=True):
     """One thing that goes wrong. Who: ``workers`` by name, else ``part`` of them; or ``dispatcher``."""
 
     kind: Literal[
@@ -226,18 +226,18 @@
     jitter: Duration = ms(0)  # links: uniform, on top of the delay; messages overtake each other
 
 
-class World(Part, frozen=True):
+class World(Table, frozen=True):
     """All of it."""
 
     name: str
     duration: Duration
-    classes: Annotated[list[Class], Meta(min_length=1)]
-    workers: Annotated[list[Group], Meta(min_length=1)]
+    classes: Annotated[list[JobClass], Meta(min_length=1)]
+    workers: Annotated[list[WorkerGroup], Meta(min_length=1)]
     arrivals: Arrivals
     network: Network = Network()
     dispatchers: Dispatchers = Dispatchers()
-    reports: Reports = Reports()
-    cold: Cold = Cold()
+    reports: LoadReports = LoadReports()
+    cold: ColdStart = ColdStart()
     store: Store = Store()
     discovery: Discovery = Discovery()
     sessions: Sessions = Sessions()
@@ -261,31 +261,31 @@
             if len(cls.slots) > max(g.slots for g in self.workers):
                 raise ValueError(f"classes {cls.name!r}: slots: expected no more than a worker has")
         for number, fault in enumerate(self.faults):
-            place = f"faults[{number}]"
+            where = f"faults[{number}]"
             if fault.dispatcher >= self.dispatchers.count:
-                raise ValueError(f"{place}.dispatcher: expected less than {self.dispatchers.count}")
+                raise ValueError(f"{where}.dispatcher: expected less than {self.dispatchers.count}")
             if fault.pair and (
                 len(set(fault.pair)) != 2 or not all(0 <= n < self.dispatchers.count for n in fault.pair)
             ):
-                raise ValueError(f"{place}.pair: expected two dispatchers that differ, got {fault.pair}")
-            if fault.kind in _ON_LINKS and self.dispatchers.fleet is None:
-                raise ValueError(f"{place}.kind: {fault.kind!r} expects [dispatchers.fleet]")
-            if fault.kind in _LASTING and not fault.lasts:
-                raise ValueError(f"{place}.lasts: expected more than 0 for {fault.kind!r}")
+                raise ValueError(f"{where}.pair: expected two dispatchers that differ, got {fault.pair}")
+            if fault.kind in _LINK_FAULTS and self.dispatchers.fleet is None:
+                raise ValueError(f"{where}.kind: {fault.kind!r} expects [dispatchers.fleet]")
+            if fault.kind in _FAULTS_WITH_DURATION and not fault.lasts:
+                raise ValueError(f"{where}.lasts: expected more than 0 for {fault.kind!r}")
             if fault.kind == "links cut" and not fault.pair and len(fault.zones) < 2:
-                raise ValueError(f"{place}: expected a pair or two zones or more for 'links cut'")
+                raise ValueError(f"{where}: expected a pair or two zones or more for 'links cut'")
             if not set(fault.zones) <= set(self.network.zones):
-                raise ValueError(f"{place}.zones: expected some of {self.network.zones}, got {fault.zones}")
+                raise ValueError(f"{where}.zones: expected some of {self.network.zones}, got {fault.zones}")
             if fault.kind == "cut" and len(fault.zones) < 2:
-                raise ValueError(f"{place}.zones: expected two zones or more, got {fault.zones}")
+                raise ValueError(f"{where}.zones: expected two zones or more, got {fault.zones}")
             if fault.farm is not None and fault.farm >= self.sessions.farms:
-                raise ValueError(f"{place}.farm: expected less than {self.sessions.farms}")
+                raise ValueError(f"{where}.farm: expected less than {self.sessions.farms}")
             known = {f"{g.name}-{i}" for g in self.workers for i in range(g.count)}
             if not set(fault.workers) <= known:
                 unknown = sorted(set(fault.workers) - known)
-                raise ValueError(f"{place}.workers: unknown: {unknown}; expected names such as gen1-0")
+                raise ValueError(f"{where}.workers: unknown: {unknown}; expected names such as gen1-0")
             if fault.kind == "fail fast" and fault.size > 1:
-                raise ValueError(f"{place}.size: expected a share of at most 1 for 'fail fast'")
+                raise ValueError(f"{where}.size: expected a share of at most 1 for 'fail fast'")
 
     def mean_work(self) -> float:
         """Core-seconds at speed 1 that a job takes on average."""
@@ -304,11 +304,11 @@
         return self.arrivals.load * self.capacity() / self.mean_work()
 
 
-_ON_LINKS = frozenset(("links", "links cut"))
-_LASTING = frozenset(("links", "links cut", "dispatcher stopped"))
+_LINK_FAULTS = frozenset(("links", "links cut"))
+_FAULTS_WITH_DURATION = frozenset(("links", "links cut", "dispatcher stopped"))
 
 
-def _mean_slots(cls: Class) -> float:
+def _mean_slots(cls: JobClass) -> float:
     return sum(n * share for n, share in enumerate(cls.slots, 1)) / sum(cls.slots)
 
 
@@ -330,37 +330,39 @@
 _FORMER_FAULT_KINDS = {"directory outage": "discovery outage"}
 
 
-def present_path(path: str) -> str:
+def current_path(path: str) -> str:
     """The path of a world's key, such as "workers.gen2.count", with a former name replaced."""
     first, dot, rest = path.partition(".")
     return _FORMER_KEYS.get(first, first) + dot + rest
 
 
-def with_present_names(raw: Any, where: str) -> Any:
+def with_current_names(raw: Any, where: str) -> Any:
     """A world as plain data, with former names replaced; a WorldError if a key is there under both names."""
     if not isinstance(raw, dict):
         return raw
-    world = _renamed(raw, _FORMER_KEYS, where)
+    world = _rename_keys(raw, _FORMER_KEYS, where)
     faults = world.get("faults")
     if isinstance(faults, list):
-        world["faults"] = [_present_fault(fault, f"{where}: faults[{n}]") for n, fault in enumerate(faults)]
+        world["faults"] = [
+            _with_current_fault_names(fault, f"{where}: faults[{n}]") for n, fault in enumerate(faults)
+        ]
     return world
 
 
-def _present_fault(raw: Any, where: str) -> Any:
+def _with_current_fault_names(raw: Any, where: str) -> Any:
     if not isinstance(raw, dict):
         return raw
-    fault = _renamed(raw, _FORMER_FAULT_KEYS, where)
+    fault = _rename_keys(raw, _FORMER_FAULT_KEYS, where)
     kind = fault.get("kind")
     if isinstance(kind, str):
         fault["kind"] = _FORMER_FAULT_KINDS.get(kind, kind)
     return fault
 
 
-def _renamed(table: dict[str, Any], names: dict[str, str], where: str) -> dict[str, Any]:
-    for former, present in names.items():
-        if former in table and present in table:
-            raise WorldError(f"{where}: `{former}`: the former name of `{present}`, which is there too")
+def _rename_keys(table: dict[str, Any], names: dict[str, str], where: str) -> dict[str, Any]:
+    for former, current in names.items():
+        if former in table and current in table:
+            raise WorldError(f"{where}: `{former}`: the former name of `{current}`, which is there too")
     return {names.get(key, key): value for key, value in table.items()}
 
 
@@ -370,7 +372,7 @@
 def convert(raw: Any, kind: type[S], where: str) -> S:
     """Plain data as a checked object; a WorldError names the key and what was expected."""
     if kind is World:
-        raw = with_present_names(raw, where)
+        raw = with_current_names(raw, where)
     try:
         made = msgspec.convert(raw, kind, dec_hook=_decode)
         if isinstance(made, World):
@@ -405,6 +407,6 @@
     )
 
 
-def plain(world: Any) -> Any:
+def to_plain_data(world: Any) -> Any:
     """The object as plain data, durations as text: what is hashed and stored."""
     return msgspec.to_builtins(world, enc_hook=_encode)
--- a/ironbarrow/lab/model/store.py
+++ b/ironbarrow/lab/model/store.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 
 from ironbarrow.lab.model.randomness import Stream
-from ironbarrow.lab.model.spec import Draw
+from ironbarrow.lab.model.spec import Distribution
 from ironbarrow.runtime.clock import Clock
 
 
-def draw(spec: Draw, stream: Stream) -> float:
+def draw(spec: Distribution, stream: Stream) -> float:
     """A random time of this spec, ns."""
     if spec.kind == "fixed":
         return float(spec.mean)
@@ -20,24 +20,24 @@
 class Store:
     """Fetches for all workers together."""
 
-    def __init__(self, clock: Clock, fetch: Draw, at_once: int, stream: Stream) -> None:
+    def __init__(self, clock: Clock, fetch: Distribution, max_concurrent: int, stream: Stream) -> None:
         self._clock, self._fetch, self._stream = clock, fetch, stream
-        self._free = at_once
+        self._free = max_concurrent
         self._waiting: deque[tuple[Callable[[int], None], int]] = deque()
 
-    def fetch(self, fetched: Callable[[int], None], key: int) -> None:
-        """Calls ``fetched`` with the key once it is there."""
-        self._waiting.append((fetched, key))
+    def fetch(self, on_fetched: Callable[[int], None], key: int) -> None:
+        """Calls ``on_fetched`` with the key once it is there."""
+        self._waiting.append((on_fetched, key))
         self._start()
 
     def _start(self) -> None:
         while self._free and self._waiting:
             self._free -= 1
-            fetched, key = self._waiting.popleft()
+            on_fetched, key = self._waiting.popleft()
             due = self._clock.now() + max(1, int(draw(self._fetch, self._stream)))
-            self._clock.call_at(due, self._done, fetched, key)
+            self._clock.call_at(due, self._done, on_fetched, key)
 
-    def _done(self, fetched: Callable[[int], None], key: int) -> None:
+    def _done(self, on_fetched: Callable[[int], None], key: int) -> None:
         self._free += 1
         self._start()
-        fetched(key)
+        on_fetched(key)
--- a/ironbarrow/lab/model/worker.py
+++ b/ironbarrow/lab/model/worker.py
@@ -1,7 +1,7 @@
 """A worker: slots that share cores, a bounded queue, keys, a cold start, reports, and its troubles.
 
 All running jobs of a worker go at one rate, which changes whenever one starts or ends. Time in
-units of work done a job (``_done``) makes the next end a heap's first entry, so that an event costs
+units of work done a job (``_work_per_job``) makes the next end a heap's first entry, so that an event costs
 O(log n) whatever the number of jobs (processor sharing by virtual time).
 """
 
@@ -13,12 +13,12 @@
 from heapq import heappop, heappush
 
 from ironbarrow.lab.model.randomness import Stream
-from ironbarrow.lab.model.spec import Cold, Group, Reports
+from ironbarrow.lab.model.spec import ColdStart, LoadReports, WorkerGroup
 from ironbarrow.lab.model.store import Store
 from ironbarrow.runtime.clock import MS, Clock, Timer
 
 _RAMP_STEPS = 40  # a cold worker's rate is renewed so often on its way to full
-_QUICK = 2 * MS  # how long a job takes that fails fast
+_FAST_FAIL_TIME = 2 * MS  # how long a job takes that fails fast
 
 
 class State(Enum):
@@ -30,13 +30,13 @@
     VANISHED = "vanished"  # nothing answers
 
 
-class Reply(Enum):
+class Admission(Enum):
     """What becomes of a job at the worker's door."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     FULL = "full"
-    NOTHING = "nothing"  # it hangs: the job is in, and no answer comes
-    REFUSED = "refused"  # no process
+    NO_REPLY = "nothing"  # it hangs: the job is in, and no answer comes
+    NO_PROCESS = "refused"  # no process
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,7 +52,7 @@
         return {"eps": self.errors, "queue": self.waiting, "x0": self.free_slots}
 
 
-Tell = Callable[[str, Report | None], None]
+StateListener = Callable[[str, Report | None], None]
 
 
 class _Stage(Enum):
@@ -60,51 +60,51 @@
     QUEUED = 1
     FETCHING = 2
     RUNNING = 3
-    OVER = 4
+    FINISHED = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class Demand:
     """What a try takes of a worker: slots, a key that must be there, and work (ns on one core at
     speed 1); ``usual`` is the mean work of its class."""
 
     work: float
     slots: float
     key: int | None
-    usual: float
+    class_mean: float
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class HeldJob:
     """A job that a worker holds. ``work``: ns on one core at speed 1."""
 
     id: str
     work: float
     slots: float
     key: int | None
-    tell: Tell
+    listener: StateListener
     stage: _Stage = _Stage.QUEUED
     ends_at: float = 0.0  # in units of work done a job
     fails: bool = False
 
 
-class Watcher:
+class WorkerObserver:
     """Who is told what a worker does; the auditor and the recorder. Does nothing itself."""
 
     def job_started(self, worker: str, job_id: str) -> None: ...
-    def job_ended(self, worker: str, job_id: str, how: str) -> None: ...
-    def fell(self, worker: str) -> None: ...
+    def job_ended(self, worker: str, job_id: str, outcome: str) -> None: ...
+    def collapsed(self, worker: str) -> None: ...
 
 
 @dataclass(slots=True)
-class Trouble:
+class Impairment:
     """What is wrong with a worker at present."""
 
-    slowed: float = 1.0
-    failing: float = 0.0
+    slowdown: float = 1.0
+    failure_share: float = 0.0
     hung: bool = False
     report_delay: int = 0
-    kept_back: list[tuple[Held, str]] = field(default_factory=list)
+    kept_back: list[tuple[HeldJob, str]] = field(default_factory=list)
 
 
 class Worker:
@@ -114,12 +114,12 @@
         self,
         clock: Clock,
         name: str,
-        group: Group,
-        cold: Cold,
-        reports: Reports,
+        group: WorkerGroup,
+        cold: ColdStart,
+        reports: LoadReports,
         store: Store,
         stream: Stream,
-        watcher: Watcher,
+        observer: WorkerObserver,
         *,
         zone: str = "",
         started_at: int = 0,
@@ -127,29 +127,29 @@
         self.name, self.group, self.zone = name, group, zone
         self.started_at = started_at  # 0: long ago, and warm
         self.state = State.UP
-        self.trouble = Trouble()
+        self.impairment = Impairment()
         self.connections = 0
         self.arriving: set[str] = set()  # live: jobs whose requests are in, and that are not looked at yet
         self._clock, self._cold, self._reports = clock, cold, reports
-        self._store, self._stream, self._watcher = store, stream, watcher
+        self._store, self._stream, self._observer = store, stream, observer
         self.speed = stream.lognormal(group.speed, group.speed_cv)
-        self._jobs: dict[str, Held] = {}
-        self._queue: deque[Held] = deque()
-        self.slots_taken = 0.0
+        self._jobs: dict[str, HeldJob] = {}
+        self._queue: deque[HeldJob] = deque()
+        self.used_slots = 0.0
         self._running_slots = 0.0
-        self._done = 0.0  # ns of work that each running job has had
-        self._done_at = clock.now()
+        self._work_per_job = 0.0  # ns of work that each running job has had
+        self._work_updated_at = clock.now()
         self._rate = 0.0
-        self._ends: list[tuple[float, int, Held]] = []
-        self._count = 0
+        self._completions: list[tuple[float, int, HeldJob]] = []
+        self._sequence = 0
         self._timer: Timer | None = None
         self._timer_at = 0
         self._keys: OrderedDict[int, None] = OrderedDict()
-        self._fetching: dict[int, list[Held]] = {}
+        self._fetching: dict[int, list[HeldJob]] = {}
         self._cold_work: deque[tuple[int, float]] = deque()
-        self._errors: deque[int] = deque()
-        self._seen = Report(group.slots, 0.0, 0.0)
-        self._made: deque[tuple[int, Report]] = deque()
+        self._error_times: deque[int] = deque()
+        self._visible_report = Report(group.slots, 0.0, 0.0)
+        self._pending_reports: deque[tuple[int, Report]] = deque()
         first = int(stream.uniform() * reports.period)
         clock.call_at(clock.now() + first, self._renew_report)
 
@@ -169,28 +169,28 @@
     def holds(self, job_id: str) -> bool:
         return job_id in self._jobs
 
-    def warmth(self) -> float:
+    def capacity_factor(self) -> float:
         """The part of its capacity that it has now, by its age."""
         if not self.started_at:
             return 1.0
         age = (self._clock.now() - self.started_at) / self._cold.time
         return min(1.0, self._cold.start + (1 - self._cold.start) * max(0.0, age))
 
-    def arrive(self, job_id: str, need: Need, tell: Tell) -> Reply:
+    def arrive(self, job_id: str, demand: Demand, listener: StateListener) -> Admission:
         """A job's last byte is in. ``tell`` is called with each thing that becomes of it afterwards."""
         if not self._running():
-            return Reply.REFUSED
-        job = Held(job_id, need.work, need.slots, need.key, tell)
-        if self.trouble.hung:
+            return Admission.NO_PROCESS
+        job = HeldJob(job_id, demand.work, demand.slots, demand.key, listener)
+        if self.impairment.hung:
             job.stage = _Stage.INBOX
             self._jobs[job_id] = job
-            return Reply.NOTHING
-        self._note_cold_work(need.usual * need.slots)
+            return Admission.NO_REPLY
+        self._record_cold_work(demand.class_mean * demand.slots)
         if not self._running():  # it has just fallen over
-            return Reply.REFUSED
-        return self._take(job)
+            return Admission.NO_PROCESS
+        return self._admit(job)
 
-    def _take(self, job: Held) -> Reply:
+    def _admit(self, job: HeldJob) -> Admission:
         full = len(self._queue) >= self.group.queue and not self._fits(job)
         if (
             job.slots > self.group.slots
@@ -198,56 +198,56 @@
             or (self.state is State.DRAINING and self.group.drain_returns)
         ):
             self._jobs.pop(job.id, None)
-            return Reply.FULL
+            return Admission.FULL
         self._jobs[job.id] = job
         job.stage = _Stage.QUEUED
         self._queue.append(job)
-        self._start_what_fits()
-        return Reply.TAKEN
+        self._start_queued()
+        return Admission.ACCEPTED
 
-    def _fits(self, job: Held) -> bool:
+    def _fits(self, job: HeldJob) -> bool:
         ahead = self._queue and self.group.order == "in order"
-        return not ahead and self.slots_taken + job.slots <= self.group.slots
+        return not ahead and self.used_slots + job.slots <= self.group.slots
 
     def cancel(self, job_id: str) -> bool:
         """Stops a job; whether it was there."""
         job = self._jobs.get(job_id)
         if job is None:
             return False
-        self._drop(job)
-        self._watcher.job_ended(self.name, job_id, "cancelled")
-        self._start_what_fits()
+        self._remove(job)
+        self._observer.job_ended(self.name, job_id, "cancelled")
+        self._start_queued()
         return True
 
     # Running
 
-    def _start_what_fits(self) -> None:
-        if self.trouble.hung or not self._running():
+    def _start_queued(self) -> None:
+        if self.impairment.hung or not self._running():
             return
         in_order = self.group.order == "in order"
-        passed: list[Held] = []
+        skipped: list[HeldJob] = []
         while self._queue:
             job = self._queue.popleft()
-            if self.slots_taken + job.slots <= self.group.slots:
-                self._begin(job)
+            if self.used_slots + job.slots <= self.group.slots:
+                self._start_job(job)
             else:
-                passed.append(job)
+                skipped.append(job)
                 if in_order:
                     break
-        self._queue.extendleft(reversed(passed))
-        self._retime()
-
-    def _begin(self, job: Held) -> None:
-        self.slots_taken += job.slots
-        self._watcher.job_started(self.name, job.id)
-        job.tell("started", None)
-        if self._stream.chance(self.trouble.failing):
+        self._queue.extendleft(reversed(skipped))
+        self._reschedule()
+
+    def _start_job(self, job: HeldJob) -> None:
+        self.used_slots += job.slots
+        self._observer.job_started(self.name, job.id)
+        job.listener("started", None)
+        if self._stream.chance(self.impairment.failure_share):
             job.stage = _Stage.FETCHING  # it holds its slots, and its work never begins
-            self._clock.call_at(self._clock.now() + _QUICK, self._fail, job)
+            self._clock.call_at(self._clock.now() + _FAST_FAIL_TIME, self._fail, job)
         elif job.key is None or job.key in self._keys:
             if job.key is not None:
                 self._keys.move_to_end(job.key)
-            self._run(job)
+            self._start_work(job)
         else:
             job.stage = _Stage.FETCHING
             waiting = self._fetching.setdefault(job.key, [])
@@ -261,50 +261,53 @@
             self._keys.popitem(last=False)
         for job in self._fetching.pop(key, ()):
             if job.stage is _Stage.FETCHING:
-                self._run(job)
-        self._retime()
+                self._start_work(job)
+        self._reschedule()
 
-    def _run(self, job: Held) -> None:
-        self._advance()
+    def _start_work(self, job: HeldJob) -> None:
+        self._update_progress()
         job.stage = _Stage.RUNNING
         job.fails = self._stream.chance(self.group.error_rate)
-        job.ends_at = self._done + job.work * (self._stream.uniform() if job.fails else 1.0)
+        job.ends_at = self._work_per_job + job.work * (self._stream.uniform() if job.fails else 1.0)
         self._running_slots += job.slots
-        self._count += 1
-        heappush(self._ends, (job.ends_at, self._count, job))
+        self._sequence += 1
+        heappush(self._completions, (job.ends_at, self._sequence, job))
 
-    def _fail(self, job: Held) -> None:
+    def _fail(self, job: HeldJob) -> None:
         if job.stage is _Stage.FETCHING:
-            self._end(job, "failed")
-            self._start_what_fits()
+            self._finish(job, "failed")
+            self._start_queued()
 
-    def _advance(self) -> None:
+    def _update_progress(self) -> None:
         now = self._clock.now()
-        self._done += (now - self._done_at) * self._rate
-        self._done_at = now
+        self._work_per_job += (now - self._work_updated_at) * self._rate
+        self._work_updated_at = now
 
-    def _rate_now(self) -> float:
-        if self.trouble.hung or not self._running():
+    def _current_rate(self) -> float:
+        if self.impairment.hung or not self._running():
             return 0.0
         sharing = min(1.0, self.group.cores / self._running_slots) if self._running_slots else 1.0
-        beyond = max(0.0, len(self._jobs) - self.group.overfull_at)
+        excess = max(0.0, len(self._jobs) - self.group.overfull_at)
         return (
-            self.speed * self.warmth() * sharing / (self.trouble.slowed * (1 + self.group.overfull * beyond))
+            self.speed
+            * self.capacity_factor()
+            * sharing
+            / (self.impairment.slowdown * (1 + self.group.overfull * excess))
         )
 
-    def _retime(self) -> None:
+    def _reschedule(self) -> None:
         """Sets the timer of the next end. An old timer that is too early only renews the rate."""
-        self._advance()
-        self._rate = self._rate_now()
-        while self._ends and self._ends[0][2].stage is not _Stage.RUNNING:
-            heappop(self._ends)
-        if not self._ends or self._rate <= 0:
+        self._update_progress()
+        self._rate = self._current_rate()
+        while self._completions and self._completions[0][2].stage is not _Stage.RUNNING:
+            heappop(self._completions)
+        if not self._completions or self._rate <= 0:
             if self._timer is not None:
                 self._timer.cancel()
                 self._timer = None
             return
         now = self._clock.now()
-        due = now + max(1, math.ceil((self._ends[0][0] - self._done) / self._rate))
+        due = now + max(1, math.ceil((self._completions[0][0] - self._work_per_job) / self._rate))
         if self.started_at and now < self.started_at + self._cold.time:
             due = min(due, now + max(1, self._cold.time // _RAMP_STEPS))
         if self._timer is not None:
@@ -312,66 +315,67 @@
                 return
             self._timer.cancel()
         self._timer_at = due
-        self._timer = self._clock.call_at(due, self._ended)
+        self._timer = self._clock.call_at(due, self._on_completion_timer)
 
-    def _ended(self) -> None:
+    def _on_completion_timer(self) -> None:
         self._timer = None
-        self._advance()
-        while self._ends and (
-            self._ends[0][2].stage is not _Stage.RUNNING or self._ends[0][0] <= self._done + 1e-3 * MS
+        self._update_progress()
+        while self._completions and (
+            self._completions[0][2].stage is not _Stage.RUNNING
+            or self._completions[0][0] <= self._work_per_job + 1e-3 * MS
         ):
-            job = heappop(self._ends)[2]
+            job = heappop(self._completions)[2]
             if job.stage is _Stage.RUNNING:
-                self._end(job, "failed" if job.fails else "done")
-        self._start_what_fits()
+                self._finish(job, "failed" if job.fails else "done")
+        self._start_queued()
 
-    def _end(self, job: Held, how: str) -> None:
-        self._drop(job)
-        if how == "failed":
-            self._errors.append(self._clock.now())
-        self._watcher.job_ended(self.name, job.id, how)
-        job.tell(how, self.report())
+    def _finish(self, job: HeldJob, outcome: str) -> None:
+        self._remove(job)
+        if outcome == "failed":
+            self._error_times.append(self._clock.now())
+        self._observer.job_ended(self.name, job.id, outcome)
+        job.listener(outcome, self.report())
 
-    def _drop(self, job: Held) -> None:
+    def _remove(self, job: HeldJob) -> None:
         self._jobs.pop(job.id, None)
         if job.stage is _Stage.RUNNING:
-            self._advance()
+            self._update_progress()
             self._running_slots -= job.slots
-            self.slots_taken -= job.slots
+            self.used_slots -= job.slots
         elif job.stage is _Stage.FETCHING:
-            self.slots_taken -= job.slots
+            self.used_slots -= job.slots
         elif job.stage is _Stage.QUEUED and job in self._queue:
             self._queue.remove(job)
-        job.stage = _Stage.OVER
+        job.stage = _Stage.FINISHED
 
     # Its own figures
 
     def report(self) -> Report:
         """The newest figures that can be seen now."""
         now = self._clock.now()
-        while self._made and self._made[0][0] <= now:
-            self._seen = self._made.popleft()[1]
-        return self._seen
+        while self._pending_reports and self._pending_reports[0][0] <= now:
+            self._visible_report = self._pending_reports.popleft()[1]
+        return self._visible_report
 
     def _renew_report(self) -> None:
         if not self._running():
             return
         now = self._clock.now()
-        if not self.trouble.hung:
-            while self._errors and self._errors[0] < now - 1000 * MS:
-                self._errors.popleft()
+        if not self.impairment.hung:
+            while self._error_times and self._error_times[0] < now - 1000 * MS:
+                self._error_times.popleft()
             noise = 1 + self._reports.noise * self._stream.normal()
             made = Report(
-                max(0.0, (self.group.slots - self.slots_taken) * noise),
+                max(0.0, (self.group.slots - self.used_slots) * noise),
                 max(0.0, len(self._queue) * noise),
-                float(len(self._errors)),
+                float(len(self._error_times)),
             )
-            self._made.append((now + self._reports.delay + self.trouble.report_delay, made))
+            self._pending_reports.append((now + self._reports.delay + self.impairment.report_delay, made))
         self._clock.call_at(now + self._reports.period, self._renew_report)
 
-    # Cold starts
+    # ColdStart starts
 
-    def _note_cold_work(self, work: float) -> None:
+    def _record_cold_work(self, work: float) -> None:
         """Danger for whoever sends: over so much work in a window, a cold worker falls over. Counted by
         what is usual for a class: nobody can tell a heavy job from a light one before it has run."""
         now = self._clock.now()
@@ -380,43 +384,43 @@
         while self._cold_work and self._cold_work[0][0] <= now - self._cold.fall_window:
             self._cold_work.popleft()
         self._cold_work.append((now, work))
-        capacity = min(self.group.cores, self.group.slots) * self.speed * self.warmth()
+        capacity = min(self.group.cores, self.group.slots) * self.speed * self.capacity_factor()
         if sum(w for _, w in self._cold_work) > self._cold.fall_multiple * capacity * self._cold.fall_window:
-            self._watcher.fell(self.name)
-            self.die()
+            self._observer.collapsed(self.name)
+            self.terminate()
 
     # Troubles
 
     def slow(self, factor: float) -> None:
         """Runs so many times slower from now on; 1 ends it."""
-        self._advance()
-        self.trouble.slowed = factor
-        self._retime()
+        self._update_progress()
+        self.impairment.slowdown = factor
+        self._reschedule()
 
     def fail_fast(self, share: float) -> None:
         """This share of the jobs that start fails at once; 0 ends it."""
-        self.trouble.failing = share
+        self.impairment.failure_share = share
 
     def delay_reports(self, by: int) -> None:
-        """Reports made from now on are seen later by so many ns."""
-        self.trouble.report_delay = by
+        """LoadReports made from now on are seen later by so many ns."""
+        self.impairment.report_delay = by
 
     def hang(self) -> None:
         """Takes work and answers nothing until ``recover``."""
-        self._advance()
-        self.trouble.hung = True
-        self._retime()
+        self._update_progress()
+        self.impairment.hung = True
+        self._reschedule()
 
     def recover(self) -> None:
         """Ends a hang: what came meanwhile is taken or turned away now."""
-        if not self.trouble.hung:
+        if not self.impairment.hung:
             return
-        self._advance()
-        self.trouble.hung = False
+        self._update_progress()
+        self.impairment.hung = False
         for job in [j for j in self._jobs.values() if j.stage is _Stage.INBOX]:
-            reply = self._take(job)
-            job.tell("accepted" if reply is Reply.TAKEN else "returned", None)
-        self._start_what_fits()
+            reply = self._admit(job)
+            job.listener("accepted" if reply is Admission.ACCEPTED else "returned", None)
+        self._start_queued()
 
     def drain(self) -> None:
         """Wants nothing new; hands back what has not started, where its kind does so."""
@@ -425,29 +429,29 @@
             if self.group.drain_returns:
                 while self._queue:
                     job = self._queue.popleft()
-                    job.stage = _Stage.OVER
+                    job.stage = _Stage.FINISHED
                     self._jobs.pop(job.id, None)
-                    self._watcher.job_ended(self.name, job.id, "returned")
-                    job.tell("returned", self.report())
+                    self._observer.job_ended(self.name, job.id, "returned")
+                    job.listener("returned", self.report())
 
-    def undrain(self) -> None:
+    def cancel_drain(self) -> None:
         """Wants work again."""
         if self.state is State.DRAINING:
             self.state = State.UP
 
-    def die(self, *, silent: bool = False) -> None:
+    def terminate(self, *, silent: bool = False) -> None:
         """The process ends, or with ``silent`` the machine vanishes; what it held is lost."""
-        self._advance()
+        self._update_progress()
         jobs = list(self._jobs.values())
         self.state = State.VANISHED if silent else State.DOWN
         for job in jobs:
-            self._drop(job)
-            self._watcher.job_ended(self.name, job.id, "lost")
+            self._remove(job)
+            self._observer.job_ended(self.name, job.id, "lost")
             if not silent:
-                job.tell("lost", None)
+                job.listener("lost", None)
         self._queue.clear()
         self._fetching.clear()
-        self._ends.clear()
+        self._completions.clear()
         self._rate = 0.0
 
     def is_cold(self) -> bool:
--- a/ironbarrow/lab/record.py
+++ b/ironbarrow/lab/record.py
@@ -1,4 +1,4 @@
-"""What became of each order: one row a job, columns by name, and the figures that come of them."""
+"""What became of each request: one row a job, columns by name, and the figures that come of them."""
 
 from array import array
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 import numpy as np
 
 from ironbarrow.lab.model.spec import World
-from ironbarrow.lab.model.workload import Order
+from ironbarrow.lab.model.workload import ClientRequest
 from ironbarrow.runtime.clock import SECOND
 
 OUTCOMES = ("served", "refused", "failed", "no answer", "left")
@@ -15,7 +15,7 @@
 
 
 class Recorder:
-    """Takes one row for each order once it is over. Latency counts from when the order was due."""
+    """Takes one row for each request once it is over. Latency counts from when the request was due."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -33,16 +33,16 @@
     def __len__(self) -> int:
         return len(self.due)
 
-    def add(self, order: Order, outcome: str, now: int, tries: int, late_by: int = 0) -> None:
+    def add(self, request: ClientRequest, outcome: str, now: int, tries: int, late_by: int = 0) -> None:
         """One order's end at ``now``."""
-        self.due.append(order.due - self.started_at)
-        self.latency.append(now - order.due)
-        self.cls.append(order.cls)
+        self.due.append(request.due - self.started_at)
+        self.latency.append(now - request.due)
+        self.cls.append(request.cls)
         self.outcome.append(OUTCOMES.index(outcome))
         self.tries.append(min(127, tries))
-        self.farm.append(order.farm)
-        self.in_time.append(outcome == "served" and now - order.due <= order.wanted)
-        self.work.append(order.work * order.slots)
+        self.farm.append(request.farm)
+        self.in_time.append(outcome == "served" and now - request.due <= request.wanted)
+        self.work.append(request.work * request.slots)
         self.late_by.append(late_by)
 
     def columns(self) -> dict[str, Column]:
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True)
-class Sampler:
+class LoadSamples:
     """Load by worker over time: one row of held jobs each step."""
 
     step: int
@@ -65,18 +65,18 @@
     by_class = {}
     for number, cls in enumerate(world.classes):
         mask = rows["cls"] == number
-        by_class[cls.name] = _figures(
+        by_class[cls.name] = _metrics(
             {name: column[mask] for name, column in rows.items()}, np.full(mask.sum(), cls.worth)
         )
     flooding = [f.farm for f in world.faults if f.kind == "flood" and f.farm is not None]
     worth = np.array([cls.worth for cls in world.classes])[rows["cls"]] if len(rows["cls"]) else np.array([])
     if flooding and len(worth):
         mask = ~np.isin(rows["farm"], flooding)
-        by_class["other farms"] = _figures({n: column[mask] for n, column in rows.items()}, worth[mask])
-    return {"all": _figures(rows, worth), "classes": by_class}
+        by_class["other farms"] = _metrics({n: column[mask] for n, column in rows.items()}, worth[mask])
+    return {"all": _metrics(rows, worth), "classes": by_class}
 
 
-def _figures(rows: dict[str, Column], worth: Column) -> dict[str, Any]:
+def _metrics(rows: dict[str, Column], worth: Column) -> dict[str, Any]:
     asked = len(rows["due"])
     outcome = rows["outcome"]
     value = worth * rows["work"]
@@ -102,8 +102,8 @@
     if not len(rows["due"]):
         return np.array([]), np.array([])
     worth = np.array([cls.worth for cls in world.classes])[rows["cls"]] * rows["work"]
-    place = (rows["due"] / (step_s * SECOND)).astype(int)
-    asked = np.bincount(place, worth)
-    got = np.bincount(place, worth * rows["in_time"], minlength=len(asked))
+    bins = (rows["due"] / (step_s * SECOND)).astype(int)
+    asked = np.bincount(bins, worth)
+    served = np.bincount(bins, worth * rows["in_time"], minlength=len(asked))
     with np.errstate(invalid="ignore"):
-        return np.arange(len(asked)) * step_s, np.where(asked > 0, got / asked, np.nan)
+        return np.arange(len(asked)) * step_s, np.where(asked > 0, served / asked, np.nan)
--- a/ironbarrow/lab/result.py
+++ b/ironbarrow/lab/result.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironbarrow.lab.audit import Verdicts
-from ironbarrow.lab.model.fleet import Played
+from ironbarrow.lab.audit import AuditResult
+from ironbarrow.lab.model.fleet import InjectedFault
 from ironbarrow.lab.model.spec import World
-from ironbarrow.lab.record import Column, Sampler, summarise
+from ironbarrow.lab.record import Column, LoadSamples, summarise
 
 
 @dataclass(slots=True)
@@ -17,9 +17,9 @@
     seed: int
     mode: str  # simulated or live
     rows: dict[str, Column]
-    verdicts: Verdicts
-    faults: list[Played]
-    samples: Sampler
+    verdicts: AuditResult
+    faults: list[InjectedFault]
+    samples: LoadSamples
     wall_s: float
     span_s: float  # on the run's own clock, from the first job's due time on
     digest: str = ""
--- a/ironbarrow/lab/scale/discovery.py
+++ b/ironbarrow/lab/scale/discovery.py
@@ -10,7 +10,7 @@
 from urllib.parse import parse_qs
 
 from ironbarrow.lab.live.wire import Server, next_message
-from ironbarrow.lab.model.discovery import Entry, News
+from ironbarrow.lab.model.discovery import Entry, ListUpdate
 from ironbarrow.lab.scale.messages import Traffic
 from ironbarrow.lab.settings import list_object
 from ironbarrow.runtime.loop import SECOND, Coroutine, Loop, Task, sleep
@@ -32,9 +32,9 @@
         self.changed_at: dict[int, int] = {}
         self.regions: list[RegionLines] = []
 
-    def whole(self) -> News:
+    def whole(self) -> ListUpdate:
         """All of it."""
-        return News(self.version, True, tuple(self.entries.values()))
+        return ListUpdate(self.version, True, tuple(self.entries.values()))
 
     def change(self, *entries: Entry) -> int:
         """Takes in new lines and tells them; ``removed`` ones leave the list. The new version."""
@@ -45,7 +45,7 @@
             else:
                 self.entries[entry.name] = entry
         self.changed_at[self.version] = time.monotonic_ns()
-        news = News(self.version, False, entries)
+        news = ListUpdate(self.version, False, entries)
         for region in self.regions:
             region.hear(news)
         return self.version
@@ -77,7 +77,7 @@
         """The same as one line."""
         return _line(self.known())
 
-    def hear(self, news: News) -> None:
+    def hear(self, news: ListUpdate) -> None:
         """A change."""
         self.lines.append(_line(list_object(news, self._addresses)))
         for agent in self.agents:
--- a/ironbarrow/lab/scale/layout.py
+++ b/ironbarrow/lab/scale/layout.py
@@ -38,17 +38,17 @@
         self.world = self._world()
 
     def _world(self) -> spec.World:
-        task = spec.Class(
+        task = spec.JobClass(
             name=CLASSES[0],
             share=1 - BOOKING_SHARE,
-            work=spec.Draw(mean=ms(1000 * JOB_S)),
+            work=spec.Distribution(mean=ms(1000 * JOB_S)),
             wanted=ms(1000 * JOB_S * 1.5),
             deadline=ms(_DEADLINE_MS),
         )
-        booking = spec.Class(
+        booking = spec.JobClass(
             name=CLASSES[1],
             share=BOOKING_SHARE,
-            work=spec.Draw(mean=ms(1000 * JOB_S)),
+            work=spec.Distribution(mean=ms(1000 * JOB_S)),
             wanted=ms(1000 * JOB_S * 1.5),
             deadline=ms(_DEADLINE_MS),
             effect="unsafe",
@@ -57,7 +57,7 @@
             name="scale",
             duration=ms(1000),
             classes=[task, booking],
-            workers=[spec.Group(name="w", count=self.size.workers, slots=SLOTS, cores=CORES)],
+            workers=[spec.WorkerGroup(name="w", count=self.size.workers, slots=SLOTS, cores=CORES)],
             arrivals=spec.Arrivals(rate=self.size.starts_per_second),
             network=spec.Network(zones=list(ZONES)),
             discovery=spec.Discovery(weights="live"),
--- a/ironbarrow/lab/settings.py
+++ b/ironbarrow/lab/settings.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from ironbarrow.lab.model.discovery import Entry, News
+from ironbarrow.lab.model.discovery import Entry, ListUpdate
 from ironbarrow.lab.model.spec import World
 from ironbarrow.runtime.clock import MS
 
@@ -69,7 +69,7 @@
     }
 
 
-def list_object(news: News, address_of: dict[str, str]) -> dict[str, Any]:
+def list_object(update: ListUpdate, address_of: dict[str, str]) -> dict[str, Any]:
     """One object of the discovery service's; a worker without an address is left out."""
-    lines = [endpoint(e, address_of[e.name]) for e in news.entries if e.name in address_of]
-    return {"index": news.version, "snapshot": news.whole, "endpoints": lines}
+    lines = [endpoint(e, address_of[e.name]) for e in update.entries if e.name in address_of]
+    return {"index": update.version, "snapshot": update.is_full, "endpoints": lines}
--- a/ironbarrow/lab/sim/clock.py
+++ b/ironbarrow/lab/sim/clock.py
@@ -9,7 +9,7 @@
 from ironbarrow.runtime.clock import SECOND, Timer
 
 EPOCH = 1_700_000_000 * SECOND  # any Unix time: the discovery service tells starts in Unix time
-_SWEEP_AT = 4096
+_MIN_CLEANUP_SIZE = 4096
 
 
 class SimulatedClock:
@@ -18,16 +18,16 @@
     def __init__(self, start: int = EPOCH) -> None:
         self._now = start
         self._heap: list[tuple[int, int, Timer]] = []
-        self._soon: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
+        self._ready: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._count = itertools.count()
-        self._sweep_at = _SWEEP_AT
+        self._cleanup_size = _MIN_CLEANUP_SIZE
         self.events = 0  # calls made so far
 
     def now(self) -> int:
         return self._now
 
     def call_soon(self, call: Callable[..., None], *args: Any) -> None:
-        self._soon.append((call, args))
+        self._ready.append((call, args))
 
     def call_at(self, due: int, call: Callable[..., None], *args: Any) -> Timer:
         timer = Timer(call, args)
@@ -36,10 +36,10 @@
 
     def run(self, until: int) -> None:
         """Makes all calls due up to ``until`` and ends there."""
-        heap, soon = self._heap, self._soon
+        heap, ready = self._heap, self._ready
         while True:
-            while soon:
-                call, args = soon.popleft()
+            while ready:
+                call, args = ready.popleft()
                 self.events += 1
                 call(*args)
             if not heap or heap[0][0] > until:
@@ -51,18 +51,18 @@
                 self._now = due
             self.events += 1
             timer.call(*timer.args)
-            if len(heap) > self._sweep_at:
+            if len(heap) > self._cleanup_size:
                 # danger: each job leaves cancelled timers at its far-off deadline; unswept, the heap grows.
                 # in place: the loop above holds on to this very list
                 heap[:] = [item for item in heap if item[2].call is not None]
                 heapify(heap)
-                self._sweep_at = max(_SWEEP_AT, 2 * len(heap))
+                self._cleanup_size = max(_MIN_CLEANUP_SIZE, 2 * len(heap))
         self._now = max(self._now, until)
 
     @property
     def pending(self) -> int:
         """Calls that are planned, cancelled ones included."""
-        return len(self._heap) + len(self._soon)
+        return len(self._heap) + len(self._ready)
 
 
 class ProcessClock:
@@ -70,7 +70,7 @@
 
     def __init__(self, clock: SimulatedClock) -> None:
         self._clock = clock
-        self.over = False
+        self.ended = False
         self.now = clock.now
 
     def call_soon(self, call: Callable[..., None], *args: Any) -> None:
@@ -81,5 +81,5 @@
 
     def run(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
         """Calls, if the process still runs."""
-        if not self.over:
+        if not self.ended:
             call(*args)
--- a/ironbarrow/lab/sim/run.py
+++ b/ironbarrow/lab/sim/run.py
@@ -12,15 +12,15 @@
 from ironbarrow.core.jobs import Answer, JobOptions, Payload, Verdict
 from ironbarrow.core.jobs import Job as HostJob
 from ironbarrow.lab.audit import Auditor
-from ironbarrow.lab.model.client import Ended, Habits
-from ironbarrow.lab.model.discovery import News
-from ironbarrow.lab.model.fleet import Faults, Fleet
+from ironbarrow.lab.model.client import ClientBehaviour, Finished
+from ironbarrow.lab.model.discovery import ListUpdate
+from ironbarrow.lab.model.fleet import FaultSchedule, Fleet
 from ironbarrow.lab.model.load_balancer import LoadBalancer
 from ironbarrow.lab.model.randomness import Streams
 from ironbarrow.lab.model.spec import Fault, World, WorldError
-from ironbarrow.lab.model.worker import Watcher
-from ironbarrow.lab.model.workload import Order, Workload
-from ironbarrow.lab.record import Recorder, Sampler
+from ironbarrow.lab.model.worker import WorkerObserver
+from ironbarrow.lab.model.workload import ClientRequest, Workload
+from ironbarrow.lab.record import LoadSamples, Recorder
 from ironbarrow.lab.result import Result
 from ironbarrow.lab.settings import settings_object, zone_of
 from ironbarrow.lab.sim.back import SimulatedBack
@@ -32,11 +32,11 @@
 from ironbarrow.runtime.clock import MS, SECOND
 
 _WARM_UP = 500 * MS  # the dispatchers have run so long when the first job is due
-_LAST_ANSWER = 3200 * MS  # as ``ironbarrow.daemon`` has it
+_ANSWER_DEADLINE = 3200 * MS  # as ``ironbarrow.daemon`` has it
 _CLOSE_IDLE = 1500 * MS
 _SAMPLE_STEP = 250 * MS
-_LOOKS_ON = 20 * MS
-_COLLECT_AFTER = 100_000  # new objects
+_LATE_ANSWER_MARGIN = 20 * MS
+_GC_THRESHOLD = 100_000  # new objects
 _STATES = {
     "up": api.WorkerState.UP,
     "draining": api.WorkerState.DRAINING,
@@ -44,49 +44,52 @@
 }
 
 
-class Digest(Watcher):
+class Digest(WorkerObserver):
     """A running hash over what happened, in order: equal for equal runs."""
 
-    def __init__(self, clock: SimulatedClock, apart: frozenset[str]) -> None:
-        self._clock, self._apart = clock, apart  # apart: workers whose own events are left out
+    def __init__(self, clock: SimulatedClock, ignored_workers: frozenset[str]) -> None:
+        self._clock, self._ignored_workers = (
+            clock,
+            ignored_workers,
+        )  # ignored_workers: workers whose own events are left out
         self._hash = blake2b(digest_size=16)
         self._start = clock.now()
 
-    def note(self, *words: object) -> None:
+    def add(self, *words: object) -> None:
         self._hash.update(f"{self._clock.now() - self._start} {words}\n".encode())
 
     def job_started(self, worker: str, job_id: str) -> None:
-        if worker not in self._apart:
-            self.note("start", worker, job_id)
+        if worker not in self._ignored_workers:
+            self.add("start", worker, job_id)
 
-    def job_ended(self, worker: str, job_id: str, how: str) -> None:
-        if worker not in self._apart:
-            self.note(how, worker, job_id)
+    def job_ended(self, worker: str, job_id: str, outcome: str) -> None:
+        if worker not in self._ignored_workers:
+            self.add(outcome, worker, job_id)
 
-    def fell(self, worker: str) -> None:
-        self.note("fell", worker)
+    def collapsed(self, worker: str) -> None:
+        self.add("fell", worker)
 
     def hex(self) -> str:
         return self._hash.hexdigest()
 
 
-class _Watchers(Watcher):
+class _WorkerObservers(WorkerObserver):
     """Tells several."""
 
-    def __init__(self, *watchers: Watcher) -> None:
-        self._all = watchers
+    def __init__(self, *observers: WorkerObserver) -> None:
+        self._observers = observers
 
     def job_started(self, worker: str, job_id: str) -> None:
-        for watcher in self._all:
-            watcher.job_started(worker, job_id)
+        for observer in self._observers:
+            observer.job_started(worker, job_id)
 
-    def job_ended(self, worker: str, job_id: str, how: str) -> None:
-        for watcher in self._all:
-            watcher.job_ended(worker, job_id, how)
+    def job_ended(self, worker: str, job_id: str, outcome: str) -> None:
+        for observer in self._observers:
+            observer.job_ended(worker, job_id, outcome)
 
-    def fell(self, worker: str) -> None:
-        for watcher in self._all:
-            watcher.fell(worker)
+    def collapsed(self, worker: str) -> None:
+        for observer in self._observers:
+            observer.collapsed(worker)
 
 
 @dataclass(slots=True, eq=False)
@@ -109,7 +112,7 @@
         self.zone = zone_of(run.world, number)
         self.settings = read_settings(settings_object(run.world, number))
         self.process: _Process | None = None
-        self._known: News = run.fleet.discovery.whole()
+        self._known: ListUpdate = run.fleet.discovery.full_list()
         self._starts = 0
 
     def start(self) -> None:
@@ -124,28 +127,30 @@
         if run.world.dispatchers.routes:
             text = run.world.dispatchers.routes.encode()
             process.router = Router(Table(Loaded(parse(text, "routes"), {}, ("routes",)), self.settings))
-        host.update_workers(_list(self._known, api.ListKind.LAST_KNOWN))
+        host.update_workers(_worker_list(self._known, api.ListKind.LAST_KNOWN))
         process.leave_discovery = run.fleet.discovery.subscribe(
-            f"d{self.number}", lambda news: clock.run(self._listed, (process, news))
+            f"d{self.number}", lambda update: clock.run(self._on_list_update, (process, update))
         )
         run.load_balancer.mark_ready(self.number)
 
-    def known(self) -> News:
+    def known(self) -> ListUpdate:
         """The list of workers as it knows it."""
         return self._known
 
-    def _listed(self, process: _Process, news: News) -> None:
-        for entry in news.entries:
-            self._run.audit.told(self.number, entry.name, up=entry.status == "up")
-        if news.whole:
-            self._known = news
+    def _on_list_update(self, process: _Process, update: ListUpdate) -> None:
+        for entry in update.entries:
+            self._run.audit.status_received(self.number, entry.name, up=entry.status == "up")
+        if update.is_full:
+            self._known = update
         else:
             kept = {entry.name: entry for entry in self._known.entries}
-            for entry in news.entries:
+            for entry in update.entries:
                 kept[entry.name] = entry
-            self._known = News(news.version, True, tuple(e for e in kept.values() if e.status != "removed"))
-        kind = api.ListKind.FULL if news.whole else api.ListKind.CHANGES
-        process.host.update_workers(_list(news, kind))
+            self._known = ListUpdate(
+                update.version, True, tuple(e for e in kept.values() if e.status != "removed")
+            )
+        kind = api.ListKind.FULL if update.is_full else api.ListKind.CHANGES
+        process.host.update_workers(_worker_list(update, kind))
 
     def reload(self) -> None:
         """Moves to another address of the discovery service: the whole list comes once more."""
@@ -153,7 +158,7 @@
         if process is not None:
             process.leave_discovery()
             process.leave_discovery = self._run.fleet.discovery.subscribe(
-                f"d{self.number}", lambda news: process.clock.run(self._listed, (process, news))
+                f"d{self.number}", lambda update: process.clock.run(self._on_list_update, (process, update))
             )
 
     def end(self, down: int, *, killed: bool) -> None:
@@ -162,12 +167,12 @@
         if process is None:
             return
         self.process = None
-        process.clock.over = True
+        process.clock.ended = True
         process.leave_discovery()
         process.back.close()
         if killed or process.host.unanswered:
             self._run.audit.dispatcher_died(self.number)
-        self._run.clients_lost(self)
+        self._run.reset_clients(self)
         self._run.load_balancer.mark_failed(self.number)
         self._run.clock.call_at(self._run.clock.now() + down, self.start)
 
@@ -178,7 +183,7 @@
             return
         process.stopping_at = self._run.clock.now()
         self._run.load_balancer.mark_stopping(self.number)
-        process.host.answer_deadline = process.stopping_at + _LAST_ANSWER
+        process.host.answer_deadline = process.stopping_at + _ANSWER_DEADLINE
         stop_time = self._run.world.dispatchers.stop_time
         self._run.clock.call_at(process.stopping_at + _CLOSE_IDLE, self._end_when_done, process, down)
         self._run.clock.call_at(process.stopping_at + stop_time, self._end_now, process, down)
@@ -196,21 +201,21 @@
             self.end(down, killed=False)
 
 
-def _list(news: News, kind: api.ListKind) -> api.WorkerList:
+def _worker_list(update: ListUpdate, kind: api.ListKind) -> api.WorkerList:
     entries = tuple(
         api.WorkerEntry(e.name, e.zone, None, e.kind, e.weight, e.since, _STATES[e.status])
-        for e in news.entries
+        for e in update.entries
     )
-    return api.WorkerList(kind, entries, news.version)
+    return api.WorkerList(kind, entries, update.version)
 
 
 @dataclass(slots=True, eq=False)
 class _Client:
     """One order's client, over its tries."""
 
-    order: Order
+    request: ClientRequest
     tries: int = 0
-    over: bool = False
+    done: bool = False
     dispatcher: _Dispatcher | None = None
     job: HostJob | None = None
     job_id: str = ""
@@ -219,7 +224,7 @@
 class Simulation:
     """One world, one seed."""
 
-    def __init__(self, world: World, seed: int, *, apart: frozenset[str] = frozenset()) -> None:
+    def __init__(self, world: World, seed: int, *, ignored_workers: frozenset[str] = frozenset()) -> None:
         if world.dispatchers.fleet is not None or any(f.kind == "dispatcher stopped" for f in world.faults):
             raise WorldError(
                 "`dispatchers.fleet` and 'dispatcher stopped' are played live alone; "
@@ -229,26 +234,28 @@
         self.clock = SimulatedClock()
         self.streams = Streams(seed)
         self.audit = Auditor(self.clock, world)
-        self.digest = Digest(self.clock, apart)
-        self.fleet = Fleet(self.clock, world, self.streams, _Watchers(self.audit, self.digest))
-        self.habits = Habits(self.clock, world, self.streams)
+        self.digest = Digest(self.clock, ignored_workers)
+        self.fleet = Fleet(self.clock, world, self.streams, _WorkerObservers(self.audit, self.digest))
+        self.client_behaviour = ClientBehaviour(self.clock, world, self.streams)
         self.load_balancer = LoadBalancer(
             self.clock, [zone_of(world, n) for n in range(world.dispatchers.count)], world.clients.notice
         )
         self.dispatchers = [_Dispatcher(self, n) for n in range(world.dispatchers.count)]
         self.recorder = Recorder(world)
-        self.workload = Workload(self.clock, world, self.streams, self._ordered)
-        self.faults = Faults(self.clock, world, self.fleet, self.workload, self, self.streams)
+        self.workload = Workload(self.clock, world, self.streams, self._on_request)
+        self.faults = FaultSchedule(self.clock, world, self.fleet, self.workload, self, self.streams)
         self._waiting: dict[_Client, None] = {}  # with a job at a dispatcher
-        self._open = 0
-        self._open_area, self._open_at = 0, 0  # orders under way, summed over time (ns)
+        self._open_requests = 0
+        self._open_integral, self._open_updated_at = 0, 0  # orders under way, summed over time (ns)
         self.turned_away = 0  # by limits, before the decisions
-        self.samples = Sampler(_SAMPLE_STEP, [], [])
+        self.samples = LoadSamples(_SAMPLE_STEP, [], [])
 
     def make_back(self, number: int, clock: ProcessClock, host: Host) -> SimulatedBack:
         """The back of a dispatcher's new process."""
         zone = zone_of(self.world, number)
-        return SimulatedBack(clock, host, self.fleet, self.audit, f"d{number}", zone, self.habits.needs)
+        return SimulatedBack(
+            clock, host, self.fleet, self.audit, f"d{number}", zone, self.client_behaviour.demands
+        )
 
     # Faults on dispatchers
 
@@ -264,24 +271,24 @@
     def pause(self, number: int, lasts: int) -> None:
         raise WorldError("a dispatcher is stopped in live mode alone")
 
-    def trouble_links(self, fault: Fault) -> None:
+    def impair_links(self, fault: Fault) -> None:
         raise WorldError("links between dispatchers are there in live mode alone")
 
     # The run
 
     def run(self) -> Result:
-        """Plays it to the end: until every order is over and a little longer."""
-        begun = time.perf_counter()
+        """Plays it to the end: until every request is done and a little longer."""
+        wall_start = time.perf_counter()
         # a job and its calls hold each other: without collections memory grows with all jobs that ever came,
         # and with the usual threshold a quarter of the time goes into looking at what stays alive
         threshold = gc.get_threshold()
-        gc.set_threshold(_COLLECT_AFTER, 50, 1000)
+        gc.set_threshold(_GC_THRESHOLD, 50, 1000)
         try:
-            return self._run(begun)
+            return self._run(wall_start)
         finally:
             gc.set_threshold(*threshold)
 
-    def _run(self, begun: float) -> Result:
+    def _run(self, wall_start: float) -> Result:
         for dispatcher in self.dispatchers:
             dispatcher.start()
         self.clock.run(self.clock.now() + _WARM_UP)
@@ -292,22 +299,26 @@
         self._sample()
         longest = max(cls.deadline for cls in self.world.classes)
         last = started_at + self.world.duration + longest + SECOND
-        while self.clock.now() < last and not (self.workload.ended and not self._open):
+        while self.clock.now() < last and not (self.workload.ended and not self._open_requests):
             self.clock.run(min(last, self.clock.now() + SECOND))
-        self.clock.run(self.clock.now() + self.world.dispatchers.answer_slack + _LOOKS_ON)
+        self.clock.run(self.clock.now() + self.world.dispatchers.answer_slack + _LATE_ANSWER_MARGIN)
         return Result(
             self.world,
             self.seed,
             "simulated",
             self.recorder.columns(),
             self.audit.finish(),
-            self.faults.played,
+            self.faults.injected,
             self.samples,
-            time.perf_counter() - begun,
+            time.perf_counter() - wall_start,
             (self.clock.now() - started_at) / SECOND,
             self.digest.hex(),
             self.clock.events,
-            {**self.audit.loads(started_at), "turned_away": self.turned_away, "little": self._little()},
+            {
+                **self.audit.rates_by_second(started_at),
+                "turned_away": self.turned_away,
+                "little": self._littles_law_ratio(),
+            },
         )
 
     def _sample(self) -> None:
@@ -319,127 +330,131 @@
 
     # Clients
 
-    def _ordered(self, order: Order) -> None:
-        client = _Client(order)
-        self._count_open(1)
-        self.clock.call_at(order.due + order.patience, self._gives_up, client)
-        self._try(client)
+    def _on_request(self, request: ClientRequest) -> None:
+        client = _Client(request)
+        self._change_open(1)
+        self.clock.call_at(request.due + request.patience, self._on_patience_expired, client)
+        self._send_try(client)
 
-    def _count_open(self, change: int) -> None:
+    def _change_open(self, change: int) -> None:
         now = self.clock.now()
-        self._open_area += self._open * (now - self._open_at)
-        self._open_at = now
-        self._open += change
+        self._open_integral += self._open_requests * (now - self._open_updated_at)
+        self._open_updated_at = now
+        self._open_requests += change
 
-    def _little(self) -> float:
+    def _littles_law_ratio(self) -> float:
         """Orders under way, counted over time, over rate times mean latency: 1 by Little's law."""
         latencies = sum(self.recorder.latency)
-        return self._open_area / latencies if latencies else 1.0
+        return self._open_integral / latencies if latencies else 1.0
 
-    def _try(self, client: _Client) -> None:
-        if client.over:
+    def _send_try(self, client: _Client) -> None:
+        if client.done:
             return
         client.tries += 1
-        number = self.load_balancer.choose(client.order.zone)
+        number = self.load_balancer.choose(client.request.zone)
         delay = self.fleet.network.client_latency("consumers")
         if number is None:
-            self.clock.call_at(self.clock.now() + 2 * delay, self._heard, client, "unreachable", 0)
+            self.clock.call_at(self.clock.now() + 2 * delay, self._on_result, client, "unreachable", 0)
         else:
-            self.clock.call_at(self.clock.now() + delay, self._arrives, client, self.dispatchers[number])
+            self.clock.call_at(self.clock.now() + delay, self._on_arrival, client, self.dispatchers[number])
 
-    def _arrives(self, client: _Client, dispatcher: _Dispatcher) -> None:
-        if client.over:
+    def _on_arrival(self, client: _Client, dispatcher: _Dispatcher) -> None:
+        if client.done:
             return
         process = dispatcher.process
-        order = client.order
-        left = order.due + order.deadline - self.clock.now()
-        if process is None or left < MS:
-            self._later(self._heard, client, "unreachable", 0)
+        request = client.request
+        remaining = request.due + request.deadline - self.clock.now()
+        if process is None or remaining < MS:
+            self._call_after_latency(self._on_result, client, "unreachable", 0)
             return
-        client.job_id = job_id = self.habits.new_try(order, client.tries)
-        cls = self.world.classes[order.cls]
-        terms = JobOptions()
+        client.job_id = job_id = self.client_behaviour.start_try(request, client.tries)
+        cls = self.world.classes[request.cls]
+        options = JobOptions()
         job_class, tenant = cls.name, None
         if process.router is not None:
             headers = {
-                "cookie": f"sid={order.session}",
-                "x-farm": f"farm{order.farm}",
+                "cookie": f"sid={request.session}",
+                "x-farm": f"farm{request.farm}",
                 "x-request-id": job_id,
             }
-            target, size = f"/{cls.name}/{order.number}", 200
-            seen = make_request("POST", target, headers, body_size=size, time_left=left, zone=dispatcher.zone)
-            found = process.router.admit(seen, self.clock.now())
-            if not isinstance(found, Ticket):
+            target, size = f"/{cls.name}/{request.number}", 200
+            routed_request = make_request(
+                "POST", target, headers, body_size=size, time_left=remaining, zone=dispatcher.zone
+            )
+            admitted = process.router.admit(routed_request, self.clock.now())
+            if not isinstance(admitted, Ticket):
                 self.turned_away += 1
-                self._later(self._heard, client, "refused", found.retry_after)
+                self._call_after_latency(self._on_result, client, "refused", admitted.retry_after)
                 return
-            job_class, tenant = found.route.cls.name, found.tenant
-            terms = JobOptions(**arrival(found, dispatcher.settings), limiter=found)
-        self.audit.taken(job_id, order.number, dispatcher.number, left, unsafe=cls.effect == "unsafe")
+            job_class, tenant = admitted.route.cls.name, admitted.tenant
+            options = JobOptions(**arrival(admitted, dispatcher.settings), limiter=admitted)
+        self.audit.job_taken(
+            job_id, request.number, dispatcher.number, remaining, unsafe=cls.effect == "unsafe"
+        )
         client.dispatcher = dispatcher
         self._waiting[client] = None
         # whole milliseconds pass on a socket, rounded down: no answer may come after its time
-        left = left // MS * MS
+        remaining = remaining // MS * MS
         client.job = process.host.submit(
             Payload(job_id, "POST", "/" + cls.name, b""),
-            lambda answer: self._answered(client, job_id, answer),
+            lambda answer: self._on_answer(client, job_id, answer),
             job_class=job_class,
             tenant=tenant,
-            options=terms,
-            time_left=left,
-            key=order.session,
-            slots=float(order.slots),
+            options=options,
+            time_left=remaining,
+            key=request.session,
+            slots=float(request.slots),
             repeat=client.tries > 1,
         )
 
-    def _answered(self, client: _Client, job_id: str, answer: Answer) -> None:
-        self.audit.answered(job_id, answer.verdict.value)
-        self.digest.note(answer.verdict.value, job_id)
+    def _on_answer(self, client: _Client, job_id: str, answer: Answer) -> None:
+        self.audit.job_answered(job_id, answer.verdict.value)
+        self.digest.add(answer.verdict.value, job_id)
         self._waiting.pop(client, None)
         client.job = None
         retry_after = answer.retry_after if answer.verdict is Verdict.REFUSED else 0
-        self._later(self._heard, client, answer.verdict.value, retry_after)
+        self._call_after_latency(self._on_result, client, answer.verdict.value, retry_after)
 
-    def _later(self, call: Any, *args: object) -> None:
+    def _call_after_latency(self, call: Any, *args: object) -> None:
         self.clock.call_at(self.clock.now() + self.fleet.network.client_latency("answers"), call, *args)
 
-    def _heard(self, client: _Client, how: str, retry_after: int) -> None:
-        if client.over:
+    def _on_result(self, client: _Client, result: str, retry_after: int) -> None:
+        if client.done:
             return
-        step = self.habits.next_step(client.order, how, client.tries, retry_after)
-        if isinstance(step, Ended):
-            self._ends(client, step.outcome)
+        step = self.client_behaviour.next_step(client.request, result, client.tries, retry_after)
+        if isinstance(step, Finished):
+            self._finish(client, step.outcome)
         else:
-            self.clock.call_at(self.clock.now() + step.pause, self._try, client)
+            self.clock.call_at(self.clock.now() + step.pause, self._send_try, client)
 
-    def _gives_up(self, client: _Client) -> None:
-        if not client.over:
-            self._ends(client, self.habits.gives_up(client.order))
+    def _on_patience_expired(self, client: _Client) -> None:
+        if not client.done:
+            self._finish(client, self.client_behaviour.timeout_outcome(client.request))
 
-    def _ends(self, client: _Client, outcome: str) -> None:
-        client.over = True
-        self._count_open(-1)
-        self.recorder.add(client.order, outcome, self.clock.now(), client.tries)
+    def _finish(self, client: _Client, outcome: str) -> None:
+        client.done = True
+        self._change_open(-1)
+        self.recorder.add(client.request, outcome, self.clock.now(), client.tries)
         if client.job is not None and outcome == "no answer":
             # it has no use for an answer now, and still looks whether one comes by the end of the slack
-            late = self.world.dispatchers.answer_slack + _LOOKS_ON
-            self.clock.call_at(self.clock.now() + late, self._hangs_up, client)
+            late = self.world.dispatchers.answer_slack + _LATE_ANSWER_MARGIN
+            self.clock.call_at(self.clock.now() + late, self._disconnect, client)
         else:
-            self._hangs_up(client)
-        self.habits.forget(client.order, client.tries)
+            self._disconnect(client)
+        self.client_behaviour.forget(client.request, client.tries)
 
-    def _hangs_up(self, client: _Client) -> None:
+    def _disconnect(self, client: _Client) -> None:
         job, process = client.job, client.dispatcher.process if client.dispatcher else None
         if job is not None:
             self._waiting.pop(client, None)
             client.job = None
-            self.audit.left(client.job_id)
+            self.audit.client_left(client.job_id)
             if process is not None:
                 process.host.withdraw(job)
 
-    def clients_lost(self, dispatcher: _Dispatcher) -> None:
+    def reset_clients(self, dispatcher: _Dispatcher) -> None:
         """Its connections are reset: whoever waited there hears so."""
         for client in [c for c in self._waiting if c.dispatcher is dispatcher]:
             self._waiting.pop(client, None)
             client.job = None
-            self._later(self._heard, client, "failed", 0)
+            self._call_after_latency(self._on_result, client, "failed", 0)
--- a/ironbarrow/lab/soak/lingering.py
+++ b/ironbarrow/lab/soak/lingering.py
@@ -2,8 +2,8 @@
 
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.lab.audit import Auditor
-from ironbarrow.lab.model.client import Habits
-from ironbarrow.lab.model.workload import Order
+from ironbarrow.lab.model.client import ClientBehaviour
+from ironbarrow.lab.model.workload import ClientRequest
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine, Loop, sleep
 from ironbarrow.runtime.sockets import Address
 from ironbarrow.transport.http import Connection, connect
@@ -16,13 +16,15 @@
 class LingeringClient:
     """Sends one safe job after another on one connection, until the other side ends it."""
 
-    def __init__(self, loop: Loop, audit: Auditor, habits: Habits, dispatcher: int, address: Address) -> None:
+    def __init__(
+        self, loop: Loop, audit: Auditor, habits: ClientBehaviour, dispatcher: int, address: Address
+    ) -> None:
         self._loop, self._audit, self._habits = loop, audit, habits
         self._dispatcher, self._address = dispatcher, address
         self.answered = 0
         self.unanswered: list[str] = []  # jobs that stayed open beyond their time
 
-    def run(self, order: Order, deadline: int, target: str) -> Coroutine[None]:
+    def run(self, order: ClientRequest, deadline: int, target: str) -> Coroutine[None]:
         """``order`` is tried again and again under new ids, each for ``deadline`` ns."""
         try:
             connection = yield from connect(self._address, self._loop.now() + _CONNECT_LIMIT)
@@ -32,7 +34,7 @@
         try:
             while True:
                 tries += 1
-                job_id = self._habits.new_try(order, tries)
+                job_id = self._habits.start_try(order, tries)
                 yield from self._ask(connection, job_id, order, deadline, target)
                 if not connection.next_cycle():
                     return
@@ -43,7 +45,7 @@
             connection.close()
 
     def _ask(
-        self, connection: Connection, job_id: str, order: Order, deadline: int, target: str
+        self, connection: Connection, job_id: str, order: ClientRequest, deadline: int, target: str
     ) -> Coroutine[None]:
         headers = [
             ("Host", "{}:{}".format(*self._address)),
@@ -52,14 +54,14 @@
         ]
         until = self._loop.now() + deadline + _SLACK
         yield from connection.write(connection.request_bytes("POST", target, headers, b"x"), until)
-        self._audit.taken(job_id, order.number, self._dispatcher, deadline, unsafe=False)
+        self._audit.job_taken(job_id, order.number, self._dispatcher, deadline, unsafe=False)
         try:
             answer = yield from connection.read_message(until)
         except ConnectionEndedError as error:
             if error.ending is Ending.STALLED:
                 self.unanswered.append(job_id)
-            self._audit.left(job_id)  # the request crossed the end of the connection
+            self._audit.client_left(job_id)  # the request crossed the end of the connection
             raise
         self.answered += 1
         verdict = {200: "served", 429: "refused", 503: "refused"}.get(answer.status, "failed")
-        self._audit.answered(job_id, verdict)
+        self._audit.job_answered(job_id, verdict)
--- a/ironbarrow/lab/soak/run.py
+++ b/ironbarrow/lab/soak/run.py
@@ -11,7 +11,7 @@
 
 from ironbarrow.lab.live.processes import Program
 from ironbarrow.lab.live.run import LiveError, LiveRun
-from ironbarrow.lab.model.workload import Order
+from ironbarrow.lab.model.workload import ClientRequest
 from ironbarrow.lab.soak.lingering import LingeringClient
 from ironbarrow.lab.soak.plan import SoakPlan
 from ironbarrow.runtime.clock import MS, SECOND
@@ -86,14 +86,14 @@
         cls = self.world.classes[0]
         for _ in range(_LINGERING):
             client = LingeringClient(self.loop, self.audit, self._habits, number, self._listen[number])
-            order = Order(
+            order = ClientRequest(
                 number=_LINGERING_FROM + len(self.lingering),
                 cls=0,
                 due=self.loop.now(),
                 deadline=cls.deadline,
                 wanted=cls.wanted,
                 patience=cls.deadline,
-                honours=False,
+                honours_retry_after=False,
                 work=cls.work.mean,
                 slots=1,
                 zone=self.world.network.zones[0],
--- a/ironbarrow/lab/tally.py
+++ b/ironbarrow/lab/tally.py
@@ -36,12 +36,12 @@
 _MAY_HAVE_RUN = frozenset(("error", "reset", "timeout"))
 
 
-class LogsError(Exception):
+class TraceLogError(Exception):
     """Logs that can't be counted; the text names the file and what was expected."""
 
 
 @dataclass(slots=True)
-class Tally:
+class TraceCounts:
     """What a fleet did, by ``COLUMNS``: in all, by second from the start, and by worker."""
 
     dispatchers: int = 0
@@ -75,7 +75,7 @@
     reason: str = ""
     verdict: str = ""
 
-    def end(self) -> str:
+    def outcome(self) -> str:
         """How it ended: the verdict, with the reason it was given up for and whether it was ever sent."""
         if self.verdict in ("", "served", "gone"):
             return self.verdict or "no answer"
@@ -84,22 +84,22 @@
 
 
 def trace_files(folder: Path) -> list[Path]:
-    """The logs of a folder, by name; a LogsError if it is none or has none."""
+    """The logs of a folder, by name; a TraceLogError if it is none or has none."""
     if not folder.is_dir():
-        raise LogsError(f"{folder}: not a folder of logs")
+        raise TraceLogError(f"{folder}: not a folder of logs")
     paths = sorted(folder.glob("*.log"))
     if not paths:
-        raise LogsError(f"{folder}: no file *.log in it")
+        raise TraceLogError(f"{folder}: no file *.log in it")
     return paths
 
 
-def read_lines(path: Path, torn: list[Path] | None = None) -> Iterator[dict[str, Any]]:
-    """The lines of a trace in one log; the log is added to ``torn`` if its last line was cut short. A
-    LogsError names a file that can't be read, or a line that is none of a log."""
+def read_lines(path: Path, truncated: list[Path] | None = None) -> Iterator[dict[str, Any]]:
+    """The lines of a trace in one log; the log is added to ``truncated`` if its last line was cut short. A
+    TraceLogError names a file that can't be read, or a line that is none of a log."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise LogsError(f"{path}: cannot be read: {error}") from None
+        raise TraceLogError(f"{path}: cannot be read: {error}") from None
     for number, line in enumerate(text.splitlines(), 1):
         start = line.find("{")
         if start < 0:
@@ -108,19 +108,19 @@
             found = json.loads(line[start:])
         except ValueError as error:
             if number == text.count("\n") + 1:
-                if torn is not None:
-                    torn.append(path)
+                if truncated is not None:
+                    truncated.append(path)
                 continue  # the last line of a process that was killed
-            raise LogsError(f"{path}:{number}: not a line of a log: {error}") from None
+            raise TraceLogError(f"{path}:{number}: not a line of a log: {error}") from None
         if isinstance(found, dict) and isinstance(found.get("at"), int):
             yield found
 
 
-class _Fleet:
+class _TraceCounter:
     """Lays the traces side by side; who is cold or not up is as that dispatcher was told."""
 
     def __init__(self, cold_time: int) -> None:
-        self.tally = Tally()
+        self.counts = TraceCounts()
         self._cold_time = cold_time
         self._start: int | None = None
         self._jobs: dict[int, _Job] = {}
@@ -128,12 +128,12 @@
     def end_process(self) -> None:
         """A log, or a process in it, has ended: its jobs are counted, and its numbers begin anew."""
         for job in self._jobs.values():
-            row = self.tally.classes.setdefault(job.job_class, Counter())
+            row = self.counts.classes.setdefault(job.job_class, Counter())
             row["asked"] += 1
-            row[job.end()] += 1
+            row[job.outcome()] += 1
         self._jobs = {}
 
-    def _note_job(self, line: dict[str, Any]) -> None:
+    def _track_job(self, line: dict[str, Any]) -> None:
         what = line.get("what") or line.get("event")
         if what == "settings":
             self.end_process()
@@ -147,23 +147,25 @@
             elif what == "answered":
                 job.verdict = line["verdict"]
 
-    def begin(self, at: int) -> None:
+    def set_start(self, at: int) -> None:
         self._start = at if self._start is None else min(self._start, at)
 
-    def count(self, line: dict[str, Any], told: dict[str, tuple[str, int]]) -> None:
-        """One line of a dispatcher; ``told``: the state and the start of each worker, as it knows them."""
+    def count(self, line: dict[str, Any], known: dict[str, tuple[str, int]]) -> None:
+        """One line of a dispatcher; ``known``: the state and the start of each worker, as it knows them."""
         assert self._start is not None
-        self._note_job(line)
-        names = list(self._names(line, told))
+        self._track_job(line)
+        columns = list(self._column_counts(line, known))
         second = (line["at"] - self._start) // SECOND
         worker = line.get("worker")
-        for name, number in names:
-            self.tally.total[name] += number
-            self.tally.seconds.setdefault(second, Counter())[name] += number
+        for name, number in columns:
+            self.counts.total[name] += number
+            self.counts.seconds.setdefault(second, Counter())[name] += number
             if worker:
-                self.tally.workers.setdefault(worker, Counter())[name] += number
+                self.counts.workers.setdefault(worker, Counter())[name] += number
 
-    def _names(self, line: dict[str, Any], told: dict[str, tuple[str, int]]) -> Iterator[tuple[str, int]]:
+    def _column_counts(
+        self, line: dict[str, Any], known: dict[str, tuple[str, int]]
+    ) -> Iterator[tuple[str, int]]:
         what = line.get("what")
         if line.get("event") == "connect":
             yield "connects", 1
@@ -172,7 +174,7 @@
                 yield "lists_lost", 1
                 return
             for name, state, _, started_at in line["lines"]:
-                told[name] = (state, started_at)
+                known[name] = (state, started_at)
             yield "lists", 1
             yield "lines", len(line["lines"])
         elif what == "AttemptEnded":
@@ -183,33 +185,33 @@
         elif what in _COUNTED:
             yield _COUNTED[what], 1
             if what == "Send":
-                state, started_at = told.get(line["worker"], ("up", 0))
+                state, started_at = known.get(line["worker"], ("up", 0))
                 if state != "up":
                     yield "not_up", 1
                 elif started_at and line["at"] < started_at + self._cold_time:
                     yield "cold", 1
 
 
-def tally(folder: Path, cold_s: float = 20.0) -> Tally:
-    """Counts a folder's logs, ``*.log``, one file a dispatcher; a LogsError says what is wrong with them.
+def count_traces(folder: Path, cold_s: float = 20.0) -> TraceCounts:
+    """Counts a folder's logs, ``*.log``, one file a dispatcher; a TraceLogError says what is wrong with them.
 
     ``cold_s``: how long a worker counts as cold after its start, s.
     """
     paths = trace_files(folder)
-    fleet = _Fleet(int(cold_s * SECOND))
+    counter = _TraceCounter(int(cold_s * SECOND))
     found = {path: list(read_lines(path)) for path in paths}
     for lines in found.values():
         for line in lines:
-            fleet.begin(line["at"])
+            counter.set_start(line["at"])
     if not any(found.values()):
-        raise LogsError(f"{folder}: no line of a trace; the dispatchers need BALANCER_TRACE=1")
+        raise TraceLogError(f"{folder}: no line of a trace; the dispatchers need BALANCER_TRACE=1")
     for path, lines in found.items():
-        told: dict[str, tuple[str, int]] = {}
+        known: dict[str, tuple[str, int]] = {}
         for line in lines:
             try:
-                fleet.count(line, told)
+                counter.count(line, known)
             except (KeyError, TypeError, ValueError) as error:
-                raise LogsError(f"{path}: a line lacks what a trace has: {error!r}") from None
-        fleet.end_process()
-    fleet.tally.dispatchers = len(paths)
-    return fleet.tally
+                raise TraceLogError(f"{path}: a line lacks what a trace has: {error!r}") from None
+        counter.end_process()
+    counter.counts.dispatchers = len(paths)
+    return counter.counts
--- a/ironbarrow/lab/validate.py
+++ b/ironbarrow/lab/validate.py
@@ -7,9 +7,9 @@
 from ironbarrow.config.units import Duration, ms
 from ironbarrow.lab import theory
 from ironbarrow.lab.model.randomness import Streams
-from ironbarrow.lab.model.spec import Cold, Draw, Group, Reports
+from ironbarrow.lab.model.spec import ColdStart, Distribution, LoadReports, WorkerGroup
 from ironbarrow.lab.model.store import Store, draw
-from ironbarrow.lab.model.worker import Need, Report, Watcher, Worker
+from ironbarrow.lab.model.worker import Demand, Report, Worker, WorkerObserver
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.runtime.clock import SECOND
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class CaseResult:
     """What a case came to. Waits in s; Little's law: mean number waiting, counted and by rate times wait."""
 
     case: Case
@@ -63,7 +63,7 @@
         return self.wait / self.case.expected() - 1
 
 
-class _Starts(Watcher):
+class _StartRecorder(WorkerObserver):
     def __init__(self, clock: SimulatedClock) -> None:
         self._clock = clock
         self.at: dict[str, int] = {}
@@ -72,70 +72,70 @@
         self.at[job_id] = self._clock.now()
 
 
-def run_case(case: Case, jobs: int, seed: int = 1) -> Found:
+def run_case(case: Case, jobs: int, seed: int = 1) -> CaseResult:
     """Feeds so many jobs to one worker and takes the mean of their waits."""
     clock = SimulatedClock()
     streams = Streams(seed)
-    watcher = _Starts(clock)
-    group = Group(
+    observer = _StartRecorder(clock)
+    group = WorkerGroup(
         name="p", count=1, cores=case.servers, slots=case.servers, queue=10**9, overfull_at=1e9, overfull=0
     )
-    store = Store(clock, Draw(mean=ms(1)), 1, streams["store"])
-    reports = Reports(period=Duration(3600 * SECOND))
-    worker = Worker(clock, "p", group, Cold(), reports, store, streams["p"], watcher)
-    service = Draw(mean=_SERVICE, kind=case.service)
+    store = Store(clock, Distribution(mean=ms(1)), 1, streams["store"])
+    reports = LoadReports(period=Duration(3600 * SECOND))
+    worker = Worker(clock, "p", group, ColdStart(), reports, store, streams["p"], observer)
+    service = Distribution(mean=_SERVICE, kind=case.service)
     gap = SECOND * _SERVICE.seconds / (case.load * case.servers)
     waits: list[float] = []
-    area = 0.0  # of the number waiting over time, ns
+    number_integral = 0.0  # of the number waiting over time, ns
     last_at, number = clock.now(), 0
-    first, arrivals = int(jobs * _WARM_UP), iter(_times(streams, gap, jobs, clock.now()))
-    begun = 0
+    first, arrivals = int(jobs * _WARM_UP), iter(_arrival_times(streams, gap, jobs, clock.now()))
+    measured_from = 0
 
-    def count(change: int) -> None:
-        nonlocal area, last_at, number
-        area += number * (clock.now() - last_at)
+    def change_number(change: int) -> None:
+        nonlocal number_integral, last_at, number
+        number_integral += number * (clock.now() - last_at)
         last_at, number = clock.now(), number + change
 
     def arrive(index: int) -> None:
-        nonlocal area, begun
+        nonlocal number_integral, measured_from
         if index == first:
-            count(0)
-            area, begun = 0.0, clock.now()
+            change_number(0)
+            number_integral, measured_from = 0.0, clock.now()
         arrived = clock.now()
-        count(1)
+        change_number(1)
 
-        def tell(state: str, report: Report | None) -> None:
+        def listener(state: str, report: Report | None) -> None:
             if state == "started":
-                count(-1)
+                change_number(-1)
                 if index >= first:
                     waits.append((clock.now() - arrived) / SECOND)
 
-        worker.arrive(str(index), Need(draw(service, streams["work"]), 1.0, None, _SERVICE), tell)
-        plan(index + 1)
+        worker.arrive(str(index), Demand(draw(service, streams["work"]), 1.0, None, _SERVICE), listener)
+        schedule(index + 1)
 
-    def plan(index: int) -> None:
+    def schedule(index: int) -> None:
         due = next(arrivals, None)
         if due is not None:
             clock.call_at(due, arrive, index)
 
-    plan(0)
+    schedule(0)
     while len(waits) < jobs - first:
         clock.run(clock.now() + 1000 * SECOND)
-    count(0)
+    change_number(0)
     size = max(1, len(waits) // 30)
     batches = [sum(waits[i : i + size]) / size for i in range(0, size * 30, size)]
     mean = sum(waits) / len(waits)
-    return Found(
+    return CaseResult(
         case,
         jobs,
         mean,
         theory.half_width(batches),
-        area / (last_at - begun),
-        len(waits) / ((last_at - begun) / SECOND) * mean,
+        number_integral / (last_at - measured_from),
+        len(waits) / ((last_at - measured_from) / SECOND) * mean,
     )
 
 
-def _times(streams: Streams, gap: float, jobs: int, start: int) -> Iterator[int]:
+def _arrival_times(streams: Streams, gap: float, jobs: int, start: int) -> Iterator[int]:
     at = float(start)
     for _ in range(jobs):
         at += streams["arrivals"].exponential(gap)
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -14,8 +14,8 @@
 from ironbarrow.lab.live.rollouts import RolloutRun
 from ironbarrow.lab.live.run import LiveError, LiveRun
 from ironbarrow.lab.model.spec import World, convert
-from ironbarrow.lab.model.worker import Need, Reply, Tell, Worker
-from ironbarrow.lab.model.workload import Order
+from ironbarrow.lab.model.worker import Admission, Demand, StateListener, Worker
+from ironbarrow.lab.model.workload import ClientRequest
 from ironbarrow.runtime.loop import MS, SECOND, Loop
 
 WORLD = """
@@ -274,17 +274,17 @@
     def __getattr__(self, name: str) -> Any:
         return getattr(self._worker, name)
 
-    def arrive(self, job_id: str, need: Need, tell: Tell) -> Reply:
+    def arrive(self, job_id: str, need: Demand, tell: StateListener) -> Admission:
         if not self._late(job_id):
             return self._worker.arrive(job_id, need, tell)
         self._waiting.add(job_id)
         self._loop.call_at(self._loop.now() + START_DELAY, self._now, job_id, need, tell)
-        return Reply.TAKEN
+        return Admission.ACCEPTED
 
-    def _now(self, job_id: str, need: Need, tell: Tell) -> None:
+    def _now(self, job_id: str, need: Demand, tell: StateListener) -> None:
         if job_id in self._waiting:
             self._waiting.discard(job_id)
-            if self._worker.arrive(job_id, need, tell) is not Reply.TAKEN:
+            if self._worker.arrive(job_id, need, tell) is not Admission.ACCEPTED:
                 tell("returned", None)
 
     def cancel(self, job_id: str) -> bool:
@@ -300,14 +300,14 @@
     def __init__(self, world: World, folder: Path, who: str) -> None:
         self.who, self.tenants = who, {}
         super().__init__(world, 1, folder)
-        made = self._habits.new_try
+        made = self._habits.start_try
 
-        def new_try(order: Order, number: int) -> str:
+        def new_try(order: ClientRequest, number: int) -> str:
             job_id = made(order, number)
             self.tenants[job_id] = str(order.session)
             return job_id
 
-        self._habits.new_try = new_try
+        self._habits.start_try = new_try
 
     def _open(self, worker: Worker) -> None:
         super()._open(worker)
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -19,7 +19,16 @@
 from ironbarrow.lab.fleet.files import fleet_file
 from ironbarrow.lab.fleet.links import CALM, CUT, LinkStandIns, Trouble
 from ironbarrow.lab.live.run import LiveRun
-from ironbarrow.lab.model.spec import Fault, Fleet, World, WorldError, convert, load_world, plain, with_fleet
+from ironbarrow.lab.model.spec import (
+    Fault,
+    Fleet,
+    World,
+    WorldError,
+    convert,
+    load_world,
+    to_plain_data,
+    with_fleet,
+)
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.lab.sim.run import Simulation
 from ironbarrow.runtime.loop import MS, Loop
@@ -174,7 +183,7 @@
     ],
 )
 def test_a_wrong_fault_of_a_fleet_is_named(fault: dict[str, Any], named: str) -> None:
-    raw = {**plain(world()), "faults": [fault]}
+    raw = {**to_plain_data(world()), "faults": [fault]}
     with pytest.raises(WorldError) as error:
         convert(raw, World, "w.toml")
     assert named in str(error.value)
@@ -184,7 +193,7 @@
     alone = load_world(EXPERIMENTS / "small.toml")
     fault = {"kind": "links", "at": "1 s", "lasts": "1 s"}
     with pytest.raises(WorldError, match=r"expects \[dispatchers.fleet\]"):
-        convert({**plain(alone), "faults": [fault]}, World, "w.toml")
+        convert({**to_plain_data(alone), "faults": [fault]}, World, "w.toml")
     with pytest.raises(WorldError, match="live alone"):
         Simulation(world(), 1)
 
@@ -226,13 +235,13 @@
 
 TAKEN, AGAIN = ("taken", "j", 7, 0, 10**10), ("taken", "j", 7, 1, 10**10)
 SERVED = ("answered", "served")
-DIED, GONE = ("dispatcher_died", 0), ("left", "j")
+DIED, GONE = ("dispatcher_died", 0), ("client_left", "j")
 DONE = [("job_ended", "p", "j", "done"), ("attempt_over", "j", "p")]
 PLAYS: dict[str, tuple[list[Any], Breach | None]] = {
     "taken over once": (
         [
             TAKEN,
-            ("sent", "j", "p"),
+            ("attempt_sent", "j", "p"),
             DIED,
             GONE,
             AGAIN,
@@ -243,24 +252,32 @@
         None,
     ),
     "called off, then sent again": (
-        [TAKEN, ("sent", "j", "p"), DIED, GONE, AGAIN, ("attempt_over", "j", "p"), ("sent", "j", "q")],
-        Breach.FALSE_PROOF,  # of a booking; lawful of a safe job
+        [
+            TAKEN,
+            ("attempt_sent", "j", "p"),
+            DIED,
+            GONE,
+            AGAIN,
+            ("attempt_over", "j", "p"),
+            ("attempt_sent", "j", "q"),
+        ],
+        Breach.UNSAFE_RESEND,  # of a booking; lawful of a safe job
     ),
     "sent again beside the first": (
-        [TAKEN, ("sent", "j", "p"), DIED, AGAIN, ("sent", "j", "q")],
+        [TAKEN, ("attempt_sent", "j", "p"), DIED, AGAIN, ("attempt_sent", "j", "q")],
         Breach.SECOND_COPY,
     ),
     "a booking started by both": (
         [TAKEN, ("job_started", "p", "j"), DIED, AGAIN, ("job_started", "q", "j")],
-        Breach.RAN_TWICE,
+        Breach.UNSAFE_JOB_RAN_TWICE,
     ),
     "four attempts over two holders": (
-        [TAKEN, *[("sent", "j", "p"), ("never", "j", "p")] * 2, DIED, AGAIN]
-        + [("sent", "j", "p"), ("never", "j", "p")] * 2,
-        Breach.TOO_MANY,
+        [TAKEN, *[("attempt_sent", "j", "p"), ("never", "j", "p")] * 2, DIED, AGAIN]
+        + [("attempt_sent", "j", "p"), ("never", "j", "p")] * 2,
+        Breach.TOO_MANY_ATTEMPTS,
     ),
     "the same answer twice": (
-        [TAKEN, ("sent", "j", "p"), ("job_started", "p", "j"), *DONE, SERVED, AGAIN, SERVED],
+        [TAKEN, ("attempt_sent", "j", "p"), ("job_started", "p", "j"), *DONE, SERVED, AGAIN, SERVED],
         None,
     ),
     "two answers that differ": (
@@ -269,7 +286,7 @@
     ),
     "run after its refusal": (
         [TAKEN, ("answered", "refused"), ("job_started", "p", "j")],
-        Breach.UNLAWFUL,
+        Breach.UNSAFE_REFUSAL,
     ),
 }
 
@@ -279,11 +296,11 @@
     audit = Auditor(SimulatedClock(), world())
     for what, *more in steps:
         if what == "taken":
-            audit.taken(*more, unsafe=True)
+            audit.job_taken(*more, unsafe=True)
         elif what == "answered":
-            audit.answered("j", *more)
+            audit.job_answered("j", *more)
         elif what in ("attempt_over", "never"):
-            audit.attempt_over(*more, never_ran=what == "never")
+            audit.attempt_finished(*more, never_ran=what == "never")
         else:
             getattr(audit, what)(*more)
     assert dict(audit.finish().breaches) == ({breach.value: 1} if breach else {})
@@ -378,11 +395,11 @@
 NEVER = (
     Breach.TWO_ANSWERS,
     Breach.SECOND_COPY,
-    Breach.TOO_MANY,
-    Breach.RAN_TWICE,
-    Breach.FALSE_PROOF,
-    Breach.UNLAWFUL,
-    Breach.INVENTED,
+    Breach.TOO_MANY_ATTEMPTS,
+    Breach.UNSAFE_JOB_RAN_TWICE,
+    Breach.UNSAFE_RESEND,
+    Breach.UNSAFE_REFUSAL,
+    Breach.UNFOUNDED_SUCCESS,
 )
 
 
@@ -448,7 +465,7 @@
 def play(name: str, folder: Path) -> dict[str, Any]:
     """Plays a case, in a process of its own."""
     case = CASES[name]
-    raw = {**msgspec.toml.decode(TRIED), "faults": plain(list(case.faults))}
+    raw = {**msgspec.toml.decode(TRIED), "faults": to_plain_data(list(case.faults))}
     run = LiveRun(convert(raw, World, name), 1, folder)
     if case.ends_first:
         run.end_first(case.ends_first, 500 * MS)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -36,7 +36,7 @@
 from ironbarrow.lab.record import service_over_time
 from ironbarrow.lab.sim import run as sim
 from ironbarrow.lab.sim.back import SimulatedBack
-from ironbarrow.lab.tally import tally
+from ironbarrow.lab.tally import count_traces
 from ironbarrow.lab.validate import CASES, run_case
 
 ROOT = Path(__file__).parents[1]
@@ -72,8 +72,8 @@
 # Equal seeds
 
 
-def digest(of: World, seed: int, apart: frozenset[str] = frozenset()) -> str:
-    return sim.Simulation(of, seed, apart=apart).run().digest
+def digest(of: World, seed: int, ignored_workers: frozenset[str] = frozenset()) -> str:
+    return sim.Simulation(of, seed, ignored_workers=ignored_workers).run().digest
 
 
 def test_equal_seeds_give_equal_runs_whatever_the_hash_seed() -> None:
@@ -167,13 +167,13 @@
     Breach.NO_ANSWER: (core.Host, "_finish_job", answers_nobody, [], 0.5),
     Breach.TWO_ANSWERS: (core.Host, "_finish_job", answers_twice, [], 0.5),
     Breach.SECOND_COPY: (core.Host, "_send", sends_twice, [], 0.5),
-    Breach.TOO_MANY: (sim, "settings_object", settings_with(limits__mostTries=9), [FAILING], 0.3),
-    Breach.PAST_DRAIN: (core.Host, "update_workers", hears_no_drain, [DRAINS], 0.5),
-    Breach.PUSHED_OVER: (sim, "settings_object", settings_with(guarantees__cold=0), [DEPLOY], 0.9),
-    Breach.RAN_TWICE: (core, "outcome_of", takes_all_for_unstarted, DYING, 0.7),
-    Breach.FALSE_PROOF: (core, "outcome_of", takes_all_for_unstarted, DYING, 0.7),
-    Breach.UNLAWFUL: (core.Host, "_fail", refuses_failures, [FAILING], 0.5),
-    Breach.INVENTED: (core.Host, "_fail", serves_failures, [FAILING], 0.5),
+    Breach.TOO_MANY_ATTEMPTS: (sim, "settings_object", settings_with(limits__mostTries=9), [FAILING], 0.3),
+    Breach.SENT_AFTER_DRAIN_GRACE: (core.Host, "update_workers", hears_no_drain, [DRAINS], 0.5),
+    Breach.COLD_WORKER_OVERLOADED: (sim, "settings_object", settings_with(guarantees__cold=0), [DEPLOY], 0.9),
+    Breach.UNSAFE_JOB_RAN_TWICE: (core, "outcome_of", takes_all_for_unstarted, DYING, 0.7),
+    Breach.UNSAFE_RESEND: (core, "outcome_of", takes_all_for_unstarted, DYING, 0.7),
+    Breach.UNSAFE_REFUSAL: (core.Host, "_fail", refuses_failures, [FAILING], 0.5),
+    Breach.UNFOUNDED_SUCCESS: (core.Host, "_fail", serves_failures, [FAILING], 0.5),
 }
 
 
@@ -229,7 +229,13 @@
     assert (notes["crashes"], notes["wrong_results"], notes["errors"]) == (0, 0, 0)
     assert result.verdicts.looked_at["answers"] > 100
     assert len(notes["ready_after_ms"]) == 4  # three starts and one more
-    never = {Breach.TWO_ANSWERS, Breach.SECOND_COPY, Breach.TOO_MANY, Breach.INVENTED, Breach.UNLAWFUL}
+    never = {
+        Breach.TWO_ANSWERS,
+        Breach.SECOND_COPY,
+        Breach.TOO_MANY_ATTEMPTS,
+        Breach.UNFOUNDED_SUCCESS,
+        Breach.UNSAFE_REFUSAL,
+    }
     assert not never & {Breach(name) for name in result.verdicts.breaches}
 
 
@@ -496,7 +502,7 @@
                 "outcome": "full",
             },
         )
-    found = tally(tmp_path, cold_s=2.0)
+    found = count_traces(tmp_path, cold_s=2.0)
     assert found.dispatchers == 2
     assert found.classes["map"] == {"asked": 2, "no answer": 2}
     assert found.classes["decode"] == {"asked": 2, "refused unsent: not_admitted": 2}
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -15,7 +15,7 @@
 from ironbarrow.lab.live.processes import Program
 from ironbarrow.lab.live.run import LiveError, LiveRun
 from ironbarrow.lab.model.spec import World, convert
-from ironbarrow.lab.model.worker import Need
+from ironbarrow.lab.model.worker import Demand
 from ironbarrow.runtime.loop import MS, SECOND
 
 ROUTED = """
@@ -104,8 +104,8 @@
 def test_a_request_whose_connection_is_closed_before_it_is_read_is_not_begun(tmp_path: Path) -> None:
     """Guards against a second copy that is none: the laboratory reads the given-up request after the next."""
     run = routed_run(tmp_path)
-    run._habits.needs["j1"] = Need(work=1.0, slots=1, key=None, usual=1.0)
-    run.audit.taken("j1", 1, 0, 9000 * MS, unsafe=False)
+    run._habits.demands["j1"] = Demand(work=1.0, slots=1, key=None, class_mean=1.0)
+    run.audit.job_taken("j1", 1, 0, 9000 * MS, unsafe=False)
     request = b"POST /map/1 HTTP/1.1\r\nHost: p\r\nX-Request-ID: j1\r\nContent-Length: 0\r\n\r\n"
     first, second = run._doors["p-0"]
     try:
@@ -114,7 +114,7 @@
         with socket.create_connection(second.address) as kept:
             kept.sendall(request)
             limit = time.monotonic() + START_LIMIT_S
-            while run.audit._looked["attempts"] < 2 and time.monotonic() < limit:
+            while run.audit._checked["attempts"] < 2 and time.monotonic() < limit:
                 run._turn(20 * MS)
         verdicts = run.audit.finish()
         assert verdicts.kept and verdicts.looked_at["attempts"] == 2 and verdicts.looked_at["starts"] == 1
