--- a/ironbarrow/lab/model/__init__.py
+++ b/ironbarrow/lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""The model: workers, service discovery, clients, network and faults, free of what drives time."""
+"""The model: workers, discovery service, clients, network and faults, independent of the clock's kind."""
--- a/ironbarrow/lab/model/client.py
+++ b/ironbarrow/lab/model/client.py
@@ -1,4 +1,4 @@
-"""How clients go on after an answer, and what each of their tries takes of a worker."""
+"""Client behaviour: retries and pauses after an answer, and the resources that each try needs."""
 
 from dataclasses import dataclass
 
@@ -8,25 +8,25 @@
 from ironbarrow.lab.model.workload import ClientRequest
 from ironbarrow.runtime.clock import SECOND, Clock
 
-_DEMAND_RETENTION = 30 * SECOND  # a late DELETE or call-back still asks for a try's needs
+_DEMAND_RETENTION = 30 * SECOND  # late DELETEs and call-backs still look up the demand of a try
 
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """The client goes no further."""
+    """The client makes no further try."""
 
     outcome: str
 
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """The client tries again after a pause, ns."""
+    """The client tries again after ``pause`` ns."""
 
     pause: int
 
 
 class ClientBehaviour:
-    """Retries, pauses and needs of all clients of a world."""
+    """Retry policy of all clients of a world, and the demands of their tries by job id."""
 
     def __init__(self, clock: Clock, world: World, streams: Streams) -> None:
         self._clock, self._world = clock, world
@@ -35,9 +35,9 @@
         self.demands: dict[str, Demand] = {}
 
     def start_try(self, request: ClientRequest, number: int) -> str:
-        """The id of an order's next try; what it needs is known from now on."""
+        """The job id of the request's try ``number``; draws and stores its demand unless that exists."""
         job_id = f"{request.number:x}-{number}"
-        if job_id in self.demands:  # it comes again under the same id
+        if job_id in self.demands:  # repeated under the same id
             return job_id
         cls = self._world.classes[request.cls]
         work = (
@@ -49,7 +49,7 @@
         return job_id
 
     def forget(self, request: ClientRequest, tries: int) -> None:
-        """The request is over: after a while nobody asks for its tries any more."""
+        """The request has ended: deletes the demands of its tries after the retention time."""
         self._clock.call_at(self._clock.now() + _DEMAND_RETENTION, self._forget, request.number, tries)
 
     def _forget(self, number: int, tries: int) -> None:
@@ -59,8 +59,9 @@
     def next_step(
         self, request: ClientRequest, result: str, tries: int, retry_after: int
     ) -> Finished | Retry:
-        """What a client does who heard ``result`` (served, refused, failed, or unreachable: no connection)
-        after so many tries. What may have run and must not run twice is never tried again."""
+        """What the client does after ``tries`` tries, the last of which had this ``result`` (served, refused,
+        failed, or unreachable: no connection). ``retry_after`` is in ns. A failed unsafe job is not tried
+        again, because it may have run."""
         rules = self._world.clients
         unsafe = self._world.classes[request.cls].effect == "unsafe"
         may_retry = result in ("refused", "unreachable") or (result == "failed" and not unsafe)
@@ -76,9 +77,9 @@
         return finished if self._clock.now() + pause >= request.due + request.patience else Retry(pause)
 
     def retry_same_id(self, request: ClientRequest, result: str) -> Retry | None:
-        """What a client does whose connection was refused or broke before any answer, where the job may
-        have been taken over: it asks for the same job again, at once or, refused, after a pause. None if
-        its time is over, or if it does not do so."""
+        """The repetition under the same id after a connection was refused or broke before any answer, where
+        another dispatcher may have taken the job over: at once, or after a pause if the connection was
+        refused. None if no time is left or if clients do not repeat requests."""
         rules = self._world.clients
         if not rules.same_id or self._world.dispatchers.fleet is None:
             return None
@@ -87,5 +88,5 @@
 
     @staticmethod
     def timeout_outcome(request: ClientRequest) -> str:
-        """The outcome of an request whose client has waited long enough."""
+        """The outcome of a request whose client's patience has run out."""
         return "no answer" if request.patience >= request.deadline else "left"
