--- a/ironbarrow/lab/model/discovery.py
+++ b/ironbarrow/lab/model/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery service: one true list of workers, pushed to each subscriber late and in order."""
+"""The discovery service: one list of workers, whose updates reach each subscriber delayed and in order."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A worker's line. ``since``: its last start, ns of Unix time; 0: long ago."""
+    """A worker's entry. ``since``: its last start, ns of Unix time; 0: started long ago."""
 
     name: str
     zone: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """What a subscriber is told: the entries that changed, or the whole list."""
+    """An update for subscribers: the changed entries, or the full list."""
 
     version: int
     is_full: bool
@@ -40,7 +40,7 @@
 
 
 class Discovery:
-    """Keeps the list and tells of its changes."""
+    """Keeps the list of workers and sends its changes to subscribers."""
 
     def __init__(self, clock: Clock, settings: spec.Discovery, streams: Streams) -> None:
         self._clock, self._settings, self._streams = clock, settings, streams
@@ -50,14 +50,15 @@
         self._outage_until = 0
 
     def start(self, entries: list[Entry]) -> None:
-        """The list as it is at first, which everybody knows."""
+        """Sets the initial list, which every subscriber knows."""
         self.entries = {entry.name: entry for entry in entries}
 
     def full_list(self) -> ListUpdate:
+        """The current list as one update."""
         return ListUpdate(self.version, True, tuple(self.entries.values()))
 
     def subscribe(self, name: str, listener: UpdateListener) -> Callable[[], None]:
-        """Tells the whole list soon and then each change; the result ends that."""
+        """Sends the full list without delay and then each change; the returned function unsubscribes."""
         subscriber = _Subscriber(name, listener)
         self._subscribers.append(subscriber)
         self._schedule_delivery(subscriber, self.full_list(), 0)
@@ -70,7 +71,7 @@
         return unsubscribe
 
     def change(self, *entries: Entry) -> None:
-        """Takes in new lines; ``removed`` ones leave the list."""
+        """Adds or replaces entries, deletes those with status ``removed``, and notifies the subscribers."""
         self.version += 1
         for entry in entries:
             if entry.status == "removed":
@@ -85,13 +86,13 @@
             )
 
     def set_status(self, name: str, status: str) -> None:
-        """Changes a worker's status, if it is listed."""
+        """Changes a listed worker's status; does nothing for an unlisted one."""
         entry = self.entries.get(name)
         if entry is not None and entry.status != status:
             self.change(replace(entry, status=status))
 
     def set_weights(self, weights: dict[str, float]) -> None:
-        """New weights; only those that differ are told."""
+        """Sets weights; subscribers receive only those that changed."""
         changed = [
             replace(entry, weight=weights[name])
             for name, entry in self.entries.items()
@@ -101,11 +102,11 @@
             self.change(*changed)
 
     def start_outage(self, until: int) -> None:
-        """Says nothing until then; what is due meanwhile comes at its end."""
+        """Delivers nothing before ``until``; updates that fall due earlier are delivered then."""
         self._outage_until = max(self._outage_until, until)
 
     def _schedule_delivery(self, subscriber: _Subscriber, update: ListUpdate, delay: int) -> None:
-        # one connection carries it: no update overtakes another
+        # a subscriber has one connection, so updates cannot overtake each other
         due = max(self._clock.now() + delay, subscriber.last_delivery_at, self._outage_until)
         subscriber.last_delivery_at = due
         self._clock.call_at(due, self._deliver, subscriber, update)
