--- a/ironbarrow/lab/model/fleet.py
+++ b/ironbarrow/lab/model/fleet.py
@@ -1,4 +1,4 @@
-"""The workers of a world and what happens to them: starts, drains, ends, and faults on a timeline."""
+"""The workers of a world: starts, drains and ends, and the faults that are injected on a schedule."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -14,9 +14,9 @@
 
 
 class Fleet:
-    """All workers, the store they share, the network and the discovery service that lists them."""
+    """All workers, their shared store, the network and the discovery service that lists them."""
 
-    worker_class: type[Worker] = Worker  # what the next ones are
+    worker_class: type[Worker] = Worker  # the class that ``add`` creates
 
     def __init__(self, clock: Clock, world: World, streams: Streams, observer: WorkerObserver) -> None:
         self._clock, self._world, self._streams, self._observer = clock, world, streams, observer
@@ -36,7 +36,7 @@
             clock.call_at(clock.now() + world.discovery.weight_period, self._update_weights)
 
     def add(self, group: WorkerGroup, name: str, zone: str, started_at: int = 0) -> Worker:
-        """Starts a worker's process."""
+        """Starts a worker. ``started_at``: ns of Unix time; 0: long ago, so that it is warm."""
         worker = self.worker_class(
             self._clock,
             name,
@@ -53,9 +53,10 @@
         return worker
 
     def entry(self, worker: Worker) -> Entry:
+        """A worker's entry in the discovery service's list."""
         status = "draining" if worker.state is State.DRAINING else "up"
         weight = worker.group.slots
-        since = worker.started_at // MS * MS  # as the discovery service tells it: in whole milliseconds
+        since = worker.started_at // MS * MS  # the discovery service reports whole milliseconds
         return Entry(worker.name, worker.zone, worker.group.kind, weight, status, since)
 
     def _update_weights(self) -> None:
@@ -69,7 +70,7 @@
         self._clock.call_at(self._clock.now() + self._world.discovery.weight_period, self._update_weights)
 
     def drain(self, name: str, then_end_after: int | None = None) -> None:
-        """Drains a worker and tells the discovery service; its process ends after so many ns."""
+        """Drains a worker and lists it as draining; its process ends ``then_end_after`` ns later if given."""
         worker = self.workers[name]
         if worker.state is not State.UP:
             return
@@ -79,7 +80,7 @@
             self._clock.call_at(self._clock.now() + then_end_after, self.end, name)
 
     def end(self, name: str, *, silent: bool = False) -> None:
-        """Ends a process; the discovery service notices."""
+        """Ends a worker's process and unlists the worker. ``silent``: see ``Worker.terminate``."""
         worker = self.workers[name]
         if worker.state in (State.DOWN, State.VANISHED):
             return
@@ -89,7 +90,7 @@
             self.discovery.change(Entry(name, entry.zone, entry.kind, entry.weight, "removed", entry.since))
 
     def start_successor(self, name: str) -> None:
-        """Starts a cold successor of a worker, under a new name."""
+        """Starts a cold replacement of a worker, under a new name, and lists it."""
         old = self.workers[name]
         stem, _, number = name.partition("~")
         worker = self.add(old.group, f"{stem}~{int(number or 0) + 1}", old.zone, self._clock.now())
@@ -97,27 +98,27 @@
 
 
 class DispatcherControl(Protocol):
-    """The dispatchers, as far as faults touch them."""
+    """The operations on dispatchers that faults need."""
 
     def kill(self, number: int, down: int) -> None:
-        """Ends one at once; it starts again after so many ns."""
+        """Kills a dispatcher; it starts again ``down`` ns later."""
 
     def restart(self, number: int, down: int) -> None:
-        """Stops one in order; it starts again so long after its end, ns."""
+        """Stops a dispatcher gracefully; it starts again ``down`` ns after its process has ended."""
 
     def reload(self, number: int) -> None:
-        """Gives one a replaced configuration."""
+        """Makes a dispatcher load a changed configuration."""
 
     def pause(self, number: int, lasts: int) -> None:
-        """Stops one where it is, as by SIGSTOP, for so many ns."""
+        """Suspends a dispatcher's process, as by SIGSTOP, for ``lasts`` ns."""
 
     def impair_links(self, fault: Fault) -> None:
-        """Does to the links between dispatchers what a fault of theirs says, as long as it lasts."""
+        """Applies a fault of kind "links" or "links cut" to the links between dispatchers while it lasts."""
 
 
 @dataclass(frozen=True, slots=True)
 class InjectedFault:
-    """A fault as it was played: for plots and reports. Times from the run's start, ns."""
+    """A fault that was injected, for plots and reports. Times in ns from the run's start."""
 
     kind: str
     starts: int
@@ -126,7 +127,7 @@
 
 
 class FaultSchedule:
-    """Plays the faults of a world."""
+    """Injects the faults of a world at their times."""
 
     def __init__(
         self,
@@ -144,8 +145,10 @@
         self._started_at = 0
 
     def start(self) -> None:
+        """Schedules all faults, relative to now."""
         self._started_at = self._clock.now()
-        # who is affected is drawn now, in the file's order: what happens in the run must not change it
+        # the affected workers are drawn in advance and in the file's order, so that events in the run cannot
+        # change the choice
         for fault in self._world.faults:
             who = fault.workers or self._choose_workers(fault)
             self._clock.call_at(self._started_at + fault.at, self._inject, fault, who)
@@ -215,7 +218,7 @@
             self._fleet.discovery.set_status(worker.name, "up")
 
     def _replace_in_batches(self, fault: Fault, who: list[str]) -> None:
-        """Replaces (deploy) or ends (shrink) workers, a batch at a time."""
+        """Drains and ends workers, one batch at a time; "deploy" also starts a successor of each."""
         size = max(1, round(fault.batch * len(self._fleet.discovery.entries)))
         batches = [who[i : i + size] for i in range(0, len(who), size)]
         pause = fault.lasts // max(1, len(batches))
