--- a/ironbarrow/lab/model/randomness.py
+++ b/ironbarrow/lab/model/randomness.py
@@ -1,4 +1,4 @@
-"""Random numbers by name, so that one more part of a world shifts nobody else's draws."""
+"""Named random streams: adding a part to a world does not change the draws of the others."""
 
 import math
 from bisect import bisect_right
@@ -6,11 +6,11 @@
 
 import numpy as np
 
-_BLOCK_SIZE = 256  # draws at once: a scalar draw from numpy costs about a microsecond, one of a block a tenth
+_BLOCK_SIZE = 256  # a scalar draw from numpy takes about 1 us, one from a block a tenth of that
 
 
 class Stream:
-    """Draws for one named purpose; each kind of distribution has a generator of its own."""
+    """Random draws for one named purpose. Each kind of distribution has its own generator."""
 
     def __init__(self, seed: int, name: str) -> None:
         words = np.frombuffer(blake2b(name.encode(), digest_size=16).digest(), dtype="<u4")
@@ -28,7 +28,7 @@
         return found
 
     def uniform(self, low: float = 0.0, high: float = 1.0) -> float:
-        """A draw from [low, high)."""
+        """A uniform draw from [low, high)."""
         if not self._uniforms:
             self._uniforms = self._generator(0).random(_BLOCK_SIZE).tolist()
         return low + (high - low) * self._uniforms.pop()
@@ -39,13 +39,13 @@
         return mean * self._exponentials.pop()
 
     def normal(self) -> float:
-        """A draw with mean 0 and deviation 1."""
+        """A normal draw with mean 0 and standard deviation 1."""
         if not self._normals:
             self._normals = self._generator(2).standard_normal(_BLOCK_SIZE).tolist()
         return self._normals.pop()
 
     def lognormal(self, mean: float, cv: float) -> float:
-        """A draw of this mean and coefficient of variation."""
+        """A lognormal draw with this mean and coefficient of variation."""
         if cv <= 0:
             return mean
         variance = math.log1p(cv * cv)
@@ -55,16 +55,16 @@
         return probability > 0 and self.uniform() < probability
 
     def randrange(self, number: int) -> int:
-        """A whole number from 0 to ``number`` - 1."""
+        """A uniform integer from 0 to ``number`` - 1."""
         return min(number - 1, int(self.uniform() * number))
 
     def choose_index(self, cumulative: list[float]) -> int:
-        """An index, by cumulative weights that end in their sum."""
+        """A random index; ``cumulative`` holds the cumulative weights, so its last value is their sum."""
         return min(len(cumulative) - 1, bisect_right(cumulative, self.uniform() * cumulative[-1]))
 
 
 class Streams:
-    """All streams of one seed. A stream's name is part of the seed: another name gives other draws."""
+    """All streams of one seed. A stream's name is part of its seed: renaming it changes its draws."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -78,6 +78,6 @@
 
 
 def zipf_weights(count: int, exponent: float) -> list[float]:
-    """Cumulative weights of ``count`` things, the n-th as frequent as 1/n^exponent."""
+    """Cumulative weights of ``count`` items; the n-th has weight 1/n^exponent."""
     weights = 1.0 / np.arange(1, count + 1, dtype=float) ** exponent
     return [float(value) for value in np.cumsum(weights)]
