--- a/ironbarrow/lab/model/store.py
+++ b/ironbarrow/lab/model/store.py
@@ -1,4 +1,4 @@
-"""The shared store that workers fetch from: so many fetches at once, the others in order."""
+"""The store from which workers fetch keys: a limited number of concurrent fetches, the others queued."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,17 +8,17 @@
 from ironbarrow.runtime.clock import Clock
 
 
-def draw(spec: Distribution, stream: Stream) -> float:
-    """A random time of this spec, ns."""
-    if spec.kind == "fixed":
-        return float(spec.mean)
-    if spec.kind == "exp":
-        return stream.exponential(spec.mean)
-    return stream.lognormal(spec.mean, spec.cv)
+def draw(distribution: Distribution, stream: Stream) -> float:
+    """A random duration of this distribution, ns."""
+    if distribution.kind == "fixed":
+        return float(distribution.mean)
+    if distribution.kind == "exp":
+        return stream.exponential(distribution.mean)
+    return stream.lognormal(distribution.mean, distribution.cv)
 
 
 class Store:
-    """Fetches for all workers together."""
+    """Serves the fetches of all workers."""
 
     def __init__(self, clock: Clock, fetch: Distribution, max_concurrent: int, stream: Stream) -> None:
         self._clock, self._fetch, self._stream = clock, fetch, stream
@@ -26,7 +26,7 @@
         self._waiting: deque[tuple[Callable[[int], None], int]] = deque()
 
     def fetch(self, on_fetched: Callable[[int], None], key: int) -> None:
-        """Calls ``on_fetched`` with the key once it is there."""
+        """Fetches a key and calls ``on_fetched`` with it when done."""
         self._waiting.append((on_fetched, key))
         self._start()
 
