--- a/ironbarrow/lab/model/worker.py
+++ b/ironbarrow/lab/model/worker.py
@@ -1,8 +1,8 @@
-"""A worker: slots that share cores, a bounded queue, keys, a cold start, reports, and its troubles.
+"""A worker: slots that share cores, a bounded queue, cached keys, cold starts, load reports and faults.
 
-All running jobs of a worker go at one rate, which changes whenever one starts or ends. Time in
-units of work done a job (``_work_per_job``) makes the next end a heap's first entry, so that an event costs
-O(log n) whatever the number of jobs (processor sharing by virtual time).
+All running jobs of a worker progress at the same rate, which changes whenever one starts or ends
+(processor sharing). With virtual time, the work that each running job has received so far
+(``_work_per_job``), the next job to end is the first entry of a heap, and an event costs O(log n) for n jobs.
 """
 
 import math
@@ -17,46 +17,47 @@
 from ironbarrow.lab.model.store import Store
 from ironbarrow.runtime.clock import MS, Clock, Timer
 
-_RAMP_STEPS = 40  # a cold worker's rate is renewed so often on its way to full
-_FAST_FAIL_TIME = 2 * MS  # how long a job takes that fails fast
+_RAMP_STEPS = 40  # updates of a cold worker's rate until it is warm
+_FAST_FAIL_TIME = 2 * MS  # run time of a job that fails at once
 
 
 class State(Enum):
-    """What a worker's process is doing."""
+    """The state of a worker's process."""
 
     UP = "up"
     DRAINING = "draining"
-    DOWN = "down"  # connections are refused
-    VANISHED = "vanished"  # nothing answers
+    DOWN = "down"  # no process: connections are refused
+    VANISHED = "vanished"  # the machine is gone: nothing answers
 
 
 class Admission(Enum):
-    """What becomes of a job at the worker's door."""
+    """A worker's immediate reaction to a job that arrives."""
 
     ACCEPTED = "taken"
     FULL = "full"
-    NO_REPLY = "nothing"  # it hangs: the job is in, and no answer comes
-    NO_PROCESS = "refused"  # no process
+    NO_REPLY = "nothing"  # the worker hangs: it holds the job and does not answer
+    NO_PROCESS = "refused"  # the process is not running
 
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """A worker's own figures, late and noisy."""
+    """A worker's load report, delayed and noisy."""
 
     free_slots: float
     waiting: float
-    errors: float  # a second
+    errors: float  # per second
 
     def fields(self) -> dict[str, float]:
-        """Under the names of the wire."""
+        """The values under their names on the wire."""
         return {"eps": self.errors, "queue": self.waiting, "x0": self.free_slots}
 
 
+# Receives each later state of a job: accepted, started, done, failed, returned or lost.
 StateListener = Callable[[str, Report | None], None]
 
 
 class _Stage(Enum):
-    INBOX = 0  # came while the worker hung
+    INBOX = 0  # arrived while the worker hung
     QUEUED = 1
     FETCHING = 2
     RUNNING = 3
@@ -65,8 +66,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a try takes of a worker: slots, a key that must be there, and work (ns on one core at
-    speed 1); ``usual`` is the mean work of its class."""
+    """What a try requires of a worker: slots, a key that must be loaded, and work (ns on one core at
+    speed 1); ``class_mean`` is the mean work of its class."""
 
     work: float
     slots: float
@@ -84,12 +85,12 @@
     key: int | None
     listener: StateListener
     stage: _Stage = _Stage.QUEUED
-    ends_at: float = 0.0  # in units of work done a job
+    ends_at: float = 0.0  # value of ``Worker._work_per_job`` at which it ends
     fails: bool = False
 
 
 class WorkerObserver:
-    """Who is told what a worker does; the auditor and the recorder. Does nothing itself."""
+    """Notified of the events of workers. This base class ignores them."""
 
     def job_started(self, worker: str, job_id: str) -> None: ...
     def job_ended(self, worker: str, job_id: str, outcome: str) -> None: ...
@@ -98,7 +99,7 @@
 
 @dataclass(slots=True)
 class Impairment:
-    """What is wrong with a worker at present."""
+    """The faults that currently affect a worker."""
 
     slowdown: float = 1.0
     failure_share: float = 0.0
@@ -125,11 +126,11 @@
         started_at: int = 0,
     ) -> None:
         self.name, self.group, self.zone = name, group, zone
-        self.started_at = started_at  # 0: long ago, and warm
+        self.started_at = started_at  # ns of Unix time; 0: long ago, so that it is warm
         self.state = State.UP
         self.impairment = Impairment()
         self.connections = 0
-        self.arriving: set[str] = set()  # live: jobs whose requests are in, and that are not looked at yet
+        self.arriving: set[str] = set()  # live runs: ids of requests received and not yet handled
         self._clock, self._cold, self._reports = clock, cold, reports
         self._store, self._stream, self._observer = store, stream, observer
         self.speed = stream.lognormal(group.speed, group.speed_cv)
@@ -137,7 +138,7 @@
         self._queue: deque[HeldJob] = deque()
         self.used_slots = 0.0
         self._running_slots = 0.0
-        self._work_per_job = 0.0  # ns of work that each running job has had
+        self._work_per_job = 0.0  # virtual time: ns of work done for a job running all along
         self._work_updated_at = clock.now()
         self._rate = 0.0
         self._completions: list[tuple[float, int, HeldJob]] = []
@@ -153,7 +154,7 @@
         first = int(stream.uniform() * reports.period)
         clock.call_at(clock.now() + first, self._renew_report)
 
-    # What it holds
+    # Jobs
 
     @property
     def waiting(self) -> int:
@@ -167,17 +168,18 @@
         return self.state in (State.UP, State.DRAINING)
 
     def holds(self, job_id: str) -> bool:
+        """Whether the worker has the job, queued or running."""
         return job_id in self._jobs
 
     def capacity_factor(self) -> float:
-        """The part of its capacity that it has now, by its age."""
+        """The share of its full capacity that the worker has at its present age."""
         if not self.started_at:
             return 1.0
         age = (self._clock.now() - self.started_at) / self._cold.time
         return min(1.0, self._cold.start + (1 - self._cold.start) * max(0.0, age))
 
     def arrive(self, job_id: str, demand: Demand, listener: StateListener) -> Admission:
-        """A job's last byte is in. ``tell`` is called with each thing that becomes of it afterwards."""
+        """Receives a complete job. ``listener`` is called with each later state of the job."""
         if not self._running():
             return Admission.NO_PROCESS
         job = HeldJob(job_id, demand.work, demand.slots, demand.key, listener)
@@ -186,7 +188,7 @@
             self._jobs[job_id] = job
             return Admission.NO_REPLY
         self._record_cold_work(demand.class_mean * demand.slots)
-        if not self._running():  # it has just fallen over
+        if not self._running():  # this job has just overloaded the cold worker
             return Admission.NO_PROCESS
         return self._admit(job)
 
@@ -210,7 +212,7 @@
         return not ahead and self.used_slots + job.slots <= self.group.slots
 
     def cancel(self, job_id: str) -> bool:
-        """Stops a job; whether it was there."""
+        """Cancels a job; returns whether the worker had it."""
         job = self._jobs.get(job_id)
         if job is None:
             return False
@@ -219,7 +221,7 @@
         self._start_queued()
         return True
 
-    # Running
+    # Execution
 
     def _start_queued(self) -> None:
         if self.impairment.hung or not self._running():
@@ -242,7 +244,7 @@
         self._observer.job_started(self.name, job.id)
         job.listener("started", None)
         if self._stream.chance(self.impairment.failure_share):
-            job.stage = _Stage.FETCHING  # it holds its slots, and its work never begins
+            job.stage = _Stage.FETCHING  # it occupies its slots, but its work never starts
             self._clock.call_at(self._clock.now() + _FAST_FAIL_TIME, self._fail, job)
         elif job.key is None or job.key in self._keys:
             if job.key is not None:
@@ -296,7 +298,8 @@
         )
 
     def _reschedule(self) -> None:
-        """Sets the timer of the next end. An old timer that is too early only renews the rate."""
+        """Sets the timer for the next job to end. While the worker is cold, the timer may be due
+        earlier, only to update the rate."""
         self._update_progress()
         self._rate = self._current_rate()
         while self._completions and self._completions[0][2].stage is not _Stage.RUNNING:
@@ -348,10 +351,10 @@
             self._queue.remove(job)
         job.stage = _Stage.FINISHED
 
-    # Its own figures
+    # Load reports
 
     def report(self) -> Report:
-        """The newest figures that can be seen now."""
+        """The newest report whose delay has passed."""
         now = self._clock.now()
         while self._pending_reports and self._pending_reports[0][0] <= now:
             self._visible_report = self._pending_reports.popleft()[1]
@@ -373,11 +376,11 @@
             self._pending_reports.append((now + self._reports.delay + self.impairment.report_delay, made))
         self._clock.call_at(now + self._reports.period, self._renew_report)
 
-    # ColdStart starts
+    # Cold starts
 
     def _record_cold_work(self, work: float) -> None:
-        """Danger for whoever sends: over so much work in a window, a cold worker falls over. Counted by
-        what is usual for a class: nobody can tell a heavy job from a light one before it has run."""
+        """Danger: a cold worker that receives more work within a window than it can bear crashes. Jobs count
+        with the mean work of their class, because senders cannot know a job's work before it has run."""
         now = self._clock.now()
         if not self.started_at or now >= self.started_at + self._cold.time:
             return
@@ -389,30 +392,30 @@
             self._observer.collapsed(self.name)
             self.terminate()
 
-    # Troubles
+    # Faults
 
     def slow(self, factor: float) -> None:
-        """Runs so many times slower from now on; 1 ends it."""
+        """Slows the worker down by ``factor``; 1 restores its speed."""
         self._update_progress()
         self.impairment.slowdown = factor
         self._reschedule()
 
     def fail_fast(self, share: float) -> None:
-        """This share of the jobs that start fails at once; 0 ends it."""
+        """Makes this share of the starting jobs fail at once; 0 ends the fault."""
         self.impairment.failure_share = share
 
     def delay_reports(self, by: int) -> None:
-        """LoadReports made from now on are seen later by so many ns."""
+        """Delays the reports made from now on by ``by`` ns."""
         self.impairment.report_delay = by
 
     def hang(self) -> None:
-        """Takes work and answers nothing until ``recover``."""
+        """Hangs: receives jobs, and neither answers nor makes progress until ``recover``."""
         self._update_progress()
         self.impairment.hung = True
         self._reschedule()
 
     def recover(self) -> None:
-        """Ends a hang: what came meanwhile is taken or turned away now."""
+        """Ends a hang; jobs that arrived during it are accepted or returned now."""
         if not self.impairment.hung:
             return
         self._update_progress()
@@ -423,7 +426,7 @@
         self._start_queued()
 
     def drain(self) -> None:
-        """Wants nothing new; hands back what has not started, where its kind does so."""
+        """Starts draining; queued jobs are returned if the worker's group does so."""
         if self.state is State.UP:
             self.state = State.DRAINING
             if self.group.drain_returns:
@@ -435,12 +438,12 @@
                     job.listener("returned", self.report())
 
     def cancel_drain(self) -> None:
-        """Wants work again."""
+        """Returns from draining to normal operation."""
         if self.state is State.DRAINING:
             self.state = State.UP
 
     def terminate(self, *, silent: bool = False) -> None:
-        """The process ends, or with ``silent`` the machine vanishes; what it held is lost."""
+        """Ends the process and loses its jobs. ``silent``: the machine vanishes, and nothing answers."""
         self._update_progress()
         jobs = list(self._jobs.values())
         self.state = State.VANISHED if silent else State.DOWN
@@ -455,4 +458,5 @@
         self._rate = 0.0
 
     def is_cold(self) -> bool:
+        """Whether the worker is still in its cold phase."""
         return bool(self.started_at) and self._clock.now() < self.started_at + self._cold.time
