--- a/ironbarrow/lab/model/workload.py
+++ b/ironbarrow/lab/model/workload.py
@@ -1,4 +1,4 @@
-"""What clients ask for, and when: arrivals as an open loop, classes, sizes, sessions, keys."""
+"""The workload: an open loop of arrivals, with the class, size, session and key of each request."""
 
 import math
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A job as its client wants it, before any try. Times in ns; ``due`` on the run's clock."""
+    """A job that a client requests, over all its tries. Times in ns; ``due`` is on the run's clock."""
 
     number: int
     due: int
@@ -22,7 +22,7 @@
     slots: int
     session: int | None
     farm: int
-    key: int | None  # what a worker needs for it
+    key: int | None  # must be loaded by the worker
     wanted: int  # from due
     deadline: int  # from due
     patience: int  # from due; the deadline unless the client is impatient
@@ -30,7 +30,7 @@
 
 
 class Workload:
-    """Makes orders, one after another, when they are due."""
+    """Creates requests when they are due and passes them to ``on_request``."""
 
     def __init__(
         self, clock: Clock, world: World, streams: Streams, on_request: Callable[[ClientRequest], None]
@@ -42,8 +42,8 @@
         self._work_streams = [streams[f"work {cls.name}"] for cls in world.classes]
         self._client_stream = streams["consumers"]
         self._rate = world.rate()
-        self.flood_factor = 1.0  # times the usual rate
-        self.flood_farm: int | None = None  # whose all that comes beyond it is
+        self.flood_factor = 1.0  # multiplies the arrival rate
+        self.flood_farm: int | None = None  # the farm that sends the requests of a flood; None: all farms
         self._flood_stream = streams["flood"]
         self._classes = _cumulative([cls.share for cls in world.classes])
         self._slots = [_cumulative(cls.slots) for cls in world.classes]
@@ -58,16 +58,17 @@
         self._high_rate, self._rate_switch_at = False, 0
 
     def start(self) -> None:
+        """Starts the arrivals, for the world's duration."""
         self._started_at = self._clock.now()
         self._until = self._started_at + self._world.duration
         self._rate_switch_at = self._started_at
         self._schedule_next(self._started_at)
 
     def end(self) -> None:
-        """No more jobs come, though the world's time is not over."""
+        """Ends the arrivals before the world's duration is over."""
         self._until = min(self._until, self._clock.now())
 
-    # Times
+    # Arrival times
 
     def _schedule_next(self, after: int) -> None:
         due = after + self._gap(after)
@@ -86,22 +87,23 @@
         return max(1, int(self._gap_stream.exponential(SECOND / (self.rate_at(at) * self.flood_factor))))
 
     def rate_at(self, at: int) -> float:
-        """Jobs a second at a time, before any flood."""
+        """The arrival rate at a time, requests/s, without floods."""
         arrivals = self._world.arrivals
         if arrivals.shape == "daily":
             part = (at - self._started_at) / arrivals.day
             return self._rate * (1 - arrivals.swing * math.cos(2 * math.pi * part))
-        if arrivals.shape == "bursty":  # a Poisson process whose rate a two-state chain sets (MMPP)
+        if arrivals.shape == "bursty":  # a Poisson process modulated by a two-state chain (MMPP)
             while at >= self._rate_switch_at:
                 self._high_rate = not self._high_rate
                 self._rate_switch_at += max(1, int(self._rate_stream.exponential(arrivals.dwell)))
             return self._rate * (1 + arrivals.swing * (1 if self._high_rate else -1))
         return self._rate
 
-    # Orders
+    # Requests
 
     def _arrive(self, due: int) -> None:
-        # danger: planned before it is served, the next one is due whatever becomes of this one
+        # Danger: if the next arrival were scheduled only after this request, slow service would lower the
+        # arrival rate (coordinated omission)
         self._schedule_next(due)
         self.created += 1
         self._on_request(self._make_request(due))
