--- a/ironbarrow/lab/model/spec.py
+++ b/ironbarrow/lab/model/spec.py
@@ -1,6 +1,6 @@
-"""A world as a file says it: TOML, checked whole before anything runs.
+"""The specification of a world: a TOML file, validated completely before a run starts.
 
-Durations are text with a unit ("250 ms", "1.5 s", "2 min"); sizes and shares are plain numbers.
+Durations are strings with a unit ("250 ms", "1.5 s", "2 min"); sizes and shares are plain numbers.
 """
 
 from pathlib import Path
@@ -19,15 +19,15 @@
 
 
 class WorldError(Exception):
-    """A file that can't be used; the text names the file, the key and what was expected."""
+    """An invalid file; the message names the file, the key and what was expected."""
 
 
 class Table(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What all tables of a world file have in common: unknown keys are refused."""
+    """Base of all tables of a world file: unknown keys are rejected."""
 
 
 class Distribution(Table, frozen=True):
-    """A random time: its distribution, its mean and its coefficient of variation (lognormal alone)."""
+    """A random duration: distribution, mean and coefficient of variation (``cv``, lognormal only)."""
 
     mean: Duration
     kind: Literal["fixed", "exp", "lognormal"] = "exp"
@@ -35,7 +35,7 @@
 
 
 class Network(Table, frozen=True):
-    """Zones and one-way latencies. ``jitter``: the mean of an exponential extra, as a share."""
+    """Zones and one-way latencies. ``jitter``: mean of an exponential addition, as a share of the latency."""
 
     zones: Annotated[list[str], Meta(min_length=1)] = msgspec.field(default_factory=lambda: ["a"])
     same_zone: Duration = ms(0.2)
@@ -45,7 +45,7 @@
 
 
 class LoadReports(Table, frozen=True):
-    """Load reports that come with answers: renewed each period, seen ``delay`` later, noisy."""
+    """Load reports in answers: made every ``period``, visible ``delay`` later, with relative noise."""
 
     period: Duration = ms(1000)
     delay: Duration = ms(300)
@@ -53,8 +53,8 @@
 
 
 class Fleet(Table, frozen=True):
-    """What the dispatchers share (see ``ironbarrow.fleet.file``); addresses, seeds and sites are the
-    laboratory's own. Played live alone."""
+    """Settings of a fleet that the dispatchers form (see ``ironbarrow.fleet.file``); the laboratory sets
+    addresses, seeds and sites. Available in live runs only."""
 
     members: MemberRules = MemberRules()
     links: LinkRules = LinkRules()
@@ -67,7 +67,7 @@
 
 
 class Dispatchers(Table, frozen=True):
-    """How many there are and what their settings say (see the fields of ``heathway.api.Settings``)."""
+    """The number of dispatchers and their settings (see ``heathway.api.Settings``)."""
 
     count: Count = 3
     tick: Duration = ms(4)
@@ -75,20 +75,20 @@
     max_retry_after: Duration = ms(2000)
     answer_slack: Duration = ms(50)
     drain_grace: Duration = ms(1000)
-    stop_time: Duration = ms(3700)  # from the order to stop until the process is ended
+    stop_time: Duration = ms(3700)  # from the request to stop until the process is killed
     probes: bool = True
     cancel: bool = True
     tells_start: bool = True
     reports: bool = True
-    worth_by: Literal["job", "work"] = "job"  # a class's worth is that of a job, or of a unit of its work
-    routes: str = ""  # an operators' file of routes and limits, as text; "": none
+    worth_by: Literal["job", "work"] = "job"  # a class's worth is per job or per unit of work
+    routes: str = ""  # text of a file of routes and limits; "": none
     memory_mb: Count = 96
     sockets: Annotated[int, Meta(ge=64)] = 512
-    fleet: Fleet | None = None  # None: they share nothing
+    fleet: Fleet | None = None  # None: independent dispatchers
 
 
 class WorkerGroup(Table, frozen=True):
-    """Workers of one generation. Speed 1 does one second of work in a second on one core."""
+    """Identical workers. At speed 1, a core does one second of work per second."""
 
     name: str
     count: Count
@@ -98,8 +98,8 @@
     speed_cv: Share = 0.0
     queue: Annotated[int, Meta(ge=0)] = 10
     order: Literal["in order", "first fit"] = "in order"
-    overfull_at: NonNegative = 8.0  # jobs held at which it starts to slow down
-    overfull: NonNegative = 0.0  # part of its speed that each job beyond costs
+    overfull_at: NonNegative = 8.0  # number of jobs above which the worker slows down
+    overfull: NonNegative = 0.0  # relative slowdown for each job above that
     keys_kept: Count = 8
     connections: Count = 4000
     error_rate: Share = 0.0
@@ -109,7 +109,8 @@
 
 
 class ColdStart(Table, frozen=True):
-    """Start of a worker: its part of capacity at first, the time to full, when it falls over."""
+    """Cold start: initial share of the capacity, time to full capacity, and the overload that crashes a
+    worker: more work within ``fall_window`` than ``fall_multiple`` times what it can do in that time."""
 
     time: Duration = ms(15_000)
     start: Annotated[float, Meta(gt=0, le=1)] = 0.25
@@ -118,16 +119,16 @@
 
 
 class Store(Table, frozen=True):
-    """What jobs need and workers keep for a while; fetched from one store of limited capacity."""
+    """Keys that jobs need and workers cache, fetched from one store with limited concurrency."""
 
     fetch: Distribution = Distribution(mean=ms(200), kind="exp")
     at_once: Count = 8
-    keys: Annotated[int, Meta(ge=0)] = 0  # 0: jobs need nothing
+    keys: Annotated[int, Meta(ge=0)] = 0  # 0: jobs need no key
     zipf: NonNegative = 0.9
 
 
 class Discovery(Table, frozen=True):
-    """The list of workers: pushed, and late by a uniform draw."""
+    """The discovery service: pushes the list of workers, with a delay from ``soonest`` to ``latest``."""
 
     soonest: Duration = ms(500)
     latest: Duration = ms(2500)
@@ -136,7 +137,7 @@
 
 
 class JobClass(Table, frozen=True):
-    """A class of jobs; its share is by number of jobs."""
+    """A class of jobs; ``share`` is relative, by number of jobs."""
 
     name: str
     share: Positive
@@ -145,25 +146,27 @@
     deadline: Duration
     effect: Literal["safe", "unsafe"] = "safe"
     stretch: NonNegative = 2.0
-    slots: list[Share] = msgspec.field(default_factory=lambda: [1.0])  # shares of jobs of 1, 2, ... slots
+    slots: list[Share] = msgspec.field(
+        default_factory=lambda: [1.0]
+    )  # shares of jobs that need 1, 2, ... slots
     worth: Positive = 1.0
-    attempt_noise: NonNegative = 0.0  # cv of the work from one attempt to the next
+    attempt_noise: NonNegative = 0.0  # coefficient of variation of the work between tries of a job
 
 
 class Arrivals(Table, frozen=True):
-    """When jobs are due: an open loop, at ``rate`` a second or at ``load`` of the fleet's capacity."""
+    """Arrivals, an open loop: ``rate`` in jobs/s, or ``load`` as a share of the workers' capacity."""
 
     rate: Positive | None = None
     load: Positive | None = None
     shape: Literal["poisson", "bursty", "daily", "even"] = "poisson"
-    swing: Share = 0.3  # bursty, daily: how far the rate moves from its mean
-    dwell: Duration = ms(4000)  # bursty: mean time in a state
+    swing: Share = 0.3  # bursty, daily: relative deviation of the rate from its mean
+    dwell: Duration = ms(4000)  # bursty: mean time in the high or the low state
     day: Duration = ms(60_000)  # daily: length of a day
-    zone_skew: Share = 0.0  # 0: all zones alike; 1: all jobs come in the first zone
+    zone_skew: Share = 0.0  # 0: all zones alike; 1: all jobs arrive in the first zone
 
 
 class Sessions(Table, frozen=True):
-    """Keys of sessions, by Zipf's law; 0: jobs have none. Session n belongs to farm n modulo ``farms``."""
+    """Sessions, chosen by Zipf's law; ``count`` 0: none. Session n belongs to farm n modulo ``farms``."""
 
     farms: Count = 20
     count: Annotated[int, Meta(ge=0)] = 200
@@ -171,19 +174,19 @@
 
 
 class Clients(Table, frozen=True):
-    """How clients behave, and the front that deals them out."""
+    """The behaviour of clients and of the load balancer in front of the dispatchers."""
 
     retries: Annotated[int, Meta(ge=0)] = 1
     backoff: Literal["fixed", "exponential"] = "fixed"
     pause: Duration = ms(150)
-    honour: Share = 0.9  # share that keeps to Retry-After
-    impatient: Share = 0.0  # share that leaves before its time
-    notice: Duration = ms(3000)  # until the front notices a dead dispatcher
-    same_id: bool = False  # where the dispatchers share a fleet: a broken connection, come again under one id
+    honour: Share = 0.9  # share of clients that honour Retry-After
+    impatient: Share = 0.0  # share of clients that leave before the deadline
+    notice: Duration = ms(3000)  # until the load balancer detects a failed dispatcher
+    same_id: bool = False  # with a fleet: after a broken connection, repeat the request under the same id
 
 
 class Fault(Table, frozen=True):
-    """One thing that goes wrong. Who: ``workers`` by name, else ``part`` of them; or ``dispatcher``."""
+    """A fault. It affects the named ``workers`` or a random share (``part``) of all, or ``dispatcher``."""
 
     kind: Literal[
         "slow",
@@ -209,25 +212,27 @@
     lasts: Duration = ms(0)
     part: Share = 0.2
     workers: list[str] = msgspec.field(default_factory=list)
-    size: Positive = 4.0  # slow, flood: factor; fail fast: share that fails; late reports: seconds
-    batch: Share = 0.2  # deploy: part of the fleet at a time
-    drain: Duration = ms(4000)  # deploy, shrink, drain: from draining to the end of the process
-    down: Duration = ms(1000)  # dispatcher killed or restarted: until it starts again
+    size: Positive = 4.0  # slow, flood: factor; fail fast: share of jobs; late reports: s
+    batch: Share = 0.2  # deploy, shrink: share of the workers in a batch
+    drain: Duration = ms(4000)  # deploy, shrink: from draining to the end of the process
+    down: Duration = ms(1000)  # dispatcher killed, restarted: until it starts again
     dispatcher: Annotated[int, Meta(ge=0)] = 0
-    farm: Annotated[int, Meta(ge=0)] | None = None  # flood: all that comes beyond the usual is this one's
-    zones: list[str] = msgspec.field(default_factory=list)  # cuts: between the first and the others
+    farm: Annotated[int, Meta(ge=0)] | None = None  # flood: the farm that sends the additional jobs
+    zones: list[str] = msgspec.field(
+        default_factory=list
+    )  # cut, links: between the first zone and the others
     pair: list[int] = msgspec.field(
         default_factory=list
-    )  # links: these two dispatchers; else zones, else all
-    one_way: bool = False  # links: only what goes from the first to the others
-    lost: Share = 0.0  # links: chance of a message to be lost
-    doubled: Share = 0.0  # links: chance to arrive twice
-    delay: Duration = ms(0)  # links: on top of the usual
-    jitter: Duration = ms(0)  # links: uniform, on top of the delay; messages overtake each other
+    )  # links: between these two dispatchers; if empty, by ``zones`` or all links
+    one_way: bool = False  # links: only messages from the first to the others
+    lost: Share = 0.0  # links: probability that a message is lost
+    doubled: Share = 0.0  # links: probability that a message arrives twice
+    delay: Duration = ms(0)  # links: additional delay
+    jitter: Duration = ms(0)  # links: uniform addition to the delay; messages may be reordered
 
 
 class World(Table, frozen=True):
-    """All of it."""
+    """A world: everything that a run simulates."""
 
     name: str
     duration: Duration
@@ -245,7 +250,7 @@
     faults: list[Fault] = msgspec.field(default_factory=list)
 
     def check(self) -> None:
-        """What no single key shows; a ValueError names the keys."""
+        """Checks conditions that involve several keys; a ValueError names the keys."""
         if (self.arrivals.rate is None) == (self.arrivals.load is None):
             raise ValueError("arrivals: expected exactly one of rate and load")
         for what, names in (
@@ -257,7 +262,9 @@
                 raise ValueError(f"{what}: expected names that differ, got {names}")
         for cls in self.classes:
             if not cls.slots or not sum(cls.slots) > 0:
-                raise ValueError(f"classes {cls.name!r}: slots: expected shares of which one is above 0")
+                raise ValueError(
+                    f"classes {cls.name!r}: slots: expected shares, at least one of them above 0"
+                )
             if len(cls.slots) > max(g.slots for g in self.workers):
                 raise ValueError(f"classes {cls.name!r}: slots: expected no more than a worker has")
         for number, fault in enumerate(self.faults):
@@ -288,16 +295,16 @@
                 raise ValueError(f"{where}.size: expected a share of at most 1 for 'fail fast'")
 
     def mean_work(self) -> float:
-        """Core-seconds at speed 1 that a job takes on average."""
+        """Mean work of a job, in core-seconds at speed 1."""
         shares = sum(c.share for c in self.classes)
         return sum(c.share * c.work.mean.seconds * _mean_slots(c) for c in self.classes) / shares
 
     def capacity(self) -> float:
-        """Core-seconds at speed 1 that the listed workers do in a second, keys aside."""
+        """Core-seconds at speed 1 that the listed workers do per second, without the time to fetch keys."""
         return sum(g.count * min(g.cores, g.slots) * g.speed for g in self.workers if g.listed)
 
     def rate(self) -> float:
-        """Jobs a second, on average."""
+        """Mean arrival rate, jobs/s."""
         if self.arrivals.rate is not None:
             return self.arrivals.rate
         assert self.arrivals.load is not None
@@ -324,7 +331,7 @@
     raise NotImplementedError(type(value))
 
 
-# Names that worlds used to have; they are still read
+# Former names of keys and values, which are still accepted.
 _FORMER_KEYS = {"providers": "workers", "consumers": "clients", "directory": "discovery"}
 _FORMER_FAULT_KEYS = {"providers": "workers"}
 _FORMER_FAULT_KINDS = {"directory outage": "discovery outage"}
@@ -337,7 +344,7 @@
 
 
 def with_current_names(raw: Any, where: str) -> Any:
-    """A world as plain data, with former names replaced; a WorldError if a key is there under both names."""
+    """A world as plain data, with former names replaced; a WorldError if a key has both names."""
     if not isinstance(raw, dict):
         return raw
     world = _rename_keys(raw, _FORMER_KEYS, where)
@@ -370,7 +377,7 @@
 
 
 def convert(raw: Any, kind: type[S], where: str) -> S:
-    """Plain data as a checked object; a WorldError names the key and what was expected."""
+    """Converts plain data to a validated object; a WorldError names the key and what was expected."""
     if kind is World:
         raw = with_current_names(raw, where)
     try:
@@ -383,7 +390,7 @@
 
 
 def read_toml(path: Path) -> dict[str, Any]:
-    """The file as plain data; a WorldError if it can't be read."""
+    """The contents of a TOML file as plain data; a WorldError if it can't be read or parsed."""
     try:
         found = msgspec.toml.decode(path.read_bytes())
     except OSError as error:
@@ -394,12 +401,12 @@
 
 
 def load_world(path: Path) -> World:
-    """The world that a file describes."""
+    """Loads and validates a world; a WorldError if the file is invalid."""
     return convert(read_toml(path), World, str(path))
 
 
 def with_fleet(world: World) -> World:
-    """The world with a fleet shared by its dispatchers: as it says, or by the defaults."""
+    """The world with a fleet of dispatchers; one with default settings if the world has none."""
     if world.dispatchers.fleet is not None:
         return world
     return msgspec.structs.replace(
@@ -408,5 +415,5 @@
 
 
 def to_plain_data(world: Any) -> Any:
-    """The object as plain data, durations as text: what is hashed and stored."""
+    """The object as plain data with durations as text, the form that is hashed and stored."""
     return msgspec.to_builtins(world, enc_hook=_encode)
