--- a/ironbarrow/lab/sim/back.py
+++ b/ironbarrow/lab/sim/back.py
@@ -1,7 +1,7 @@
-"""The back of a simulated dispatcher: attempts to workers of the model, as the HTTP back makes them.
+"""Carries a simulated dispatcher's attempts to workers of the model, as the HTTP back does over sockets.
 
-Connections are counted, not opened: an attempt without an idle one pays a round round_trip to connect, and a
-worker takes only so many. Endings are those that ``ironbarrow.backs.invoker`` finds on sockets.
+Connections are only counted: an attempt without an idle connection takes a round trip to connect, and a
+worker limits the number of its connections. Attempts end as in ``ironbarrow.backs.invoker``.
 """
 
 from collections import deque
@@ -22,8 +22,8 @@
 _CONNECT_TIMEOUT = 250 * MS
 _IDLE_TIMEOUT = 13 * SECOND
 _MAX_IDLE_CONNECTIONS = 8
-_DELETE_TIMEOUT = 100 * MS  # where no proof is needed that it has arrived
-_DELETE_RETRY_PAUSE = 500 * MS  # after one that was not answered
+_DELETE_TIMEOUT = 100 * MS  # for attempts that end without an answer to the DELETE
+_DELETE_RETRY_PAUSE = 500 * MS  # between DELETEs that are not answered
 _PROBE_TIMEOUT = 1 * SECOND
 _ENDINGS = {"done": Ending.DONE, "failed": Ending.FAILED, "returned": Ending.RETURNED, "lost": Ending.LOST}
 _NEVER_RAN = frozenset(
@@ -41,16 +41,16 @@
 
 @dataclass(slots=True, eq=False)
 class _Exchange:
-    """An attempt's exchange to its worker."""
+    """The HTTP exchange of an attempt with its worker."""
 
     worker: Worker
-    connected: bool = False  # it holds a connection
-    answered: bool = False  # the worker's 202 is in
+    connected: bool = False  # it occupies a connection
+    answered: bool = False  # the worker's 202 has arrived
     closed: bool = False
 
 
 class SimulatedBack:
-    """Carries one dispatcher's attempts."""
+    """Carries the attempts and probes of one dispatcher."""
 
     def __init__(
         self,
@@ -67,9 +67,10 @@
         self._idle: dict[str, deque[int]] = {}
         self._exchanges: dict[Attempt, _Exchange] = {}
 
-    # What the host asks for
+    # Attempts
 
     def start(self, attempt: Attempt) -> None:
+        """Starts an attempt: over an idle connection if there is one, else over a new one."""
         worker = self._fleet.workers.get(attempt.worker)
         if worker is None:
             self._host.attempt_ended(attempt, Ending.DRAINED)
@@ -114,7 +115,7 @@
         )
 
     def _arrive(self, attempt: Attempt, exchange: _Exchange) -> None:
-        """At the worker, whatever has become of the dispatcher sent_at."""
+        """The request arrives at the worker, even if the dispatcher has ended since."""
         worker = exchange.worker
         demand = self._demands[attempt.job.payload.id]
 
@@ -173,6 +174,7 @@
     # Giving up
 
     def give_up(self, attempt: Attempt, ending: Ending) -> None:
+        """Cancels an attempt, with ``ending`` as its end; if it was written, sends its worker a DELETE."""
         exchange = self._exchanges.get(attempt)
         if exchange is None or not attempt.written:
             self._end(attempt, ending)
@@ -183,6 +185,7 @@
         self._send_delete(attempt, exchange, ending)
 
     def detach(self, attempt: Attempt) -> None:
+        """Drops an attempt without reporting its end to the host."""
         exchange = self._exchanges.pop(attempt, None)
         if exchange is not None:
             exchange.closed = True
@@ -190,7 +193,7 @@
             self._audit.attempt_finished(attempt.job.payload.id, attempt.worker, never_ran=False)
 
     def _send_delete(self, attempt: Attempt, exchange: _Exchange, ending: Ending) -> None:
-        """Sent again and again until it is answered, or the attempt has ended otherwise."""
+        """Sends a DELETE, and repeats it until it is answered or the attempt has ended otherwise."""
         if attempt.ended or exchange.closed:
             return
         self._fleet.network.send(
@@ -211,6 +214,7 @@
     # Probes and connections
 
     def probe(self, worker: str) -> None:
+        """Probes a worker; the result goes to the host."""
         target = self._fleet.workers.get(worker)
         if target is None:
             self._host.probe_ended(worker, Ending.CONNECT_REFUSED, 0)
@@ -239,13 +243,14 @@
             self._host.probe_ended(worker.name, Ending.DONE, elapsed, _load_report(worker.report()))
 
     def close_idle(self, worker: str) -> None:
+        """Closes the idle connections to a worker."""
         target = self._fleet.workers.get(worker)
         closed = len(self._idle.pop(worker, ()))
         if target is not None:
             target.connections -= closed
 
     def close(self) -> None:
-        """The dispatcher is gone: its connections with it."""
+        """Closes all connections, after the dispatcher's process has ended."""
         for name in list(self._idle):
             self.close_idle(name)
         for exchange in self._exchanges.values():
