--- a/ironbarrow/lab/sim/clock.py
+++ b/ironbarrow/lab/sim/clock.py
@@ -1,4 +1,4 @@
-"""A simulated clock: a heap of calls, no waiting."""
+"""A simulated clock: scheduled calls in a heap, run without waiting."""
 
 import itertools
 from collections import deque
@@ -8,12 +8,12 @@
 
 from ironbarrow.runtime.clock import SECOND, Timer
 
-EPOCH = 1_700_000_000 * SECOND  # any Unix time: the discovery service tells starts in Unix time
+EPOCH = 1_700_000_000 * SECOND  # arbitrary, but a plausible Unix time: workers' starts are reported as such
 _MIN_CLEANUP_SIZE = 4096
 
 
 class SimulatedClock:
-    """Time that jumps from one call to the next. Calls of one time come in the order they were asked for."""
+    """A clock that jumps from one call to the next. Calls with equal times run in the order of scheduling."""
 
     def __init__(self, start: int = EPOCH) -> None:
         self._now = start
@@ -21,7 +21,7 @@
         self._ready: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._count = itertools.count()
         self._cleanup_size = _MIN_CLEANUP_SIZE
-        self.events = 0  # calls made so far
+        self.events = 0  # number of calls made so far
 
     def now(self) -> int:
         return self._now
@@ -35,7 +35,7 @@
         return timer
 
     def run(self, until: int) -> None:
-        """Makes all calls due up to ``until`` and ends there."""
+        """Makes all calls due up to ``until`` and sets the time to ``until``."""
         heap, ready = self._heap, self._ready
         while True:
             while ready:
@@ -52,8 +52,8 @@
             self.events += 1
             timer.call(*timer.args)
             if len(heap) > self._cleanup_size:
-                # danger: each job leaves cancelled timers at its far-off deadline; unswept, the heap grows.
-                # in place: the loop above holds on to this very list
+                # Danger: each job leaves cancelled timers at its distant deadline, and without this removal
+                # the heap would grow with every job. In place, because the loop uses the same list.
                 heap[:] = [item for item in heap if item[2].call is not None]
                 heapify(heap)
                 self._cleanup_size = max(_MIN_CLEANUP_SIZE, 2 * len(heap))
@@ -61,12 +61,12 @@
 
     @property
     def pending(self) -> int:
-        """Calls that are planned, cancelled ones included."""
+        """Number of scheduled calls, including cancelled ones that are not removed yet."""
         return len(self._heap) + len(self._ready)
 
 
 class ProcessClock:
-    """The clock as one process sees it: after its end nothing that it had planned is called."""
+    """The clock of one simulated process: once the process has ended, its scheduled calls are skipped."""
 
     def __init__(self, clock: SimulatedClock) -> None:
         self._clock = clock
@@ -80,6 +80,6 @@
         return self._clock.call_at(due, self.run, call, args)
 
     def run(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Calls, if the process still runs."""
+        """Makes the call unless the process has ended."""
         if not self.ended:
             call(*args)
