--- a/ironbarrow/lab/sim/run.py
+++ b/ironbarrow/lab/sim/run.py
@@ -1,4 +1,4 @@
-"""A run in simulated time: dispatchers, clients, workers and faults of one world, audited."""
+"""A run in simulated time: the dispatchers, clients, workers and faults of one world, with an auditor."""
 
 import gc
 import time
@@ -31,12 +31,12 @@
 from ironbarrow.routing.table import Table
 from ironbarrow.runtime.clock import MS, SECOND
 
-_WARM_UP = 500 * MS  # the dispatchers have run so long when the first job is due
-_ANSWER_DEADLINE = 3200 * MS  # as ``ironbarrow.daemon`` has it
-_CLOSE_IDLE = 1500 * MS
+_WARM_UP = 500 * MS  # from the start of the dispatchers to the first job
+_ANSWER_DEADLINE = 3200 * MS  # from a stop request; as in ``ironbarrow.daemon``
+_MIN_STOP_TIME = 1500 * MS  # a stopping process accepts requests for at least this long
 _SAMPLE_STEP = 250 * MS
 _LATE_ANSWER_MARGIN = 20 * MS
-_GC_THRESHOLD = 100_000  # new objects
+_GC_THRESHOLD = 100_000  # allocations between garbage collections
 _STATES = {
     "up": api.WorkerState.UP,
     "draining": api.WorkerState.DRAINING,
@@ -45,17 +45,16 @@
 
 
 class Digest(WorkerObserver):
-    """A running hash over what happened, in order: equal for equal runs."""
+    """A hash over the events of a run in their order; equal runs have equal digests."""
 
     def __init__(self, clock: SimulatedClock, ignored_workers: frozenset[str]) -> None:
-        self._clock, self._ignored_workers = (
-            clock,
-            ignored_workers,
-        )  # ignored_workers: workers whose own events are left out
+        """``ignored_workers``: workers whose starts and ends of jobs are left out."""
+        self._clock, self._ignored_workers = clock, ignored_workers
         self._hash = blake2b(digest_size=16)
         self._start = clock.now()
 
     def add(self, *words: object) -> None:
+        """Adds an event at the current time."""
         self._hash.update(f"{self._clock.now() - self._start} {words}\n".encode())
 
     def job_started(self, worker: str, job_id: str) -> None:
@@ -74,7 +73,7 @@
 
 
 class _WorkerObservers(WorkerObserver):
-    """Tells several."""
+    """Passes the events of workers on to several observers."""
 
     def __init__(self, *observers: WorkerObserver) -> None:
         self._observers = observers
@@ -94,7 +93,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Process:
-    """One incarnation of a dispatcher."""
+    """A process of a dispatcher: one incarnation."""
 
     clock: ProcessClock
     host: Host
@@ -105,7 +104,7 @@
 
 
 class _Dispatcher:
-    """A dispatcher's name and place, over all its incarnations."""
+    """A dispatcher: what its successive processes have in common."""
 
     def __init__(self, run: "Simulation", number: int) -> None:
         self._run, self.number = run, number
@@ -116,6 +115,7 @@
         self._starts = 0
 
     def start(self) -> None:
+        """Starts a new process."""
         run = self._run
         clock = ProcessClock(run.clock)
         self._starts += 1
@@ -134,7 +134,7 @@
         run.load_balancer.mark_ready(self.number)
 
     def known(self) -> ListUpdate:
-        """The list of workers as it knows it."""
+        """The list of workers as the dispatcher has received it."""
         return self._known
 
     def _on_list_update(self, process: _Process, update: ListUpdate) -> None:
@@ -153,7 +153,7 @@
         process.host.update_workers(_worker_list(update, kind))
 
     def reload(self) -> None:
-        """Moves to another address of the discovery service: the whole list comes once more."""
+        """Reconnects to the discovery service, as for a changed address; the full list is received again."""
         process = self.process
         if process is not None:
             process.leave_discovery()
@@ -162,7 +162,7 @@
             )
 
     def end(self, down: int, *, killed: bool) -> None:
-        """Its process is gone; the next one starts after ``down`` ns."""
+        """Ends the process; the next one starts ``down`` ns later."""
         process = self.process
         if process is None:
             return
@@ -177,7 +177,7 @@
         self._run.clock.call_at(self._run.clock.now() + down, self.start)
 
     def stop(self, down: int) -> None:
-        """SIGTERM: serves what still comes, finishes what it has, ends."""
+        """Stops gracefully, as on SIGTERM: still serves new requests, and ends when no job is left."""
         process = self.process
         if process is None or process.stopping_at is not None:
             return
@@ -185,7 +185,7 @@
         self._run.load_balancer.mark_stopping(self.number)
         process.host.answer_deadline = process.stopping_at + _ANSWER_DEADLINE
         stop_time = self._run.world.dispatchers.stop_time
-        self._run.clock.call_at(process.stopping_at + _CLOSE_IDLE, self._end_when_done, process, down)
+        self._run.clock.call_at(process.stopping_at + _MIN_STOP_TIME, self._end_when_done, process, down)
         self._run.clock.call_at(process.stopping_at + stop_time, self._end_now, process, down)
 
     def _end_now(self, process: _Process, down: int) -> None:
@@ -211,7 +211,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Client:
-    """One order's client, over its tries."""
+    """The client of one request, over all its tries."""
 
     request: ClientRequest
     tries: int = 0
@@ -222,13 +222,13 @@
 
 
 class Simulation:
-    """One world, one seed."""
+    """A run of one world with one seed. A WorldError if the world needs a live run."""
 
     def __init__(self, world: World, seed: int, *, ignored_workers: frozenset[str] = frozenset()) -> None:
         if world.dispatchers.fleet is not None or any(f.kind == "dispatcher stopped" for f in world.faults):
             raise WorldError(
-                "`dispatchers.fleet` and 'dispatcher stopped' are played live alone; "
-                "a fleet in simulated time is lab/fleet/net.py"
+                "`dispatchers.fleet` and 'dispatcher stopped' are available in live runs only; "
+                "for a fleet in simulated time see lab/fleet/net.py"
             )
         self.world, self.seed = world, seed
         self.clock = SimulatedClock()
@@ -244,14 +244,14 @@
         self.recorder = Recorder(world)
         self.workload = Workload(self.clock, world, self.streams, self._on_request)
         self.faults = FaultSchedule(self.clock, world, self.fleet, self.workload, self, self.streams)
-        self._waiting: dict[_Client, None] = {}  # with a job at a dispatcher
+        self._waiting: dict[_Client, None] = {}  # clients that wait for a dispatcher's answer
         self._open_requests = 0
-        self._open_integral, self._open_updated_at = 0, 0  # orders under way, summed over time (ns)
-        self.turned_away = 0  # by limits, before the decisions
+        self._open_integral, self._open_updated_at = 0, 0  # integral of the open requests over time, ns
+        self.turned_away = 0  # requests refused by limits, before the decision module saw them
         self.samples = LoadSamples(_SAMPLE_STEP, [], [])
 
     def make_back(self, number: int, clock: ProcessClock, host: Host) -> SimulatedBack:
-        """The back of a dispatcher's new process."""
+        """Creates the back of a dispatcher's new process."""
         zone = zone_of(self.world, number)
         return SimulatedBack(
             clock, host, self.fleet, self.audit, f"d{number}", zone, self.client_behaviour.demands
@@ -269,18 +269,18 @@
         self.dispatchers[number].reload()
 
     def pause(self, number: int, lasts: int) -> None:
-        raise WorldError("a dispatcher is stopped in live mode alone")
+        raise WorldError("'dispatcher stopped' is available in live runs only")
 
     def impair_links(self, fault: Fault) -> None:
-        raise WorldError("links between dispatchers are there in live mode alone")
+        raise WorldError("faults of links are available in live runs only")
 
     # The run
 
     def run(self) -> Result:
-        """Plays it to the end: until every request is done and a little longer."""
+        """Runs until every request has ended, and then long enough for late answers to be seen."""
         wall_start = time.perf_counter()
-        # a job and its calls hold each other: without collections memory grows with all jobs that ever came,
-        # and with the usual threshold a quarter of the time goes into looking at what stays alive
+        # Jobs and their callbacks form reference cycles, so without garbage collection memory would grow with
+        # every job. With the default threshold, collections would take a quarter of the run time.
         threshold = gc.get_threshold()
         gc.set_threshold(_GC_THRESHOLD, 50, 1000)
         try:
@@ -343,7 +343,7 @@
         self._open_requests += change
 
     def _littles_law_ratio(self) -> float:
-        """Orders under way, counted over time, over rate times mean latency: 1 by Little's law."""
+        """The integral of the open requests over time, divided by the sum of latencies: 1 by Little's law."""
         latencies = sum(self.recorder.latency)
         return self._open_integral / latencies if latencies else 1.0
 
@@ -393,7 +393,7 @@
         )
         client.dispatcher = dispatcher
         self._waiting[client] = None
-        # whole milliseconds pass on a socket, rounded down: no answer may come after its time
+        # the time left travels in whole milliseconds, rounded down so that no answer is late
         remaining = remaining // MS * MS
         client.job = process.host.submit(
             Payload(job_id, "POST", "/" + cls.name, b""),
@@ -436,7 +436,8 @@
         self._change_open(-1)
         self.recorder.add(client.request, outcome, self.clock.now(), client.tries)
         if client.job is not None and outcome == "no answer":
-            # it has no use for an answer now, and still looks whether one comes by the end of the slack
+            # the client can no longer use an answer, but waits until the slack is over, so that the auditor
+            # sees whether one comes
             late = self.world.dispatchers.answer_slack + _LATE_ANSWER_MARGIN
             self.clock.call_at(self.clock.now() + late, self._disconnect, client)
         else:
@@ -453,7 +454,7 @@
                 process.host.withdraw(job)
 
     def reset_clients(self, dispatcher: _Dispatcher) -> None:
-        """Its connections are reset: whoever waited there hears so."""
+        """Resets the connections of all clients that wait for an answer from this dispatcher."""
         for client in [c for c in self._waiting if c.dispatcher is dispatcher]:
             self._waiting.pop(client, None)
             client.job = None
