--- a/ironbarrow/lab/audit.py
+++ b/ironbarrow/lab/audit.py
@@ -1,12 +1,13 @@
-"""Judges a run from outside by the rules of service. Sees what parties do, never what the host believes.
+"""Checks the service rules from the outside: from what the parties do, not from a dispatcher's own state.
 
-The rules, each with a name of its own in ``Breach``: one final answer for each job taken, in time; no
-second copy; at most so many attempts; nothing new past the drain grace; no cold worker pushed over; a
-booking run at most once; a refusal only where a repeat is harmless; nothing served that nobody made.
+The rules, each with a name in ``Breach``: exactly one final answer for each job taken, in time; no two
+attempts at once; a limited number of attempts; no new attempt to a worker past the drain grace; no cold
+worker overloaded until it crashes; a booking run at most once; a refusal only if the job cannot have run or
+a repetition is harmless; "served" only if a worker completed the job.
 
-Where dispatchers share a fleet, one id may be asked for at several of them, one after another, and outlives
-the one that took it: the rules then hold for the id over all of them. Each asking may hear an answer, but all
-must hear the same.
+With a fleet, a client may request one id from several dispatchers in turn, and a job may outlive the
+dispatcher that took it. The rules then apply to the id over all dispatchers: each request for it may be
+answered, but all answers must be equal.
 """
 
 from collections import Counter, deque
@@ -18,11 +19,11 @@
 from ironbarrow.runtime.clock import MS, SECOND, Clock
 
 _MAX_EXAMPLES = 5
-_RETENTION = 60 * SECOND  # a finished job's traces are kept for late starts and call-backs
+_RETENTION = 60 * SECOND  # a finished job's record is kept this long for late starts and call-backs
 
 
 class Breach(Enum):
-    """A broken rule."""
+    """A kind of broken rule."""
 
     NO_ANSWER = "no final answer in time"
     TWO_ANSWERS = "more than one final answer"
@@ -38,27 +39,29 @@
 
 @dataclass(slots=True, eq=False)
 class _JobRecord:
-    """A job as a dispatcher took it: one try of its client's."""
+    """What the auditor knows of a job id: one try of a client. Times in ns."""
 
-    root: int
+    root: int  # number of the client's request, over all its tries
     unsafe: bool
     dispatcher: int
-    due: int  # when its answer is due at the latest, slack included
+    due: int  # latest time for the answer, slack included
     attempts: int = 0
-    in_flight: dict[str, int] = field(default_factory=dict)  # workers where an attempt is, and since when
+    in_flight: dict[str, int] = field(
+        default_factory=dict
+    )  # workers with an attempt in flight, and since when
     may_have_run: bool = False
     ran: bool = False
     done: bool = False
     answered: bool = False
-    excused: bool = False  # its dispatcher died or was stopped, or its client left
-    first_verdict: str = ""  # the first answer that a client heard
+    excused: bool = False  # needs no answer: its dispatcher died or was paused, or its client left
+    first_verdict: str = ""  # of the first answer to a client
     requests: int = 1
     answers: int = 0
 
 
 @dataclass(slots=True)
 class AuditResult:
-    """The result: how often each rule was broken, with examples, and what was looked at."""
+    """The result of an audit: the breaches of each rule, examples, and how many events were checked."""
 
     breaches: Counter[str]
     examples: list[str]
@@ -66,17 +69,19 @@
 
     @property
     def kept(self) -> bool:
+        """Whether no rule was broken."""
         return not self.breaches
 
 
 class Auditor(WorkerObserver):
-    """Is told what happens and finds what must not."""
+    """Receives the events of a run and detects breaches of the rules."""
 
     def __init__(
         self, clock: Clock, world: World, *, transport_slack: int = 0, lost_after: int | None = None
     ) -> None:
-        """``lost_after``: how long after its time (ns) a job without an answer is lost; None: as the settings
-        have it."""
+        """``transport_slack``: addition to every time limit, ns, for runs over sockets. ``lost_after``: how
+        long after its deadline a job without an answer counts as lost, ns; None: the dispatchers' answer
+        slack plus the transport slack."""
         rules = world.dispatchers
         self._clock = clock
         self._max_attempts = rules.max_attempts
@@ -85,13 +90,15 @@
         self._jobs: dict[str, _JobRecord] = {}
         self._finished: deque[tuple[int, str]] = deque()
         self._shares_jobs = world.dispatchers.fleet is not None
-        self._paused: set[int] = set()  # dispatchers that are stopped where they are
-        self._unsafe_starts: dict[int, int] = {}  # of an unsafe root
-        self._not_up_since: dict[tuple[int, str], int] = {}  # when it was told that one drains or is gone
+        self._paused: set[int] = set()  # suspended dispatchers
+        self._unsafe_starts: dict[int, int] = {}  # by root, for unsafe jobs
+        self._not_up_since: dict[
+            tuple[int, str], int
+        ] = {}  # by dispatcher and worker: when the dispatcher learned that it drains or is gone
         self._breaches: Counter[str] = Counter()
         self._examples: list[str] = []
         self._checked: Counter[str] = Counter()
-        self.taken_by_second: Counter[int] = Counter()  # jobs and attempts, by Unix second
+        self.taken_by_second: Counter[int] = Counter()  # by Unix second
         self.sent_by_second: Counter[int] = Counter()
 
     def _report(self, what: Breach, detail: str) -> None:
@@ -102,7 +109,7 @@
     # Dispatchers and clients
 
     def job_taken(self, job_id: str, root: int, dispatcher: int, time_left: int, *, unsafe: bool) -> None:
-        """A dispatcher has the whole request."""
+        """A dispatcher has received a complete request. ``time_left``: until the client's deadline, ns."""
         self._checked["jobs taken"] += 1
         self.taken_by_second[self._clock.now() // SECOND] += 1
         due = self._clock.now() + time_left + self._slack
@@ -117,7 +124,7 @@
         job.excused = dispatcher in self._paused
 
     def job_answered(self, job_id: str, verdict: str) -> None:
-        """A final answer left a dispatcher: served, refused or failed."""
+        """A final answer left a dispatcher. ``verdict``: served, refused or failed."""
         job = self._jobs.get(job_id)
         if job is None or (job.excused and not self._shares_jobs):
             return
@@ -136,7 +143,7 @@
         self._finish(job_id, job)
 
     def client_left(self, job_id: str) -> None:
-        """The client has gone: no answer is owed any more, unless it was due before."""
+        """The client has disconnected: no answer is required any more, unless it was already overdue."""
         job = self._jobs.get(job_id)
         if job is not None and not job.answered:
             if self._clock.now() > job.due and not job.excused:
@@ -145,10 +152,10 @@
             self._finish(job_id, job)
 
     def dispatcher_died(self, dispatcher: int) -> None:
-        """What it had taken is lost with it, and its calls with their connections; but where others may
-        take it over, its attempts are still out."""
+        """A dispatcher's process has ended. Its jobs need no answer from it, and its attempts end with its
+        connections; with a fleet, others may take the jobs over, so the attempts remain in flight."""
         self._paused.discard(dispatcher)
-        for job_id, job in list(self._jobs.items()):  # old traces go while it is walked
+        for job_id, job in list(self._jobs.items()):  # a copy, because ``_finish`` deletes old records
             if job.dispatcher == dispatcher and not job.answered:
                 job.excused = True
                 if not self._shares_jobs:
@@ -156,18 +163,18 @@
                 self._finish(job_id, job)
 
     def dispatcher_paused(self, dispatcher: int) -> None:
-        """It stands still, and no answer of its own can be in time."""
+        """A dispatcher is suspended: its open jobs cannot be answered in time and are excused."""
         self._paused.add(dispatcher)
         for job in self._jobs.values():
             if job.dispatcher == dispatcher and not job.answered:
                 job.excused = True
 
     def dispatcher_resumed(self, dispatcher: int) -> None:
-        """It runs again."""
+        """A suspended dispatcher runs again."""
         self._paused.discard(dispatcher)
 
     def status_received(self, dispatcher: int, worker: str, *, up: bool) -> None:
-        """A dispatcher was told of a worker's state."""
+        """A dispatcher has received a worker's state from the discovery service."""
         if up:
             self._not_up_since.pop((dispatcher, worker), None)
         else:
@@ -184,9 +191,9 @@
         *,
         given_up: bool = False,
     ) -> None:
-        """A dispatcher began to write an attempt (``first_byte``: when, if not now; ``dispatcher``:
-        which, if not the one that was asked last; ``given_up``: it has closed the connection since, so that
-        the worker does not begin the job)."""
+        """A dispatcher began to write an attempt. ``first_byte``: when, if not now. ``dispatcher``: which
+        one, if not the one last asked for the job. ``given_up``: it has closed the connection since, so
+        the worker will not start the job."""
         job = self._jobs.get(job_id)
         if job is None:
             return
@@ -210,7 +217,7 @@
             job.in_flight[worker] = at
 
     def attempt_finished(self, job_id: str, worker: str, *, never_ran: bool) -> None:
-        """The dispatcher heard how it ended, or gave it up; ``never_ran``: with proof."""
+        """An attempt ended or was given up. ``never_ran``: there is proof that the job did not run."""
         job = self._jobs.get(job_id)
         if job is not None and job.in_flight.pop(worker, None) is not None and not never_ran:
             job.may_have_run = True
@@ -228,7 +235,7 @@
                 self._report(Breach.UNSAFE_REFUSAL, f"{job_id} started at {worker} after its refusal")
             starts = self._unsafe_starts[job.root] = self._unsafe_starts.get(job.root, 0) + 1
             if starts > 1:
-                self._report(Breach.UNSAFE_JOB_RAN_TWICE, f"{job_id} (order {job.root}) at {worker}")
+                self._report(Breach.UNSAFE_JOB_RAN_TWICE, f"{job_id} (request {job.root}) at {worker}")
 
     def job_ended(self, worker: str, job_id: str, outcome: str) -> None:
         job = self._jobs.get(job_id)
@@ -238,16 +245,16 @@
     def collapsed(self, worker: str) -> None:
         self._report(Breach.COLD_WORKER_OVERLOADED, worker)
 
-    # Its end
+    # Results
 
     def _finish(self, job_id: str, job: _JobRecord) -> None:
         now = self._clock.now()
         self._finished.append((now, job_id))
-        while self._finished[0][0] < now - _RETENTION:  # bounded: old traces go
+        while self._finished[0][0] < now - _RETENTION:  # deletes old records, to bound the memory
             self._jobs.pop(self._finished.popleft()[1], None)
 
     def rates_by_second(self, started_at: int) -> dict[str, list[int]]:
-        """Jobs taken and attempts sent in each second from ``started_at`` (ns) on."""
+        """Jobs taken and attempts sent in each second since ``started_at`` (ns)."""
         first = started_at // SECOND
         last = max([first, *self.taken_by_second, *self.sent_by_second])
         seconds = range(first, last + 1)
@@ -257,7 +264,7 @@
         }
 
     def finish(self) -> AuditResult:
-        """Judges what is still open now."""
+        """Checks the jobs that are still open and returns the result."""
         now = self._clock.now()
         for job_id, job in self._jobs.items():
             if not job.answered and not job.excused and now > job.due:
