--- a/ironbarrow/lab/record.py
+++ b/ironbarrow/lab/record.py
@@ -1,4 +1,4 @@
-"""What became of each request: one row a job, columns by name, and the figures that come of them."""
+"""The outcome of each request as one row of named columns, and metrics computed from these rows."""
 
 from array import array
 from dataclasses import dataclass
@@ -15,11 +15,11 @@
 
 
 class Recorder:
-    """Takes one row for each request once it is over. Latency counts from when the request was due."""
+    """Collects one row for each request when it ends. Latency counts from the time when it was due."""
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self.due = array("q")  # from the run's start, ns
+        self.due = array("q")  # since the run's start, ns
         self.latency = array("q")  # from due to the last byte of the last answer, ns
         self.cls = array("b")
         self.outcome = array("b")
@@ -27,14 +27,14 @@
         self.farm = array("h")
         self.in_time = array("b")
         self.work = array("d")
-        self.late_by = array("q")  # how long after it was due its first try was sent, ns
+        self.late_by = array("q")  # from due to the first try, ns
         self.started_at = 0
 
     def __len__(self) -> int:
         return len(self.due)
 
     def add(self, request: ClientRequest, outcome: str, now: int, tries: int, late_by: int = 0) -> None:
-        """One order's end at ``now``."""
+        """Adds a request that ended at ``now``."""
         self.due.append(request.due - self.started_at)
         self.latency.append(now - request.due)
         self.cls.append(request.cls)
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class LoadSamples:
-    """Load by worker over time: one row of held jobs each step."""
+    """Load by worker over time: a row with each worker's number of jobs every ``step`` ns."""
 
     step: int
     names: list[str]
@@ -61,7 +61,7 @@
 
 
 def summarise(world: World, rows: dict[str, Column]) -> dict[str, Any]:
-    """Figures of a run: for all jobs and by class; latencies in ms over served jobs."""
+    """Metrics of a run, for all jobs and by class. Latencies are in ms and over served jobs."""
     by_class = {}
     for number, cls in enumerate(world.classes):
         mask = rows["cls"] == number
@@ -98,7 +98,7 @@
 
 
 def service_over_time(world: World, rows: dict[str, Column], step_s: float = 1.0) -> tuple[Column, Column]:
-    """Worth served in time over worth asked for, by when jobs were due: times (s) and shares."""
+    """The share of the requested worth that was served in time, by due time: times (s) and shares."""
     if not len(rows["due"]):
         return np.array([]), np.array([])
     worth = np.array([cls.worth for cls in world.classes])[rows["cls"]] * rows["work"]
