--- a/ironbarrow/lab/__init__.py
+++ b/ironbarrow/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: a model of the fleet, in simulated time and on live sockets, with experiments."""
+"""The laboratory: a model of clients and workers, runs in simulated time or over sockets, experiments."""
--- a/ironbarrow/lab/result.py
+++ b/ironbarrow/lab/result.py
@@ -1,4 +1,4 @@
-"""What a run brought, whichever way it was driven."""
+"""The result of a simulated or live run."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """One run of a world with a seed."""
+    """The result of one run of a world with one seed."""
 
     world: World
     seed: int
@@ -21,11 +21,11 @@
     faults: list[InjectedFault]
     samples: LoadSamples
     wall_s: float
-    span_s: float  # on the run's own clock, from the first job's due time on
+    span_s: float  # duration on the run's clock, from the start of the arrivals
     digest: str = ""
     events: int = 0
     notes: dict[str, Any] = field(default_factory=dict)
 
     def summary(self) -> dict[str, Any]:
-        """Figures for all jobs and by class."""
+        """Metrics for all jobs and by class."""
         return summarise(self.world, self.rows)
