--- a/ironbarrow/lab/settings.py
+++ b/ironbarrow/lab/settings.py
@@ -1,4 +1,4 @@
-"""What dispatchers of a world are told: the same object in simulated and in live mode."""
+"""Settings and worker lists for the dispatchers of a world, equal for simulated and live runs."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 def settings_object(world: World, number: int) -> dict[str, Any]:
-    """The settings of one dispatcher, in the form of the configuration file."""
+    """One dispatcher's settings, in the format of its configuration file."""
     rules = world.dispatchers
     return {
         "me": number,
@@ -57,7 +57,7 @@
 
 
 def endpoint(entry: Entry, address: str) -> dict[str, Any]:
-    """A worker's line in the discovery service's form."""
+    """A worker's entry in the discovery service's format."""
     return {
         "name": entry.name,
         "address": address,
@@ -70,6 +70,6 @@
 
 
 def list_object(update: ListUpdate, address_of: dict[str, str]) -> dict[str, Any]:
-    """One object of the discovery service's; a worker without an address is left out."""
+    """A message of the discovery service; workers without an address are left out."""
     lines = [endpoint(e, address_of[e.name]) for e in update.entries if e.name in address_of]
     return {"index": update.version, "snapshot": update.is_full, "endpoints": lines}
