--- a/ironbarrow/lab/validate.py
+++ b/ironbarrow/lab/validate.py
@@ -1,4 +1,4 @@
-"""Holds the worker's model against closed forms: one worker, one class, no dispatcher between."""
+"""Validates the model of a worker against closed forms: one worker, one class, no dispatcher."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 from ironbarrow.runtime.clock import SECOND
 
 _SERVICE = ms(100)
-_WARM_UP = 0.1  # part of the jobs that is left out at the start
+_WARM_UP = 0.1  # share of the first jobs that is not measured
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     service: Literal["exp", "fixed"] = "exp"
 
     def expected(self) -> float:
-        """The mean wait, s."""
+        """The theoretical mean wait, s."""
         rate = self.load * self.servers / _SERVICE.seconds
         if self.service == "fixed":
             return theory.md1_wait(rate, _SERVICE.seconds)
@@ -48,7 +48,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CaseResult:
-    """What a case came to. Waits in s; Little's law: mean number waiting, counted and by rate times wait."""
+    """The measured values of a case. Waits in s. By Little's law, ``number_waiting`` (the mean, as counted)
+    equals ``rate_times_wait``."""
 
     case: Case
     jobs: int
@@ -59,7 +60,7 @@
 
     @property
     def error(self) -> float:
-        """The measured wait over the expected one, less 1."""
+        """The relative deviation of the measured wait from the expected one."""
         return self.wait / self.case.expected() - 1
 
 
@@ -86,7 +87,7 @@
     service = Distribution(mean=_SERVICE, kind=case.service)
     gap = SECOND * _SERVICE.seconds / (case.load * case.servers)
     waits: list[float] = []
-    number_integral = 0.0  # of the number waiting over time, ns
+    number_integral = 0.0  # integral of the number of waiting jobs over time, ns
     last_at, number = clock.now(), 0
     first, arrivals = int(jobs * _WARM_UP), iter(_arrival_times(streams, gap, jobs, clock.now()))
     measured_from = 0
