--- a/ironbarrow/lab/tally.py
+++ b/ironbarrow/lab/tally.py
@@ -1,7 +1,7 @@
-"""Counts over the traces of a whole fleet: what each dispatcher does, added up by second and by worker.
+"""Counts events in the traces of all dispatchers of a fleet, by second and by worker.
 
-A trace is a dispatcher's log with ``BALANCER_TRACE=1`` (see ``ironbarrow.core.trace``); text before a
-line's first brace, such as a time that whoever kept the log has put there, is passed over.
+A trace is the log of a dispatcher with ``BALANCER_TRACE=1`` (see ``ironbarrow.core.trace``). Text before the
+first brace of a line is ignored, such as a time stamp added by a log collector.
 """
 
 import json
@@ -37,25 +37,25 @@
 
 
 class TraceLogError(Exception):
-    """Logs that can't be counted; the text names the file and what was expected."""
+    """Logs that can't be evaluated; the message names the file and what was expected."""
 
 
 @dataclass(slots=True)
 class TraceCounts:
-    """What a fleet did, by ``COLUMNS``: in all, by second from the start, and by worker."""
+    """Counts of a fleet by ``COLUMNS``: in total, by second from the start and by worker."""
 
     dispatchers: int = 0
     total: Counter[str] = field(default_factory=Counter)
     seconds: dict[int, Counter[str]] = field(default_factory=dict)
     workers: dict[str, Counter[str]] = field(default_factory=dict)
-    classes: dict[str, Counter[str]] = field(default_factory=dict)  # by end, see ``_end_of``
+    classes: dict[str, Counter[str]] = field(default_factory=dict)  # by outcome, see ``_Job.outcome``
 
     def per_job(self, column: str) -> float:
-        """So many of ``column`` for each job; 0 without any job."""
+        """The count of ``column`` per job; 0 if there are no jobs."""
         return self.total[column] / self.total["jobs"] if self.total["jobs"] else 0.0
 
     def as_object(self) -> dict[str, Any]:
-        """For JSON: the same in plain types."""
+        """The counts in plain types, for JSON."""
         return {
             "dispatchers": self.dispatchers,
             "total": {name: self.total[name] for name in COLUMNS},
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class _Job:
-    """A job of one process, as far as its trace has told."""
+    """A job of one process, as read from its trace so far."""
 
     job_class: str
     sends: int = 0
@@ -76,7 +76,7 @@
     verdict: str = ""
 
     def outcome(self) -> str:
-        """How it ended: the verdict, with the reason it was given up for and whether it was ever sent."""
+        """The outcome: the verdict, whether the job was ever sent, and the reason why it was given up."""
         if self.verdict in ("", "served", "gone"):
             return self.verdict or "no answer"
         sent = "after sends" if self.sends else "unsent"
@@ -84,7 +84,7 @@
 
 
 def trace_files(folder: Path) -> list[Path]:
-    """The logs of a folder, by name; a TraceLogError if it is none or has none."""
+    """The logs (``*.log``) in a folder, by name; a TraceLogError if it is no folder or has no logs."""
     if not folder.is_dir():
         raise TraceLogError(f"{folder}: not a folder of logs")
     paths = sorted(folder.glob("*.log"))
@@ -94,8 +94,8 @@
 
 
 def read_lines(path: Path, truncated: list[Path] | None = None) -> Iterator[dict[str, Any]]:
-    """The lines of a trace in one log; the log is added to ``truncated`` if its last line was cut short. A
-    TraceLogError names a file that can't be read, or a line that is none of a log."""
+    """The lines of the trace in one log. If the last line is incomplete, it is skipped and the log is added
+    to ``truncated``. A TraceLogError if the file can't be read or a line is invalid."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -110,14 +110,14 @@
             if number == text.count("\n") + 1:
                 if truncated is not None:
                     truncated.append(path)
-                continue  # the last line of a process that was killed
+                continue  # the process was killed while it wrote its last line
             raise TraceLogError(f"{path}:{number}: not a line of a log: {error}") from None
         if isinstance(found, dict) and isinstance(found.get("at"), int):
             yield found
 
 
 class _TraceCounter:
-    """Lays the traces side by side; who is cold or not up is as that dispatcher was told."""
+    """Counts over several traces. Whether a worker is cold or up is taken from the dispatcher's own list."""
 
     def __init__(self, cold_time: int) -> None:
         self.counts = TraceCounts()
@@ -126,7 +126,7 @@
         self._jobs: dict[int, _Job] = {}
 
     def end_process(self) -> None:
-        """A log, or a process in it, has ended: its jobs are counted, and its numbers begin anew."""
+        """A log or a process in it has ended: counts its jobs. The next process numbers its jobs anew."""
         for job in self._jobs.values():
             row = self.counts.classes.setdefault(job.job_class, Counter())
             row["asked"] += 1
@@ -148,10 +148,12 @@
                 job.verdict = line["verdict"]
 
     def set_start(self, at: int) -> None:
+        """The time of a line: the earliest one is second 0."""
         self._start = at if self._start is None else min(self._start, at)
 
     def count(self, line: dict[str, Any], known: dict[str, tuple[str, int]]) -> None:
-        """One line of a dispatcher; ``known``: the state and the start of each worker, as it knows them."""
+        """Counts one line of a dispatcher's trace. ``known``: the state and the start of each worker as that
+        dispatcher knows them; updated."""
         assert self._start is not None
         self._track_job(line)
         columns = list(self._column_counts(line, known))
@@ -193,9 +195,9 @@
 
 
 def count_traces(folder: Path, cold_s: float = 20.0) -> TraceCounts:
-    """Counts a folder's logs, ``*.log``, one file a dispatcher; a TraceLogError says what is wrong with them.
+    """Counts the logs in a folder (``*.log``, one for each dispatcher); a TraceLogError if they are unusable.
 
-    ``cold_s``: how long a worker counts as cold after its start, s.
+    ``cold_s``: how long a worker is cold after its start, s.
     """
     paths = trace_files(folder)
     counter = _TraceCounter(int(cold_s * SECOND))
@@ -204,14 +206,14 @@
         for line in lines:
             counter.set_start(line["at"])
     if not any(found.values()):
-        raise TraceLogError(f"{folder}: no line of a trace; the dispatchers need BALANCER_TRACE=1")
+        raise TraceLogError(f"{folder}: no trace lines; run the dispatchers with BALANCER_TRACE=1")
     for path, lines in found.items():
         known: dict[str, tuple[str, int]] = {}
         for line in lines:
             try:
                 counter.count(line, known)
             except (KeyError, TypeError, ValueError) as error:
-                raise TraceLogError(f"{path}: a line lacks what a trace has: {error!r}") from None
+                raise TraceLogError(f"{path}: a trace line lacks a field: {error!r}") from None
         counter.end_process()
     counter.counts.dispatchers = len(paths)
     return counter.counts
