--- a/ironbarrow/lab/follow.py
+++ b/ironbarrow/lab/follow.py
@@ -1,7 +1,7 @@
-"""The way of one job through the traces of a whole fleet: arrival, sends, call-backs, final answer.
+"""Follows one job through the traces of a fleet: arrival, attempts, call-backs, final answer.
 
-Each send says what its dispatcher had been told of the worker: its state and weight on the last list, what
-the last report said, and how old both were. Times are seconds from the first line of all logs.
+Each send shows what the dispatcher knew of the worker: its state and weight in the last list, the last load
+report, and the age of both. Times are seconds from the first line of all logs.
 """
 
 from collections.abc import Iterator
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One line of a trace that tells of the job."""
+    """A trace line about the job."""
 
     at: float  # s
     dispatcher: str
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class _KnownWorker:
-    """What one dispatcher had been told of a worker. Times in ns."""
+    """What a dispatcher knows of a worker. Times in ns."""
 
     state: str = "not listed"
     weight: float = 0.0
@@ -46,6 +46,7 @@
     reported_at: int = 0
 
     def as_fields(self, now: int) -> dict[str, Any]:
+        """Fields to show with a send at ``now``."""
         found: dict[str, Any] = {"state": self.state}
         if self.listed_at:
             found |= {"weight": self.weight, "list_age_ms": (now - self.listed_at) // _MS}
@@ -56,7 +57,7 @@
 
 def _update_known(workers: dict[str, _KnownWorker], line: dict[str, Any]) -> None:
     if line.get("what") == "WorkerList":
-        if line["kind"] not in ("changes", "lost"):  # a whole list: who is not in it is gone
+        if line["kind"] not in ("changes", "lost"):  # a full list: workers that are not in it are gone
             for known in workers.values():
                 known.state = "gone"
         for name, state, weight, _ in line["lines"]:
@@ -71,7 +72,7 @@
     workers: dict[str, _KnownWorker] = {}
     number: int | None = None
     for line in lines:
-        if line.get("event") == "settings":  # a new process: its numbers begin anew, and it knows nothing
+        if line.get("event") == "settings":  # a new process numbers its jobs anew and knows no workers
             workers, number = {}, None
         _update_known(workers, line)
         if line.get("event") == "taken" and line["id"] == job_id:
@@ -88,8 +89,8 @@
 
 
 def follow_job(folder: Path, job_id: str) -> tuple[list[Step], list[Path]]:
-    """All lines of a folder's traces that tell of a job, by time, and the logs whose truncated last line was
-    passed over; a TraceLogError says what is wrong with the logs, or that none has the id."""
+    """All trace lines about a job in the logs of a folder, by time, and the logs whose incomplete last line
+    was skipped. A TraceLogError if the logs are unusable or none has the id."""
     found: dict[Path, list[dict[str, Any]]] = {}
     truncated: list[Path] = []
     for path in trace_files(folder):
@@ -100,7 +101,7 @@
         try:
             steps.extend(_steps(path.stem, lines, job_id, start))
         except (KeyError, TypeError, ValueError) as error:
-            raise TraceLogError(f"{path}: a line lacks what a trace has: {error!r}") from None
+            raise TraceLogError(f"{path}: a trace line lacks a field: {error!r}") from None
     if not steps:
         raise TraceLogError(f"{folder}: no job with the id {job_id} in {len(found)} logs")
     return sorted(steps, key=lambda step: step.at), truncated
