--- a/ironbarrow/lab/follow.py
+++ b/ironbarrow/lab/follow.py
@@ -101,7 +101,7 @@
         try:
             steps.extend(_steps(path.stem, lines, job_id, start))
         except (KeyError, TypeError, ValueError) as error:
-            raise TraceLogError(f"{path}: a trace line lacks a field: {error!r}") from None
+            raise TraceLogError(f"{path}: a trace line lacks a field or has a wrong value: {error!r}") from None
     if not steps:
         raise TraceLogError(f"{folder}: no job with the id {job_id} in {len(found)} logs")
     return sorted(steps, key=lambda step: step.at), truncated
--- a/ironbarrow/lab/tally.py
+++ b/ironbarrow/lab/tally.py
@@ -213,7 +213,7 @@
             try:
                 counter.count(line, known)
             except (KeyError, TypeError, ValueError) as error:
-                raise TraceLogError(f"{path}: a trace line lacks a field: {error!r}") from None
+                raise TraceLogError(f"{path}: a trace line lacks a field or has a wrong value: {error!r}") from None
         counter.end_process()
     counter.counts.dispatchers = len(paths)
     return counter.counts
