--- a/ironbarrow/config/__init__.py
+++ b/ironbarrow/config/__init__.py
@@ -1,5 +1,5 @@
-"""What the program is told, checked before anything runs."""
+"""The configuration of the program, checked before it starts to serve."""
 
-from ironbarrow.config.platform import Config, ConfigError, load
+from ironbarrow.config.loader import Config, ConfigError, load
 
 __all__ = ["Config", "ConfigError", "load"]
--- a/ironbarrow/fronts/server.py
+++ b/ironbarrow/fronts/server.py
@@ -445,7 +445,7 @@
         Must be the last check: once a ticket is issued, the job has to be submitted.
         """
         from ironbarrow.routing.request import PathError, make_request
-        from ironbarrow.routing.router import Ticket, arrival
+        from ironbarrow.routing.router import Ticket, job_options
 
         settings = self._host.settings
         try:
@@ -470,5 +470,5 @@
             "job_class": ticket.route.cls.name,
             "key": hash_key(ticket.key) if ticket.key else None,
             "tenant": ticket.tenant or None,
-            "options": JobOptions(**arrival(ticket, settings), limiter=ticket),
+            "options": JobOptions(**job_options(ticket, settings), limiter=ticket),
         }
--- a/ironbarrow/lab/sim/run.py
+++ b/ironbarrow/lab/sim/run.py
@@ -25,10 +25,10 @@
 from ironbarrow.lab.settings import settings_object, zone_of
 from ironbarrow.lab.sim.back import SimulatedBack
 from ironbarrow.lab.sim.clock import ProcessClock, SimulatedClock
-from ironbarrow.routing.file import Loaded, parse
+from ironbarrow.routing.file import LoadedFile, parse_routes
 from ironbarrow.routing.request import make_request
-from ironbarrow.routing.router import Router, Ticket, arrival
-from ironbarrow.routing.table import Table
+from ironbarrow.routing.router import Router, Ticket, job_options
+from ironbarrow.routing.table import RoutingTable
 from ironbarrow.runtime.clock import MS, SECOND
 
 _WARM_UP = 500 * MS  # from the start of the dispatchers to the first job
@@ -126,7 +126,9 @@
         process = self.process = _Process(clock, host, back)
         if run.world.dispatchers.routes:
             text = run.world.dispatchers.routes.encode()
-            process.router = Router(Table(Loaded(parse(text, "routes"), {}, ("routes",)), self.settings))
+            process.router = Router(
+                RoutingTable(LoadedFile(parse_routes(text, "routes"), {}, ("routes",)), self.settings)
+            )
         host.update_workers(_worker_list(self._known, api.ListKind.LAST_KNOWN))
         process.leave_discovery = run.fleet.discovery.subscribe(
             f"d{self.number}", lambda update: clock.run(self._on_list_update, (process, update))
@@ -387,7 +389,7 @@
                 self._call_after_latency(self._on_result, client, "refused", admitted.retry_after)
                 return
             job_class, tenant = admitted.route.cls.name, admitted.tenant
-            options = JobOptions(**arrival(admitted, dispatcher.settings), limiter=admitted)
+            options = JobOptions(**job_options(admitted, dispatcher.settings), limiter=admitted)
         self.audit.job_taken(
             job_id, request.number, dispatcher.number, remaining, unsafe=cls.effect == "unsafe"
         )
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -203,8 +203,8 @@
     monkeypatch.setattr(http.socket.socket, "close", failing)
     for line in (f"c1 send {job()}", "p1 expect in$", f"p1 send {answer(500)}", "c1 expect HTTP/1.1 500"):
         harness.step(line)
-    harness.dispatcher.clients.close_idle()
-    harness.run_until("all connection slots are free", lambda: not harness.dispatcher.clients.has_connections)
+    harness.dispatcher.server.close_idle()
+    harness.run_until("all connection slots are free", lambda: not harness.dispatcher.server.has_connections)
     harness.dispatcher.invoker.free_descriptors()
     assert harness.dispatcher.invoker._open_connections == 0
     monkeypatch.undo()
