--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -14,7 +14,7 @@
 from heathway.api import Effect, Group, ListKind, Outcome, WorkerState
 from heathway.logic import Dispatcher
 from heathway.state import Worker
-from tests.world import MS, S, World
+from tests.dispatcher_harness import MS, DispatcherHarness, S
 
 KINDS = ("heavy", "light", "odd")
 WORKERS = 8
@@ -28,7 +28,7 @@
     workers: tuple[api.WorkerEntry, ...]
 
 
-class RoundWorld(World):
+class RoundWorld(DispatcherHarness):
     """A world that calls its dispatcher only once a tick; timers and time-outs come at the next tick."""
 
     def advance(self, length: int) -> None:
@@ -36,19 +36,19 @@
         tick = self.settings.tick
         until = self.now + max(1, length // tick) * tick
         while True:
-            due = [t for t, _ in self.timers] + [self.jobs[job].deadline for job, _ in self.out()]
+            due = [t for t, _ in self.timers] + [self.jobs[job].deadline for job, _ in self.in_flight()]
             next_due = min(due, default=until + 1)
             next_due = self.now + max(0, -(-(next_due - self.now) // tick)) * tick
             if next_due > until:
                 break
             self.now = next_due
-            for job, number in self.out():
+            for job, number in self.in_flight():
                 if self.jobs[job].deadline <= self.now:
-                    self.end(job, number, Outcome.TIMEOUT)
+                    self.end_attempt(job, number, Outcome.TIMEOUT)
             fired = [name for t, name in self.timers if t <= self.now]
             self.timers = [(t, name) for t, name in self.timers if t > self.now]
             if fired:
-                self.batch(*(api.TimerFired(name) for name in fired))
+                self.handle(*(api.TimerFired(name) for name in fired))
             self._check_answers()
         self.now = until
         self._check_answers()
@@ -177,49 +177,49 @@
         )
 
     def end(self, one: int, outcome: Outcome) -> None:
-        out = self.world.out()
+        out = self.world.in_flight()
         if out:
-            self.world.end(*out[one % len(out)], outcome, report=self.report(one))
+            self.world.end_attempt(*out[one % len(out)], outcome, report=self.report(one))
 
     def start(self, one: int, _: object) -> None:
-        out = self.world.out()
+        out = self.world.in_flight()
         if out and self.world.settings.tells_start:
             job, number = out[one % len(out)]
             worker = self.world.attempts(job)[number].worker
-            self.world.batch(api.AttemptNote(job, number, worker, api.NoteKind.STARTED))
+            self.world.handle(api.AttemptNote(job, number, worker, api.NoteKind.STARTED))
 
     def advance(self, one: int, _: object) -> None:
         self.world.advance(one * MS)
 
     def withdraw(self, one: int, _: object) -> None:
-        open_jobs = [job for job, owed in self.world.jobs.items() if not owed.over]
+        open_jobs = [job for job, owed in self.world.jobs.items() if not owed.ended]
         if open_jobs:
             self.world.withdraw(open_jobs[one % len(open_jobs)])
 
     def listed(self, one: int, state: WorkerState) -> None:
-        self.world.listed(ListKind.CHANGES, (replace(self.workers[one % WORKERS], state=state),))
+        self.world.update_list(ListKind.CHANGES, (replace(self.workers[one % WORKERS], state=state),))
 
     def restart(self, one: int, _: object) -> None:
-        self.world.listed(
+        self.world.update_list(
             ListKind.CHANGES, (replace(self.workers[one % WORKERS], started_at=self.world.now),)
         )
 
     def full_list(self, one: int, _: object) -> None:
-        self.world.listed(ListKind.FULL, self.workers[: 1 + one % WORKERS])
+        self.world.update_list(ListKind.FULL, self.workers[: 1 + one % WORKERS])
 
     def lost(self, one: int, _: object) -> None:
         if self.world.settings.asks_for_list:
-            self.world.listed(ListKind.LOST, ())
+            self.world.update_list(ListKind.LOST, ())
 
     def probes(self, code: int, _: object) -> None:
         sent = [a.worker for a in self.world.actions if isinstance(a, api.Probe)]
         for worker in sent[self.answered_probes :]:
             report = self.report(code) if code == 0 else None
-            self.world.batch(api.ProbeEnded(worker, Outcome(code), 2 * MS, report))
+            self.world.handle(api.ProbeEnded(worker, Outcome(code), 2 * MS, report))
         self.answered_probes = len(sent)
 
 
-def play(deployment: Deployment, steps: list[Step], seed: int) -> World:
+def play(deployment: Deployment, steps: list[Step], seed: int) -> DispatcherHarness:
     """Runs the steps, and then time until every deadline is past."""
     runner = StepRunner(deployment, seed)
     for what, one, two in steps:
@@ -232,7 +232,7 @@
 @given(deployments(), st.integers(1, 80), st.integers(0, 1 << 20))
 def test_the_rules_hold_under_any_customers_settings(deployment, number, seed):
     world = play(deployment, drawn_steps(seed, number), seed)
-    assert all(owed.over for owed in world.jobs.values())
+    assert all(owed.ended for owed in world.jobs.values())
 
 
 def mark_as_warm(self: Dispatcher, worker: Worker) -> None:
@@ -290,11 +290,11 @@
     world = RoundWorld(conf, workers)
     job = world.arrive("short", left=2 * S)
     world.advance(60 * MS)
-    world.end(job, 0, outcome)
+    world.end_attempt(job, 0, outcome)
     is_repeated = window > 60
     assert len(world.attempts(job)) == 1 + is_repeated  # the world checks its group
     if is_repeated:
-        world.end(job, 1, outcome)
+        world.end_attempt(job, 1, outcome)
     world.advance(3 * S)
     assert [type(answer) for answer in world.answers(job)] == [api.Refuse if group is Group.ALL else api.Fail]
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,9 +19,9 @@
 from ironbarrow.discovery import client as discovery
 from ironbarrow.runtime import sockets
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine
+from tests.dispatcher_harness import DispatcherHarness, entries, make_settings
 from tests.scenario import SETTINGS, Harness, answer, call_back, job
 from tests.virtual import VirtualLoop, wait
-from tests.world import World, entries, make_settings
 
 ACCEPTED = answer(202)
 KNOWN_WITHIN = 6 * SECOND  # so long after the service had a change, a dispatcher has to know it
@@ -764,15 +764,15 @@
 
 def test_the_decision_logic_backs_off_after_a_late_refusal_only() -> None:
     def next_call(waited: int, listed: bool) -> int:
-        world = World(make_settings(asks_for_list=True, dispatchers=200), entries(2), seed=5)
+        world = DispatcherHarness(make_settings(asks_for_list=True, dispatchers=200), entries(2), seed=5)
         while not any(isinstance(action, api.Subscribe) for action in world.actions):
             world.advance(5 * MS)
         world.actions.clear()
         world.advance(waited)
         if listed:
-            world.listed(api.ListKind.CHANGES, ())
+            world.update_list(api.ListKind.CHANGES, ())
             world.advance(waited)
-        world.listed(api.ListKind.LOST, ())
+        world.update_list(api.ListKind.LOST, ())
         lost = world.now
         while not any(isinstance(action, api.Subscribe) for action in world.actions):
             world.advance(5 * MS)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -7,8 +7,8 @@
 import pytest
 
 from heathway import api
+from tests.dispatcher_harness import DispatcherHarness, S, entries, make_settings
 from tests.scenario import Harness
-from tests.world import S, World, entries, make_settings
 
 
 def list_line(stage: Harness, count: int, index: int, whole: bool, status: str = "up") -> bytes:
@@ -67,10 +67,10 @@
 @pytest.mark.parametrize(("dispatchers", "workers"), [(230, 400), (1_024, 2_000)])
 def test_jobs_are_sent_and_drained_workers_avoided_among_thousands(dispatchers: int, workers: int) -> None:
     settings = make_settings(dispatchers=dispatchers, me=dispatchers - 1, live_weights=True)
-    world = World(settings, entries(workers, weight=8.0))
+    world = DispatcherHarness(settings, entries(workers, weight=8.0))
     jobs = [world.arrive(key=n) for n in range(50)]
     assert all(len(world.attempts(job)) == 1 for job in jobs)
-    world.listed(api.ListKind.CHANGES, entries(workers, weight=8.0, state=api.WorkerState.DRAINING)[:-1])
+    world.update_list(api.ListKind.CHANGES, entries(workers, weight=8.0, state=api.WorkerState.DRAINING)[:-1])
     world.now += 1 * S
     last = world.arrive(key=99)
     assert [t.worker for t in world.attempts(last)] == [f"w{workers - 1:03d}"]
@@ -80,7 +80,7 @@
     """With nothing known of any worker, the search is longest. Calls are the same on every machine."""
 
     def calls(workers: int) -> int:
-        world, counted = World(make_settings(dispatchers=200), entries(workers)), 0
+        world, counted = DispatcherHarness(make_settings(dispatchers=200), entries(workers)), 0
 
         def count(frame: object, event: str, arg: object) -> None:
             nonlocal counted
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -11,26 +11,26 @@
 from heathway.api import ListKind, Outcome, WorkerState
 from heathway.backoff import ListCallBackoff
 from heathway.logic import Dispatcher
-from tests.world import MS, SAFE, UNSAFE, S, World, entries, make_settings
+from tests.dispatcher_harness import MS, SAFE, UNSAFE, DispatcherHarness, S, entries, make_settings
 
 
-def run_load(world: World, seconds: float = 3.0, hung: tuple[str, ...] = ()) -> None:
+def run_load(world: DispatcherHarness, seconds: float = 3.0, hung: tuple[str, ...] = ()) -> None:
     """Runs ordinary load for a while: jobs take 300 ms; those on hung workers are not answered."""
     for n in range(int(seconds * 50)):
         world.arrive("unsafe" if n % 5 == 0 else "safe", key=n % 7)
         world.advance(20 * MS)
-        for job, number in world.out():
+        for job, number in world.in_flight():
             attempt = world.attempts(job)[number]
             if attempt.worker not in hung and world.now - attempt.at >= 300 * MS:
-                world.end(job, number, free=4.0)
+                world.end_attempt(job, number, free=4.0)
 
 
-def sent_since(world: World, when: int, worker: str) -> int:
+def sent_since(world: DispatcherHarness, when: int, worker: str) -> int:
     return sum(at >= when and name == worker for at, _, name in world.sends)
 
 
 def test_a_hung_worker_is_ejected_and_its_safe_jobs_go_elsewhere():
-    world = World(make_settings(), entries(6))
+    world = DispatcherHarness(make_settings(), entries(6))
     run_load(world)
     busy = max(world.entries, key=lambda name: sent_since(world, 0, name))
     run_load(world, 4.0, hung=(busy,))
@@ -46,17 +46,21 @@
     # guards against jobs that time out first: nothing ejected the worker, which got more and more jobs
     service = 120 * MS
     short = replace(SAFE, aim=service, deadline=left)
-    world = World(make_settings(classes=(short,), may_probe=True, report_fields=("x0",)), entries(5))
+    world = DispatcherHarness(
+        make_settings(classes=(short,), may_probe=True, report_fields=("x0",)), entries(5)
+    )
     silent = ""
     sent = []
     for n in range(500):
         world.arrive("safe", key=n % 7, left=left)
-        for job, number in world.out():
+        for job, number in world.in_flight():
             attempt = world.attempts(job)[number]
             if n == 100:
                 silent = silent or attempt.worker
             if world.now - attempt.at >= (left if attempt.worker == silent else service):
-                world.end(job, number, Outcome.TIMEOUT if attempt.worker == silent else Outcome.OK, free=4.0)
+                world.end_attempt(
+                    job, number, Outcome.TIMEOUT if attempt.worker == silent else Outcome.OK, free=4.0
+                )
         if n == 400:
             sent.append(sent_since(world, 0, silent))
         world.advance(20 * MS)
@@ -79,19 +83,19 @@
 
 
 def test_an_ejected_worker_adds_no_capacity_and_returns_when_it_answers():
-    world = World(make_settings(), entries(2))
+    world = DispatcherHarness(make_settings(), entries(2))
     job = world.arrive("unsafe")
     worker = world.dispatcher._workers[world.attempts(job)[0].worker]
     world.dispatcher._eject(worker)
     assert world.dispatcher._running_slots == 0
     world.now += 100 * MS
-    world.end(job, 0, free=2.0)
+    world.end_attempt(job, 0, free=2.0)
     assert not worker.ejected
     assert world.dispatcher._running_slots == 0
 
 
 def test_workers_that_are_all_silent_are_not_all_ejected_and_work_resumes():
-    world = World(make_settings(), entries(10))
+    world = DispatcherHarness(make_settings(), entries(10))
     run_load(world)
     run_load(world, 5.0, hung=tuple(world.entries))
     assert world.dispatcher._ejected_count <= 1 + logic.MAX_EJECTED_SHARE * 10
@@ -101,11 +105,13 @@
     assert sum(isinstance(a, api.Send) for a in world.actions) > before + 20
 
 
-def reported(free: float, **more: object) -> World:
+def reported(free: float, **more: object) -> DispatcherHarness:
     """Two workers that have reported their free slots; they also report starts of jobs."""
-    world = World(make_settings(tells_start=True, may_probe=True, report_fields=("x0",), **more), entries(2))
+    world = DispatcherHarness(
+        make_settings(tells_start=True, may_probe=True, report_fields=("x0",), **more), entries(2)
+    )
     report = api.LoadReport(free_slots=free)
-    world.batch(*(api.ProbeEnded(name, Outcome.OK, MS, report) for name in world.entries))
+    world.handle(*(api.ProbeEnded(name, Outcome.OK, MS, report) for name in world.entries))
     return world
 
 
@@ -117,12 +123,12 @@
     assert world.attempts(booking)[0].worker == full
     world.advance(logic.START_TIMEOUT)
     assert [a for a in world.actions if isinstance(a, api.CancelAttempt)] == [api.CancelAttempt(moved, 0)]
-    world.end(moved, 0, Outcome.CANCELLED)
+    world.end_attempt(moved, 0, Outcome.CANCELLED)
     assert [t.worker == full for t in world.attempts(moved)] == [True, False]
     assert world.attempts(world.arrive("safe"))[0].worker != full
-    world.batch(api.AttemptNote(booking, 0, full, api.NoteKind.STARTED))
+    world.handle(api.AttemptNote(booking, 0, full, api.NoteKind.STARTED))
     assert not world.dispatcher._workers[full].overdue_starts
-    assert world.believed_free(full) == pytest.approx(0)
+    assert world.estimated_free_slots(full) == pytest.approx(0)
 
 
 @pytest.mark.parametrize(
@@ -139,13 +145,13 @@
 ):
     # guards against late jobs that, under overload, take the slots of jobs that could be in time
     classes = (replace(SAFE, late_worth=late_worth), UNSAFE)
-    world = World(make_settings(tells_start=True, classes=classes), entries(1))
+    world = DispatcherHarness(make_settings(tells_start=True, classes=classes), entries(1))
     job = world.arrive(cls)
     if starts:
-        world.batch(api.AttemptNote(job, 0, world.attempts(job)[0].worker, api.NoteKind.STARTED))
+        world.handle(api.AttemptNote(job, 0, world.attempts(job)[0].worker, api.NoteKind.STARTED))
     in_time = SAFE.aim  # the latest start of the shortest job
     world.advance(in_time // 2)
-    world.batch(api.ProbeEnded(world.attempts(job)[0].worker, Outcome.OK, MS))  # a sign of life
+    world.handle(api.ProbeEnded(world.attempts(job)[0].worker, Outcome.OK, MS))  # a sign of life
     world.advance(in_time - in_time // 2)
     assert world.answers(job) == []
     world.advance(2 * logic.START_TIMEOUT)
@@ -153,7 +159,7 @@
     assert [type(a) for a in world.answers(job)] == [api.Refuse] * given_up
     assert cancelled == [api.CancelAttempt(job, 0)] * given_up
     if given_up:
-        world.end(job, 0, Outcome.CANCELLED)  # later events change nothing
+        world.end_attempt(job, 0, Outcome.CANCELLED)  # later events change nothing
         assert len(world.attempts(job)) == len(world.answers(job)) == 1
 
 
@@ -173,7 +179,9 @@
 ):
     # guards against late jobs that fill slots: the mean allows starts that are too late for short jobs
     found = replace(SAFE if cls == "safe" else UNSAFE, stretch=stretch, late_worth=late_worth)
-    world = World(make_settings(tick=MS, classes=(found,)), entries(1, state=api.WorkerState.DRAINING))
+    world = DispatcherHarness(
+        make_settings(tick=MS, classes=(found,)), entries(1, state=api.WorkerState.DRAINING)
+    )
     world.dispatcher._service_time[cls].mean = 1 * MS
     job, begun = world.arrive(cls, **given), world.now
     while not world.answers(job):
@@ -184,7 +192,7 @@
 def test_a_job_that_starts_stays_where_it_is():
     world = reported(4.0)
     job = world.arrive("safe")
-    world.batch(api.AttemptNote(job, 0, world.attempts(job)[0].worker, api.NoteKind.STARTED))
+    world.handle(api.AttemptNote(job, 0, world.attempts(job)[0].worker, api.NoteKind.STARTED))
     world.advance(5 * logic.START_TIMEOUT)
     assert not any(isinstance(a, api.CancelAttempt) for a in world.actions)
 
@@ -192,10 +200,10 @@
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET])
 def test_a_failing_worker_is_ejected_until_good_answers_make_up_for_its_faults(outcome):
     # guards against a worker that fails quickly: it always looks free, and some of its answers are good
-    world = World(make_settings(), entries(4))
+    world = DispatcherHarness(make_settings(), entries(4))
     job = world.arrive("safe")
     failing = world.attempts(job)[0].worker
-    world.end(job, 0, outcome)
+    world.end_attempt(job, 0, outcome)
     worker = world.dispatcher._workers[failing]
     assert worker.ejected
     assert world.attempts(job)[1].worker != failing
@@ -203,15 +211,15 @@
     for left in (1, 0):
         trial = world.arrive("safe", key=1)
         assert world.attempts(trial)[0].worker == failing
-        world.end(trial, 0)
+        world.end_attempt(trial, 0)
         assert worker.ejected == bool(left)
 
 
 def test_errors_in_a_load_report_count_as_a_fault():
-    world = World(make_settings(), entries(4))
+    world = DispatcherHarness(make_settings(), entries(4))
     job = world.arrive("safe")
     attempt = world.attempts(job)[0]
-    world.batch(
+    world.handle(
         api.AttemptEnded(job, 0, attempt.worker, Outcome.OK, True, MS, api.LoadReport(4.0, errors=2.0))
     )
     assert world.dispatcher._workers[attempt.worker].ejected
@@ -222,14 +230,14 @@
     world.advance(probing.PROBE_AFTER + 2 * logic.PERIOD)
     probed = [a.worker for a in world.actions if isinstance(a, api.Probe)]
     assert set(probed) == set(world.entries)
-    world.batch(api.ProbeEnded("w000", Outcome.CONNECT_FAILED, MS))
+    world.handle(api.ProbeEnded("w000", Outcome.CONNECT_FAILED, MS))
     assert world.dispatcher._workers["w000"].ejected
 
 
 def test_an_unreachable_worker_gets_one_trial_job_after_a_pause():
-    world = World(make_settings(), entries(1))
+    world = DispatcherHarness(make_settings(), entries(1))
     job = world.arrive("safe")
-    world.end(job, 0, Outcome.CONNECT_FAILED)
+    world.end_attempt(job, 0, Outcome.CONNECT_FAILED)
     sent = len(world.sends)
     world.arrive("safe", key=2)
     assert len(world.sends) == sent
@@ -240,11 +248,11 @@
 
 
 def test_an_unreachable_zone_gets_only_trial_jobs_until_it_answers():
-    world = World(make_settings(zone="c"), entries(40))
+    world = DispatcherHarness(make_settings(zone="c"), entries(40))
     for key in range(200):
-        for job, number in world.out():
+        for job, number in world.in_flight():
             unreachable = world.entries[world.attempts(job)[number].worker].zone == "b"
-            world.end(job, number, Outcome.CONNECT_FAILED if unreachable else Outcome.OK, free=4.0)
+            world.end_attempt(job, number, Outcome.CONNECT_FAILED if unreachable else Outcome.OK, free=4.0)
         world.arrive("safe", key=key)
         world.advance(10 * MS)
     beyond = [worker for _, _, worker in world.sends if world.entries[worker].zone == "b"]
@@ -253,29 +261,29 @@
     when = world.now
     for key in range(200):  # reachable again: a trial job is answered and the zone is used
         world.arrive("safe", key=key)
-        for job, number in world.out():
-            world.end(job, number, Outcome.OK, free=4.0)
+        for job, number in world.in_flight():
+            world.end_attempt(job, number, Outcome.OK, free=4.0)
         world.advance(10 * MS)
     again = [w for at, _, w in world.sends if at >= when and world.entries[w].zone == "b"]
     assert len(again) > 20
 
 
 def test_a_worker_of_unknown_load_gets_no_job_while_its_weight_is_halved():
-    world = World(make_settings(), entries(2, weight=6.0))
-    world.listed(ListKind.CHANGES, entries(1, weight=3.0))
+    world = DispatcherHarness(make_settings(), entries(2, weight=6.0))
+    world.update_list(ListKind.CHANGES, entries(1, weight=3.0))
     first, second = world.arrive(), world.arrive()
     assert [t.worker for t in world.attempts(first)] == ["w001"]
     assert world.attempts(second) == []
-    world.listed(ListKind.CHANGES, entries(1, weight=4.0))
+    world.update_list(ListKind.CHANGES, entries(1, weight=4.0))
     assert [t.worker for t in world.attempts(second)] == ["w000"]
 
 
 def test_a_failed_list_call_is_retried_after_a_random_delay_and_the_list_stays():
-    world = World(make_settings(asks_for_list=True), entries(2))
+    world = DispatcherHarness(make_settings(asks_for_list=True), entries(2))
     world.advance(backoff.MIN_SPREAD + logic.PERIOD)
     calls = [a for a in world.actions if isinstance(a, api.Subscribe)]
     assert len(calls) == 1
-    world.listed(ListKind.LOST, ())
+    world.update_list(ListKind.LOST, ())
     job = world.arrive()
     assert len(world.attempts(job)) == 1
     world.advance(2 * backoff.MIN_SPREAD)
@@ -283,16 +291,16 @@
 
 
 def test_a_list_that_is_pushed_is_not_requested():
-    world = World(make_settings(asks_for_list=False), entries(2))
+    world = DispatcherHarness(make_settings(asks_for_list=False), entries(2))
     world.advance(3 * S)
     assert not any(isinstance(a, api.Subscribe) for a in world.actions)
 
 
 @pytest.mark.parametrize("free", [-3.0, math.nan, math.inf, 1e300, None])
 def test_an_implausible_value_in_a_report_is_ignored(free):
-    world = World(make_settings(), entries(1))
+    world = DispatcherHarness(make_settings(), entries(1))
     job = world.arrive()
-    world.end(job, 0, free=free)
+    world.end_attempt(job, 0, free=free)
     world.advance(300 * MS)
     after = world.arrive()
     assert len(world.attempts(after)) == 1
@@ -300,11 +308,11 @@
 
 
 def test_a_job_larger_than_any_worker_is_refused_in_time_and_blocks_no_other():
-    world = World(make_settings(), entries(2))
+    world = DispatcherHarness(make_settings(), entries(2))
     for key in range(4):
         job = world.arrive(key=key)
         if world.attempts(job):
-            world.end(job, 0, free=4.0)
+            world.end_attempt(job, 0, free=4.0)
     huge = world.arrive(slots=64.0)
     small = world.arrive()
     assert len(world.attempts(small)) == 1
@@ -313,9 +321,9 @@
 
 
 def test_late_and_unknown_events_are_ignored():
-    world = World(make_settings(), entries(2))
+    world = DispatcherHarness(make_settings(), entries(2))
     job = world.arrive()
-    world.end(job, 0)
+    world.end_attempt(job, 0)
     events = [
         api.AttemptEnded(job, 0, "w000", Outcome.OK, True, 5),
         api.AttemptEnded(9, 3, "w000", Outcome.FULL, False, 5),
@@ -329,7 +337,7 @@
         api.PeerMessage(3, b"hello"),
         api.WorkerList(ListKind.CHANGES, entries(1, state=WorkerState.GONE)),
     ]
-    answers = world.batch(*events)
+    answers = world.handle(*events)
     assert all(isinstance(a, api.SetTimer) for a in answers)
 
 
@@ -341,11 +349,11 @@
 
 def test_a_started_stream_is_neither_answered_nor_cancelled():
     stream = api.JobClass("stream", api.Effect.SAFE, 400 * MS, 2 * S, streaming=True)
-    world = World(make_settings(classes=(stream,)), entries(1))
+    world = DispatcherHarness(make_settings(classes=(stream,)), entries(1))
     job = world.arrive("stream", left=2 * S)
-    world.jobs[job].over = True
+    world.jobs[job].ended = True
     world.jobs[job].deadline = 60 * S
-    world.batch(api.StreamStarted(job, 0, "w000", 5))
+    world.handle(api.StreamStarted(job, 0, "w000", 5))
     world.advance(30 * S)
     assert world.answers(job) == []
     assert not any(isinstance(a, api.CancelAttempt) for a in world.actions)
@@ -353,7 +361,7 @@
 
 def test_a_withdrawn_job_is_cancelled_where_that_is_allowed():
     for allowed, cancels in ((True, 1), (False, 0)):
-        world = World(make_settings(may_cancel=allowed), entries(1))
+        world = DispatcherHarness(make_settings(may_cancel=allowed), entries(1))
         job = world.arrive()
         world.withdraw(job)
         assert sum(isinstance(a, api.CancelAttempt) for a in world.actions) == cancels
@@ -361,17 +369,17 @@
 
 
 def test_a_restarted_worker_is_cold_and_its_load_unknown():
-    world = World(make_settings(), entries(1))
+    world = DispatcherHarness(make_settings(), entries(1))
     job = world.arrive("safe")
-    world.end(job, 0, free=8.0)
-    world.listed(ListKind.CHANGES, entries(1, started_at=world.now))
+    world.end_attempt(job, 0, free=8.0)
+    world.update_list(ListKind.CHANGES, entries(1, started_at=world.now))
     worker = world.dispatcher._workers["w000"]
     assert worker.load_observed_at == 0
     assert worker.cold_until == world.now + 20 * S
 
 
 def test_decisions_go_on_after_a_jump_of_the_clock():
-    world = World(make_settings(), entries(3))
+    world = DispatcherHarness(make_settings(), entries(3))
     run_load(world, 1.0)
     world.advance(600 * S)
     job = world.arrive()
@@ -397,7 +405,7 @@
 def test_the_probes_per_job_are_the_same_at_any_size_of_the_fleet(dispatchers, workers):
     # guards against probes of each silent worker: forty dispatchers and sixty workers sent 35 a job
     more = {"tells_start": True, "may_probe": True, "report_fields": ("x0",), "probe_price": 0.004}
-    world = World(make_settings(dispatchers=dispatchers, **more), entries(workers))
+    world = DispatcherHarness(make_settings(dispatchers=dispatchers, **more), entries(workers))
     jobs = 30
     for _ in range(jobs):
         world.arrive()
@@ -469,17 +477,17 @@
     # guards against needless restarts: one of forty dispatchers may have no other sign of a worker
     more = {"tells_start": True, "may_probe": True, "report_fields": ("x0",), "dispatchers": 40}
     for answers in (True, False):
-        world = World(make_settings(**more), entries(4))
+        world = DispatcherHarness(make_settings(**more), entries(4))
         job = world.arrive()
         worker = world.attempts(job)[0].worker
-        world.batch(api.AttemptNote(job, 0, worker, api.NoteKind.STARTED))
+        world.handle(api.AttemptNote(job, 0, worker, api.NoteKind.STARTED))
         limit = world.dispatcher._service_time["safe"].bound(logic.SILENCE_FACTOR)
         probes = 0
         while world.now < 7 * S + limit + probing.PROBE_TIMEOUT + 3 * logic.PERIOD:
             sent = [a.worker for a in world.actions if isinstance(a, api.Probe)]
             for name in sent[probes:]:
                 outcome = Outcome.OK if answers or name != worker else Outcome.TIMEOUT
-                world.batch(
+                world.handle(
                     api.ProbeEnded(name, outcome, MS, api.LoadReport(free_slots=4.0) if answers else None)
                 )
             probes = len(sent)
@@ -490,10 +498,10 @@
 
 def test_live_weights_show_the_load_of_other_dispatchers():
     idle, busy = entries(2)
-    world = World(make_settings(live_weights=True, tells_start=True), (idle, busy))
+    world = DispatcherHarness(make_settings(live_weights=True, tells_start=True), (idle, busy))
     for name in ("w000", "w001"):
         world.dispatcher._workers[name].size = 5.0
-    world.listed(ListKind.CHANGES, (replace(busy, weight=0.5),))  # idle: 1.0; five jobs on five cores
+    world.update_list(ListKind.CHANGES, (replace(busy, weight=0.5),))  # idle: 1.0; five jobs on five cores
     worker = world.dispatcher._workers["w001"]
     assert worker.peer_slots == pytest.approx(5.0)
     for _ in range(3):
@@ -501,16 +509,16 @@
     assert {name for _, _, name in world.sends} == {"w000"}
 
 
-def full_fleet(**changes: object) -> World:
+def full_fleet(**changes: object) -> DispatcherHarness:
     """Workers that seem to have room but have turned away ten jobs as full."""
-    world = World(make_settings(max_attempts=3, **changes), entries(12))
+    world = DispatcherHarness(make_settings(max_attempts=3, **changes), entries(12))
     while len(world.sends) < 10:
         world.arrive("unsafe", key=len(world.sends))
-        for job, number in world.out():
-            world.end(job, number, Outcome.FULL)
+        for job, number in world.in_flight():
+            world.end_attempt(job, number, Outcome.FULL)
         world.advance(200 * MS)
-    for job, number in world.out():
-        world.end(job, number, Outcome.FULL)
+    for job, number in world.in_flight():
+        world.end_attempt(job, number, Outcome.FULL)
     return world
 
 
@@ -521,7 +529,7 @@
     world.advance(200 * MS)  # the pauses after FULL are over
     job = world.arrive("safe", key=99)
     if cold:
-        world.listed(api.ListKind.CHANGES, entries(16, started_at=world.now - 10 * S)[12:])
+        world.update_list(api.ListKind.CHANGES, entries(16, started_at=world.now - 10 * S)[12:])
     world.advance(2 * logic.START_TIMEOUT)
     assert any(isinstance(a, api.CancelAttempt) and a.job == job for a in world.actions)
 
@@ -530,5 +538,5 @@
     world = full_fleet()
     world.advance(200 * MS)
     job = world.arrive("safe", key=99)
-    world.end(job, 0, Outcome.FULL)
+    world.end_attempt(job, 0, Outcome.FULL)
     assert len(world.attempts(job)) == 2
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -13,7 +13,7 @@
 from heathway.api import ListKind, Outcome, WorkerState
 from heathway.logic import Dispatcher
 from heathway.state import Worker
-from tests.world import MS, S, World, entries, make_settings
+from tests.dispatcher_harness import MS, DispatcherHarness, S, entries, make_settings
 
 CLASS_MEANS = (4500 * MS, 800 * MS, 400 * MS)  # mean work of a fleet's classes, long ones first
 GAPS = (0, 1, 10 * MS)  # ns, added to steps of half a window, a window, or 1 ns less or more than one
@@ -351,11 +351,11 @@
 
 def relisted(*lines: tuple[int, int, WorkerState]) -> Worker:
     """The only worker of a world after these entries: ns after the first, start time, state."""
-    world = World(make_settings(), entries(1))
+    world = DispatcherHarness(make_settings(), entries(1))
     begun = world.now
     for after, start, state in lines:
         world.now = begun + after
-        world.listed(ListKind.CHANGES, entries(1, started_at=start, state=state))
+        world.update_list(ListKind.CHANGES, entries(1, started_at=start, state=state))
     return world.dispatcher._workers["w000"]
 
 
@@ -383,15 +383,15 @@
     for weight in (1.0, 0.25):
         fast, slow = entries(2)
         slow = replace(slow, kind="old", weight=weight)
-        world = World(make_settings(fall_window=3 * S, live_weights=live), (fast, slow))
+        world = DispatcherHarness(make_settings(fall_window=3 * S, live_weights=live), (fast, slow))
         for worker in world.dispatcher._workers.values():
             worker.size = 8.0
         world.dispatcher._workers["w000"].ejected = True  # so that the other one gets all jobs
-        world.listed(ListKind.CHANGES, (replace(slow, started_at=world.now),))
+        world.update_list(ListKind.CHANGES, (replace(slow, started_at=world.now),))
         for _ in range(60):
             world.arrive("safe")
-            for job, number in world.out():
-                world.end(job, number, Outcome.CANCELLED)
+            for job, number in world.in_flight():
+                world.end_attempt(job, number, Outcome.CANCELLED)
         sent.append(sum(name == "w001" for _, _, name in world.sends))
     assert 0 < sent[1] <= 0.45 * sent[0]
 
@@ -400,8 +400,8 @@
 @pytest.mark.parametrize("weight", [math.nan, math.inf, -math.inf, -1.0, 0.0, 1e300])
 def test_an_implausible_weight_neither_raises_nor_keeps_other_cold_workers_idle(weight, live):
     first, second = entries(2, started_at=7 * S)
-    world = World(make_settings(live_weights=live, fall_window=3 * S), ())
-    world.listed(ListKind.FULL, (replace(first, weight=weight, kind="odd"), second))
+    world = DispatcherHarness(make_settings(live_weights=live, fall_window=3 * S), ())
+    world.update_list(ListKind.FULL, (replace(first, weight=weight, kind="odd"), second))
     for worker in world.dispatcher._workers.values():
         worker.size = 8.0
     for key in range(40):
@@ -433,17 +433,17 @@
     settings = make_settings(dispatchers=dispatchers)
     total = []
     for me in range(dispatchers):
-        world = World(make_settings(dispatchers=dispatchers, me=me), entries(1), seed=me)
+        world = DispatcherHarness(make_settings(dispatchers=dispatchers, me=me), entries(1), seed=me)
         job = world.arrive("safe")
         world.now += 400 * MS
-        world.end(job, 0, Outcome.OK, free=8.0)  # the size is known before the restart
+        world.end_attempt(job, 0, Outcome.OK, free=8.0)  # the size is known before the restart
         start = world.now
-        world.listed(ListKind.CHANGES, entries(1, started_at=start))
+        world.update_list(ListKind.CHANGES, entries(1, started_at=start))
         sent_before = len(world.sends)
         for n in range(40):
             world.arrive("safe", key=n)
-            for job, number in world.out():
-                world.end(job, number, Outcome.FULL if n % 2 else Outcome.OK, free=8.0)
+            for job, number in world.in_flight():
+                world.end_attempt(job, number, Outcome.FULL if n % 2 else Outcome.OK, free=8.0)
             world.advance(20 * MS)
         total += [at for at, _, _ in world.sends[sent_before:] if at < start + settings.fall_window]
     work = len(total) * 400 * MS
@@ -457,10 +457,12 @@
     cold = entries(60, started_at=7 * S)  # after the dispatchers, which would wait for a window otherwise
     sent = set()
     for me in range(40):
-        world = World(make_settings(me=me, dispatchers=40, tells_start=True, fall_window=3 * S), ())
+        world = DispatcherHarness(
+            make_settings(me=me, dispatchers=40, tells_start=True, fall_window=3 * S), ()
+        )
         world.dispatcher._typical = (5.0, 0.0)
         world.dispatcher._update_typical = lambda: None
-        world.listed(api.ListKind.FULL, cold)
+        world.update_list(api.ListKind.FULL, cold)
         for _ in range(6):
             world.arrive("safe")
         sent |= {worker for _, _, worker in world.sends}
