--- a/ironbarrow/lab/audit.py
+++ b/ironbarrow/lab/audit.py
@@ -46,9 +46,8 @@
     dispatcher: int
     due: int  # latest time for the answer, slack included
     attempts: int = 0
-    in_flight: dict[str, int] = field(
-        default_factory=dict
-    )  # workers with an attempt in flight, and since when
+    # workers with an attempt in flight, and since when
+    in_flight: dict[str, int] = field(default_factory=dict)
     may_have_run: bool = False
     ran: bool = False
     done: bool = False
@@ -92,9 +91,8 @@
         self._shares_jobs = world.dispatchers.fleet is not None
         self._paused: set[int] = set()  # suspended dispatchers
         self._unsafe_starts: dict[int, int] = {}  # by root, for unsafe jobs
-        self._not_up_since: dict[
-            tuple[int, str], int
-        ] = {}  # by dispatcher and worker: when the dispatcher learned that it drains or is gone
+        # by dispatcher and worker: when the dispatcher learned that the worker drains or is gone
+        self._not_up_since: dict[tuple[int, str], int] = {}
         self._breaches: Counter[str] = Counter()
         self._examples: list[str] = []
         self._checked: Counter[str] = Counter()
--- a/ironbarrow/lab/follow.py
+++ b/ironbarrow/lab/follow.py
@@ -47,12 +47,12 @@
 
     def as_fields(self, now: int) -> dict[str, Any]:
         """Fields to show with a send at ``now``."""
-        found: dict[str, Any] = {"state": self.state}
+        fields: dict[str, Any] = {"state": self.state}
         if self.listed_at:
-            found |= {"weight": self.weight, "list_age_ms": (now - self.listed_at) // _MS}
+            fields |= {"weight": self.weight, "list_age_ms": (now - self.listed_at) // _MS}
         if self.reported_at:
-            found |= {"report": self.report, "report_age_ms": (now - self.reported_at) // _MS}
-        return found
+            fields |= {"report": self.report, "report_age_ms": (now - self.reported_at) // _MS}
+        return fields
 
 
 def _update_known(workers: dict[str, _KnownWorker], line: dict[str, Any]) -> None:
@@ -91,13 +91,13 @@
 def follow_job(folder: Path, job_id: str) -> tuple[list[Step], list[Path]]:
     """All trace lines about a job in the logs of a folder, by time, and the logs whose incomplete last line
     was skipped. A TraceLogError if the logs are unusable or none has the id."""
-    found: dict[Path, list[dict[str, Any]]] = {}
+    lines_by_log: dict[Path, list[dict[str, Any]]] = {}
     truncated: list[Path] = []
     for path in trace_files(folder):
-        found[path] = list(read_lines(path, truncated))
-    start = min((line["at"] for lines in found.values() for line in lines), default=0)
+        lines_by_log[path] = list(read_lines(path, truncated))
+    start = min((line["at"] for lines in lines_by_log.values() for line in lines), default=0)
     steps: list[Step] = []
-    for path, lines in found.items():
+    for path, lines in lines_by_log.items():
         try:
             steps.extend(_steps(path.stem, lines, job_id, start))
         except (KeyError, TypeError, ValueError) as error:
@@ -105,5 +105,5 @@
                 f"{path}: a trace line lacks a field or has a wrong value: {error!r}"
             ) from None
     if not steps:
-        raise TraceLogError(f"{folder}: no job with the id {job_id} in {len(found)} logs")
+        raise TraceLogError(f"{folder}: no job with the id {job_id} in {len(lines_by_log)} logs")
     return sorted(steps, key=lambda step: step.at), truncated
--- a/ironbarrow/lab/model/fleet.py
+++ b/ironbarrow/lab/model/fleet.py
@@ -150,27 +150,27 @@
         # the affected workers are drawn in advance and in the file's order, so that events in the run cannot
         # change the choice
         for fault in self._world.faults:
-            who = fault.workers or self._choose_workers(fault)
-            self._clock.call_at(self._started_at + fault.at, self._inject, fault, who)
+            names = fault.workers or self._choose_workers(fault)
+            self._clock.call_at(self._started_at + fault.at, self._inject, fault, names)
 
     def _choose_workers(self, fault: Fault) -> list[str]:
         if fault.kind not in _WORKER_FAULTS:
             return []
         names = [w.name for w in self._fleet.workers.values() if w.group.listed]
-        order = sorted((self._stream.uniform(), name) for name in names)
-        least = 0 if fault.part == 0 else 1
-        return [name for _, name in order[: max(least, round(fault.part * len(names)))]]
+        shuffled = sorted((self._stream.uniform(), name) for name in names)
+        minimum = 0 if fault.part == 0 else 1
+        return [name for _, name in shuffled[: max(minimum, round(fault.part * len(names)))]]
 
-    def _inject(self, fault: Fault, who: list[str]) -> None:
+    def _inject(self, fault: Fault, names: list[str]) -> None:
         now = self._clock.now()
-        target = tuple(who) or ((f"dispatcher {fault.dispatcher}",) if "dispatcher" in fault.kind else ())
+        target = tuple(names) or ((f"dispatcher {fault.dispatcher}",) if "dispatcher" in fault.kind else ())
         started = now - self._started_at
         self.injected.append(InjectedFault(fault.kind, started, started + fault.lasts, target))
         ends = now + fault.lasts
         network, discovery = self._fleet.network, self._fleet.discovery
-        affected = [self._fleet.workers[name] for name in who]
+        affected = [self._fleet.workers[name] for name in names]
         if fault.kind in ("deploy", "shrink"):
-            self._replace_in_batches(fault, who)
+            self._replace_in_batches(fault, names)
         elif fault.kind == "cut":
             network.cut(fault.zones)
             self._clock.call_at(ends, network.heal, fault.zones)
@@ -217,10 +217,10 @@
         if worker.state is State.UP:
             self._fleet.discovery.set_status(worker.name, "up")
 
-    def _replace_in_batches(self, fault: Fault, who: list[str]) -> None:
+    def _replace_in_batches(self, fault: Fault, names: list[str]) -> None:
         """Drains and ends workers, one batch at a time; "deploy" also starts a successor of each."""
         size = max(1, round(fault.batch * len(self._fleet.discovery.entries)))
-        batches = [who[i : i + size] for i in range(0, len(who), size)]
+        batches = [names[i : i + size] for i in range(0, len(names), size)]
         pause = fault.lasts // max(1, len(batches))
         for number, batch in enumerate(batches):
             at = self._clock.now() + number * pause
--- a/ironbarrow/lab/model/randomness.py
+++ b/ironbarrow/lab/model/randomness.py
@@ -21,11 +21,11 @@
         self._generators: list[np.random.Generator | None] = [None, None, None]
 
     def _generator(self, kind: int) -> np.random.Generator:
-        found = self._generators[kind]
-        if found is None:
-            found = np.random.Generator(np.random.PCG64(np.random.SeedSequence([*self._entropy, kind])))
-            self._generators[kind] = found
-        return found
+        generator = self._generators[kind]
+        if generator is None:
+            generator = np.random.Generator(np.random.PCG64(np.random.SeedSequence([*self._entropy, kind])))
+            self._generators[kind] = generator
+        return generator
 
     def uniform(self, low: float = 0.0, high: float = 1.0) -> float:
         """A uniform draw from [low, high)."""
@@ -71,10 +71,10 @@
         self._streams: dict[str, Stream] = {}
 
     def __getitem__(self, name: str) -> Stream:
-        found = self._streams.get(name)
-        if found is None:
-            found = self._streams[name] = Stream(self.seed, name)
-        return found
+        stream = self._streams.get(name)
+        if stream is None:
+            stream = self._streams[name] = Stream(self.seed, name)
+        return stream
 
 
 def zipf_weights(count: int, exponent: float) -> list[float]:
--- a/ironbarrow/lab/model/spec.py
+++ b/ironbarrow/lab/model/spec.py
@@ -146,9 +146,8 @@
     deadline: Duration
     effect: Literal["safe", "unsafe"] = "safe"
     stretch: NonNegative = 2.0
-    slots: list[Share] = msgspec.field(
-        default_factory=lambda: [1.0]
-    )  # shares of jobs that need 1, 2, ... slots
+    # shares of jobs that need 1, 2, ... slots
+    slots: list[Share] = msgspec.field(default_factory=lambda: [1.0])
     worth: Positive = 1.0
     attempt_noise: NonNegative = 0.0  # coefficient of variation of the work between tries of a job
 
@@ -218,12 +217,10 @@
     down: Duration = ms(1000)  # dispatcher killed, restarted: until it starts again
     dispatcher: Annotated[int, Meta(ge=0)] = 0
     farm: Annotated[int, Meta(ge=0)] | None = None  # flood: the farm that sends the additional jobs
-    zones: list[str] = msgspec.field(
-        default_factory=list
-    )  # cut, links: between the first zone and the others
-    pair: list[int] = msgspec.field(
-        default_factory=list
-    )  # links: between these two dispatchers; if empty, by ``zones`` or all links
+    # cut, links: between the first zone and the others
+    zones: list[str] = msgspec.field(default_factory=list)
+    # links: between these two dispatchers; if empty, by ``zones`` or all links
+    pair: list[int] = msgspec.field(default_factory=list)
     one_way: bool = False  # links: only messages from the first to the others
     lost: Share = 0.0  # links: probability that a message is lost
     doubled: Share = 0.0  # links: probability that a message arrives twice
@@ -253,13 +250,13 @@
         """Checks conditions that involve several keys; a ValueError names the keys."""
         if (self.arrivals.rate is None) == (self.arrivals.load is None):
             raise ValueError("arrivals: expected exactly one of rate and load")
-        for what, names in (
+        for key, names in (
             ("classes", [c.name for c in self.classes]),
             ("workers", [g.name for g in self.workers]),
             ("network.zones", self.network.zones),
         ):
             if len(set(names)) != len(names):
-                raise ValueError(f"{what}: expected names that differ, got {names}")
+                raise ValueError(f"{key}: expected names that differ, got {names}")
         for cls in self.classes:
             if not cls.slots or not sum(cls.slots) > 0:
                 raise ValueError(
@@ -381,10 +378,10 @@
     if kind is World:
         raw = with_current_names(raw, where)
     try:
-        made = msgspec.convert(raw, kind, dec_hook=_decode)
-        if isinstance(made, World):
-            made.check()
-        return made
+        decoded = msgspec.convert(raw, kind, dec_hook=_decode)
+        if isinstance(decoded, World):
+            decoded.check()
+        return decoded
     except (msgspec.ValidationError, ValueError) as error:
         raise WorldError(f"{where}: {str(error).replace('`$.', '`')}") from None
 
@@ -392,12 +389,12 @@
 def read_toml(path: Path) -> dict[str, Any]:
     """The contents of a TOML file as plain data; a WorldError if it can't be read or parsed."""
     try:
-        found = msgspec.toml.decode(path.read_bytes())
+        data = msgspec.toml.decode(path.read_bytes())
     except OSError as error:
         raise WorldError(f"{path}: can't be read: {error.strerror}") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise WorldError(f"{path}: not TOML: {error}") from None
-    return dict(found)
+    return dict(data)
 
 
 def load_world(path: Path) -> World:
--- a/ironbarrow/lab/model/worker.py
+++ b/ironbarrow/lab/model/worker.py
@@ -368,12 +368,12 @@
             while self._error_times and self._error_times[0] < now - 1000 * MS:
                 self._error_times.popleft()
             noise = 1 + self._reports.noise * self._stream.normal()
-            made = Report(
+            report = Report(
                 max(0.0, (self.group.slots - self.used_slots) * noise),
                 max(0.0, len(self._queue) * noise),
                 float(len(self._error_times)),
             )
-            self._pending_reports.append((now + self._reports.delay + self.impairment.report_delay, made))
+            self._pending_reports.append((now + self._reports.delay + self.impairment.report_delay, report))
         self._clock.call_at(now + self._reports.period, self._renew_report)
 
     # Cold starts
--- a/ironbarrow/lab/model/workload.py
+++ b/ironbarrow/lab/model/workload.py
@@ -143,8 +143,8 @@
 
 
 def _cumulative(weights: list[float]) -> list[float]:
-    total, made = 0.0, []
+    total, sums = 0.0, []
     for weight in weights:
         total += weight
-        made.append(total)
-    return made
+        sums.append(total)
+    return sums
--- a/ironbarrow/lab/tally.py
+++ b/ironbarrow/lab/tally.py
@@ -105,15 +105,15 @@
         if start < 0:
             continue
         try:
-            found = json.loads(line[start:])
+            entry = json.loads(line[start:])
         except ValueError as error:
             if number == text.count("\n") + 1:
                 if truncated is not None:
                     truncated.append(path)
                 continue  # the process was killed while it wrote its last line
             raise TraceLogError(f"{path}:{number}: not a line of a log: {error}") from None
-        if isinstance(found, dict) and isinstance(found.get("at"), int):
-            yield found
+        if isinstance(entry, dict) and isinstance(entry.get("at"), int):
+            yield entry
 
 
 class _TraceCounter:
@@ -201,13 +201,13 @@
     """
     paths = trace_files(folder)
     counter = _TraceCounter(int(cold_s * SECOND))
-    found = {path: list(read_lines(path)) for path in paths}
-    for lines in found.values():
+    lines_by_log = {path: list(read_lines(path)) for path in paths}
+    for lines in lines_by_log.values():
         for line in lines:
             counter.set_start(line["at"])
-    if not any(found.values()):
+    if not any(lines_by_log.values()):
         raise TraceLogError(f"{folder}: no trace lines; run the dispatchers with BALANCER_TRACE=1")
-    for path, lines in found.items():
+    for path, lines in lines_by_log.items():
         known: dict[str, tuple[str, int]] = {}
         for line in lines:
             try:
--- a/ironbarrow/lab/validate.py
+++ b/ironbarrow/lab/validate.py
@@ -74,7 +74,7 @@
 
 
 def run_case(case: Case, jobs: int, seed: int = 1) -> CaseResult:
-    """Feeds so many jobs to one worker and takes the mean of their waits."""
+    """Sends ``jobs`` jobs to one worker and measures their mean wait."""
     clock = SimulatedClock()
     streams = Streams(seed)
     observer = _StartRecorder(clock)
