--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: the model against closed forms, the auditor against planted faults, runs, experiments."""
+"""The laboratory: model against closed forms, auditor against faulty dispatchers, runs, experiments."""
 
 import json
 import os
@@ -43,12 +43,12 @@
 EXPERIMENTS = ROOT / "experiments"
 
 
-def world(seconds: float = 6, *faults: Fault, **changes: Any) -> World:
+def small_world(seconds: float = 6, *faults: Fault, **changes: Any) -> World:
     base = load_world(EXPERIMENTS / "small.toml")
     return msgspec.structs.replace(base, duration=ms(1000 * seconds), faults=list(faults), **changes)
 
 
-def busy(load: float) -> Any:
+def arrivals_at(load: float) -> Any:
     return msgspec.structs.replace(load_world(EXPERIMENTS / "small.toml").arrivals, load=load)
 
 
@@ -56,14 +56,15 @@
 
 
 def test_closed_forms_agree_with_each_other() -> None:
-    # M/M/1 waits twice as long as M/D/1; Erlang C for one server is the load; a table's value for 10 of 8
+    # M/M/1 waits twice as long as M/D/1; Erlang C for one server is the load; the last value is from a
+    # table, for 10 servers and 8 erlangs
     assert theory.mmc_wait(8, 0.1) == pytest.approx(2 * theory.md1_wait(8, 0.1))
     assert theory.erlang_c(1, 0.7) == pytest.approx(0.7)
     assert theory.erlang_c(10, 8.0) == pytest.approx(0.4092, abs=5e-4)
 
 
 @pytest.mark.parametrize("case", [c for c in CASES if c.load < 0.9], ids=lambda c: c.name)
-def test_the_worker_waits_as_the_formula_says(case: Any) -> None:
+def test_mean_waits_match_the_closed_forms(case: Any) -> None:
     found = run_case(case, 60_000, seed=2)
     assert abs(found.error) < 0.03 + found.half_width / found.wait
     assert found.number_waiting == pytest.approx(found.rate_times_wait, rel=0.01)
@@ -76,7 +77,7 @@
     return sim.Simulation(of, seed, ignored_workers=ignored_workers).run().digest
 
 
-def test_equal_seeds_give_equal_runs_whatever_the_hash_seed() -> None:
+def test_equal_seeds_give_equal_runs_for_any_hash_seed() -> None:
     code = (
         "import sys; from pathlib import Path; from ironbarrow.lab.model.spec import load_world; "
         "from ironbarrow.lab.sim.run import Simulation; "
@@ -93,31 +94,31 @@
         for hash_seed in ("0", "1", "4242")
     ]
     assert len(set(found)) == 1
-    assert digest(world(), 1) != digest(world(), 2)
+    assert digest(small_world(), 1) != digest(small_world(), 2)
 
 
-def test_one_more_worker_shifts_nobody_elses_draws() -> None:
-    plain = world(6, Fault(kind="slow", at=ms(1000), lasts=ms(2000), part=0.3))
+def test_an_additional_worker_does_not_change_the_draws_of_others() -> None:
+    plain = small_world(6, Fault(kind="slow", at=ms(1000), lasts=ms(2000), part=0.3))
     spare = msgspec.structs.replace(plain.workers[0], name="spare", count=1, listed=False)
     more = msgspec.structs.replace(plain, workers=[*plain.workers, spare])
     assert digest(plain, 3) == digest(more, 3, frozenset({"spare-0"}))
 
 
-# The auditor against planted faults
+# The auditor against faulty dispatchers
 
-DYING = [Fault(kind="die", at=ms(500 * n), part=0.09) for n in range(1, 8)]
-DRAINS = Fault(kind="drain", at=ms(500), part=0.9)
+CRASHES = [Fault(kind="die", at=ms(500 * n), part=0.09) for n in range(1, 8)]
+DRAIN = Fault(kind="drain", at=ms(500), part=0.9)
 DEPLOY = Fault(kind="deploy", at=ms(200), lasts=ms(2000), part=0.9, batch=0.5, drain=ms(500))
-FAILING = Fault(kind="fail fast", at=ms(0), lasts=ms(6000), part=1.0, size=1.0)
+FAST_FAILURES = Fault(kind="fail fast", at=ms(0), lasts=ms(6000), part=1.0, size=1.0)
 
 
-def answers_nobody(host: core.Host, job: Any, answer: Any = None) -> None:
+def never_answers(host: core.Host, job: Any, answer: Any = None) -> None:
     job.finished = True
     host._unanswered -= 1
 
 
 def answers_twice(host: core.Host, job: Any, answer: Any = None) -> None:
-    real_conclude(host, job, answer)
+    real_finish_job(host, job, answer)
     if answer is not None:
         job.on_answer(answer)
 
@@ -130,9 +131,9 @@
         host.invoker.start(core.Attempt(job, len(job.attempts), other, host.loop.now(), job.deadline))
 
 
-def hears_no_drain(host: core.Host, news: Any) -> None:
+def ignores_drains(host: core.Host, news: Any) -> None:
     up = tuple(entry for entry in news.entries if entry.state.value == "up")
-    real_listed(host, type(news)(news.kind, up, news.version))
+    real_update_workers(host, type(news)(news.kind, up, news.version))
 
 
 def serves_failures(host: core.Host, action: Any) -> None:
@@ -143,7 +144,7 @@
     host._answer_job(action.job, core.Answer(core.Verdict.REFUSED))
 
 
-def takes_all_for_unstarted(ending: Ending, written: bool) -> Any:
+def treats_all_as_never_ran(ending: Ending, written: bool) -> Any:
     found = real_outcome(ending, written)
     return found if found.name in ("OK", "CANCELLED") else type(found).FULL
 
@@ -152,44 +153,51 @@
     def made(of: World, number: int) -> dict[str, Any]:
         found = real_settings(of, number)
         for key, value in values.items():
-            place, _, name = key.partition("__")
-            found[place][name] = value
+            table, _, name = key.partition("__")
+            found[table][name] = value
         return found
 
     return made
 
 
-real_conclude, real_send = core.Host._finish_job, core.Host._send
-real_listed, real_outcome = core.Host.update_workers, core.outcome_of
+real_finish_job, real_send = core.Host._finish_job, core.Host._send
+real_update_workers, real_outcome = core.Host.update_workers, core.outcome_of
 real_settings = sim.settings_object
 
-MUTANTS: dict[Breach, tuple[Any, str, Any, list[Fault], float]] = {
-    Breach.NO_ANSWER: (core.Host, "_finish_job", answers_nobody, [], 0.5),
+FAULTY_DISPATCHERS: dict[Breach, tuple[Any, str, Any, list[Fault], float]] = {
+    Breach.NO_ANSWER: (core.Host, "_finish_job", never_answers, [], 0.5),
     Breach.TWO_ANSWERS: (core.Host, "_finish_job", answers_twice, [], 0.5),
     Breach.SECOND_COPY: (core.Host, "_send", sends_twice, [], 0.5),
-    Breach.TOO_MANY_ATTEMPTS: (sim, "settings_object", settings_with(limits__mostTries=9), [FAILING], 0.3),
-    Breach.SENT_AFTER_DRAIN_GRACE: (core.Host, "update_workers", hears_no_drain, [DRAINS], 0.5),
+    Breach.TOO_MANY_ATTEMPTS: (
+        sim,
+        "settings_object",
+        settings_with(limits__mostTries=9),
+        [FAST_FAILURES],
+        0.3,
+    ),
+    Breach.SENT_AFTER_DRAIN_GRACE: (core.Host, "update_workers", ignores_drains, [DRAIN], 0.5),
     Breach.COLD_WORKER_OVERLOADED: (sim, "settings_object", settings_with(guarantees__cold=0), [DEPLOY], 0.9),
-    Breach.UNSAFE_JOB_RAN_TWICE: (core, "outcome_of", takes_all_for_unstarted, DYING, 0.7),
-    Breach.UNSAFE_RESEND: (core, "outcome_of", takes_all_for_unstarted, DYING, 0.7),
-    Breach.UNSAFE_REFUSAL: (core.Host, "_fail", refuses_failures, [FAILING], 0.5),
-    Breach.UNFOUNDED_SUCCESS: (core.Host, "_fail", serves_failures, [FAILING], 0.5),
+    Breach.UNSAFE_JOB_RAN_TWICE: (core, "outcome_of", treats_all_as_never_ran, CRASHES, 0.7),
+    Breach.UNSAFE_RESEND: (core, "outcome_of", treats_all_as_never_ran, CRASHES, 0.7),
+    Breach.UNSAFE_REFUSAL: (core.Host, "_fail", refuses_failures, [FAST_FAILURES], 0.5),
+    Breach.UNFOUNDED_SUCCESS: (core.Host, "_fail", serves_failures, [FAST_FAILURES], 0.5),
 }
 
 
 @pytest.mark.parametrize("breach", list(Breach), ids=lambda breach: breach.name)
-def test_the_auditor_finds_a_planted_violation(breach: Breach, monkeypatch: pytest.MonkeyPatch) -> None:
-    place, name, mutant, faults, load = MUTANTS[breach]
-    tried = world(6, *faults, arrivals=busy(load))
-    assert not sim.Simulation(tried, 4).run().verdicts.breaches[breach.value]
-    monkeypatch.setattr(place, name, mutant)
-    assert sim.Simulation(tried, 4).run().verdicts.breaches[breach.value]
+def test_the_auditor_detects_each_breach(breach: Breach, monkeypatch: pytest.MonkeyPatch) -> None:
+    target, name, replacement, faults, load = FAULTY_DISPATCHERS[breach]
+    tested = small_world(6, *faults, arrivals=arrivals_at(load))
+    assert not sim.Simulation(tested, 4).run().verdicts.breaches[breach.value]
+    monkeypatch.setattr(target, name, replacement)
+    assert sim.Simulation(tested, 4).run().verdicts.breaches[breach.value]
 
 
-def test_the_host_stops_decisions_that_refuse_what_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against an unlawful refusal that the decisions alone would let out (bcef66)."""
+def test_the_host_rejects_refusals_of_unsafe_jobs_that_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The host checks refusals itself, because a faulty decision module could refuse a job that may have run
+    (fault found in bcef66)."""
     monkeypatch.setattr(Decisions, "_may_refuse", lambda self, job: True)
-    run = sim.Simulation(world(6, FAILING, arrivals=busy(0.5)), 4)
+    run = sim.Simulation(small_world(6, FAST_FAILURES, arrivals=arrivals_at(0.5)), 4)
     assert not run.run().verdicts.breaches
     hosts = [dispatcher.process.host for dispatcher in run.dispatchers if dispatcher.process]
     assert sum(host.event_log.counts["decision not carried out", Rule.LAWFUL_REFUSAL.value] for host in hosts)
@@ -206,29 +214,30 @@
     parts = ("served", "refused", "failed", "no_answer", "left")
     assert asked["asked"] == sum(asked[name] for name in parts) > 1000
     assert asked["service"] > 0.6
-    assert result.notes["little"] == pytest.approx(1, abs=1e-9)  # every order counted once in, once out
+    # Little's law holds exactly if each request is counted in once and out once
+    assert result.notes["little"] == pytest.approx(1, abs=1e-9)
 
 
-def test_threefold_overload_ends_with_bounded_memory() -> None:
-    run = sim.Simulation(world(8, arrivals=busy(3.0)), 1)
+def test_memory_is_bounded_under_threefold_overload() -> None:
+    run = sim.Simulation(small_world(8, arrivals=arrivals_at(3.0)), 1)
     result = run.run()
     assert not result.verdicts.breaches, result.verdicts.examples
     assert result.summary()["all"]["refused"] > 100
-    # what is kept grows with the jobs of the last half minute, not with all that ever came
+    # memory depends on the jobs of the last 30 s, not on all jobs so far
     assert run.clock.pending < 20 * len(result.rows["due"])
     assert sum(d.process.host.jobs_in_memory for d in run.dispatchers if d.process) < 50
 
 
-def test_a_live_run_serves_through_processes_on_loopback(tmp_path: Path) -> None:
+def test_a_live_run_serves_jobs_through_dispatcher_processes(tmp_path: Path) -> None:
     small = msgspec.structs.replace(
-        world(2.5, Fault(kind="dispatcher restarted", at=ms(800), dispatcher=1, down=ms(100))),
-        classes=[c for c in world().classes if c.name != "booking"],
+        small_world(2.5, Fault(kind="dispatcher restarted", at=ms(800), dispatcher=1, down=ms(100))),
+        classes=[c for c in small_world().classes if c.name != "booking"],
     )
     result = LiveRun(small, 1, tmp_path).run()
     notes = result.notes
     assert (notes["crashes"], notes["wrong_results"], notes["errors"]) == (0, 0, 0)
     assert result.verdicts.looked_at["answers"] > 100
-    assert len(notes["ready_after_ms"]) == 4  # three starts and one more
+    assert len(notes["ready_after_ms"]) == 4  # three starts and one restart
     never = {
         Breach.TWO_ANSWERS,
         Breach.SECOND_COPY,
@@ -241,7 +250,7 @@
 
 # Files
 
-WRONG = {
+INVALID_WORLDS = {
     "unknown key": ("name", 'nmae = "x"\nname', "nmae"),
     "wrong unit": ('duration = "30 s"', 'duration = "30 parsecs"', "duration"),
     "no unit": ('duration = "30 s"', "duration = 30", "duration"),
@@ -260,8 +269,8 @@
 }
 
 
-@pytest.mark.parametrize(("old", "new", "named"), WRONG.values(), ids=WRONG)
-def test_a_wrong_world_is_refused_in_one_line(old: str, new: str, named: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("old", "new", "named"), INVALID_WORLDS.values(), ids=INVALID_WORLDS)
+def test_an_invalid_world_gives_a_one_line_error(old: str, new: str, named: str, tmp_path: Path) -> None:
     text = (EXPERIMENTS / "small.toml").read_text()
     assert old in text
     path = tmp_path / "wrong.toml"
@@ -307,17 +316,19 @@
     return path
 
 
-def play(path: Path, jobs: int = 2, meddle: Callable[[Runner], None] = lambda runner: None) -> Runner:
+def run_experiment(
+    path: Path, jobs: int = 2, disturb: Callable[[Runner], None] = lambda runner: None
+) -> Runner:
     folder = path.parent / "out"
     runner = Runner(load_plan(path, folder / "variants"), Store(folder), jobs)
-    thread = threading.Thread(target=meddle, args=(runner,), daemon=True)
+    thread = threading.Thread(target=disturb, args=(runner,), daemon=True)
     thread.start()
     runner.run()
     thread.join(10)
     return runner
 
 
-def test_a_sweep_runs_once_survives_killed_cell_processes_and_mixes_nothing(sweep: Path) -> None:
+def test_a_sweep_runs_each_cell_once_despite_killed_cell_processes(sweep: Path) -> None:
     killed: list[int] = []
 
     def kill_one(runner: Runner) -> None:
@@ -328,24 +339,24 @@
                 killed.append(pid)
             time.sleep(0.005)
 
-    first = play(sweep, 8, kill_one)
+    first = run_experiment(sweep, 8, kill_one)
     assert killed
     assert (first.outcome.finished, first.outcome.kept, first.outcome.failed) == (8, 0, {})
-    again = play(sweep)
+    again = run_experiment(sweep)
     assert (again.outcome.finished, again.outcome.kept) == (0, 8)
-    # the same figures for one process and for several
+    # the number of processes must not change the results
     folder = sweep.parent / "out"
     digests = {cell["cell"]: cell["digest"] for cell in cells_of(Store(folder))}
     folder.rename(sweep.parent / "kept")
-    play(sweep, 1)
+    run_experiment(sweep, 1)
     assert {cell["cell"]: cell["digest"] for cell in cells_of(Store(folder))} == digests
-    # other words, other cells
+    # a changed world gives new cells
     tiny = sweep.parent / "tiny.toml"
     tiny.write_text(tiny.read_text().replace("speed = 2.0", "speed = 2.1"))
-    assert play(sweep).outcome.kept == 0
+    assert run_experiment(sweep).outcome.kept == 0
 
 
-def test_an_interrupt_keeps_what_is_finished(sweep: Path) -> None:
+def test_an_interrupt_keeps_finished_cells(sweep: Path) -> None:
     out = sweep.parent / "out"
     command = [sys.executable, "-m", "ironbarrow", "lab", "run", str(sweep), "--jobs", "1", "--out", str(out)]
     process = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
@@ -358,13 +369,14 @@
     assert process.returncode == 130
     kept = len(list(store.cells.glob("*.json")))
     assert 1 <= kept < 8
-    assert play(sweep).outcome.kept == kept
+    assert run_experiment(sweep).outcome.kept == kept
 
 
-def test_a_full_disk_ends_the_run_and_keeps_what_is_finished(sweep: Path) -> None:
+def test_a_full_disk_ends_the_run_and_keeps_finished_cells(sweep: Path) -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
-    # room for a cell's figures at the lower load, and none for those at the higher one: half a disk
-    play(sweep)
+    # Simulates a full disk: with this file size limit, results at the lower load fit and those at the higher
+    # load do not.
+    run_experiment(sweep)
     store = Store(sweep.parent / "out")
     names = list(store.cells.iterdir())
     for path in names[: len(names) // 2]:
@@ -372,39 +384,39 @@
     done = sum(store.has(cell.id) for cell in load_plan(sweep, store.folder / "variants").cells)
     resource.setrlimit(resource.RLIMIT_FSIZE, (2048, hard))
     try:
-        full = play(sweep)
+        full = run_experiment(sweep)
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, (soft, hard))
     assert "File too large" in full.outcome.stopped
     assert full.outcome.finished == 0
     assert not list(store.cells.glob(".*"))
-    after = play(sweep)
+    after = run_experiment(sweep)
     assert (after.outcome.kept, after.outcome.finished) == (done, 8 - done)
 
 
 def test_comparison_and_report_of_a_sweep(sweep: Path) -> None:
-    play(sweep)
+    run_experiment(sweep)
     store = Store(sweep.parent / "out")
     cells = cells_of(store)
     rows = compare(cells, "present", "no probes", ("service",))
     assert {row.group for row in rows} == {"all", "map", "decode", "booking"}
     assert all(row.pairs == 2 and row.low <= row.mean <= row.high for row in rows)
-    # a cell that is kept from an earlier plan goes by its names in this one
+    # a cell kept from an earlier plan takes its variant name from the present plan
     sweep.write_text(SWEEP.replace('"present"', '"now"').replace("seeds = 2", "seeds = 1"))
-    renamed = play(sweep)
+    renamed = run_experiment(sweep)
     assert (renamed.outcome.kept, renamed.outcome.finished) == (4, 0)
     assert {cell["variant"] for cell in cells_of(store)} == {"now", "no probes"}
     same = compare(cells, "present", "present", ("service",))
     assert all(row.mean == 0 and not row.sure for row in same)
     html = page(store, cells)
     assert html.count("data:image/png;base64,") >= 5
-    assert not re.search(r'(?:src|href)="(?!data:)', html)  # nothing is fetched from elsewhere
+    assert not re.search(r'(?:src|href)="(?!data:)', html)  # the page loads no external resources
     invoke = CliRunner().invoke
     said = json.loads(invoke(app, ["lab", "compare", str(store.folder), "--json"]).output)
     assert {row["variant"] for row in said} == {"no probes"}
 
 
-WRONG_SWEEPS = {
+INVALID_EXPERIMENTS = {
     "empty axis": ("[0.3, 0.6]", "[]", "axes"),
     "unknown key of the world": ('"arrivals.load"', '"arrivals.laod"', "laod"),
     "no such world": ("tiny.toml", "none.toml", "none.toml"),
@@ -414,8 +426,8 @@
 }
 
 
-@pytest.mark.parametrize(("old", "new", "named"), WRONG_SWEEPS.values(), ids=WRONG_SWEEPS)
-def test_a_wrong_experiment_is_refused_before_anything_runs(
+@pytest.mark.parametrize(("old", "new", "named"), INVALID_EXPERIMENTS.values(), ids=INVALID_EXPERIMENTS)
+def test_an_invalid_experiment_is_rejected_before_any_run(
     old: str, new: str, named: str, sweep: Path
 ) -> None:
     sweep.write_text(SWEEP.replace(old, new))
@@ -434,12 +446,12 @@
         assert f"'{heavy}'" not in names
 
 
-def test_spec_errors_name_the_place() -> None:
+def test_world_errors_name_the_file() -> None:
     with pytest.raises(WorldError, match="somewhere"):
         convert({"name": 3}, World, "somewhere")
 
 
-ROUGH = [
+SEVERE_FAULTS = [
     Fault(kind="cut", at=ms(1000), lasts=ms(3000), zones=["north", "south"]),
     Fault(kind="vanish", at=ms(2000), part=0.1),
     Fault(kind="discovery outage", at=ms(2500), lasts=ms(4000)),
@@ -451,9 +463,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_cuts_outages_and_floods_break_no_rule(seed: int) -> None:
-    result = sim.Simulation(world(10, *ROUGH), seed).run()
+    result = sim.Simulation(small_world(10, *SEVERE_FAULTS), seed).run()
     assert not result.verdicts.breaches, result.verdicts.examples
-    assert {fault.kind for fault in result.faults} == {fault.kind for fault in ROUGH}
+    assert {fault.kind for fault in result.faults} == {fault.kind for fault in SEVERE_FAULTS}
     assert 0.2 < result.summary()["all"]["service"] < 1
     assert result.summary()["classes"]["other farms"]["asked"] < result.summary()["all"]["asked"]
 
@@ -466,7 +478,7 @@
     head, _, _ = SWEEP.partition("[[variants]]")
     variants = ('"present"\n', '"head"\nrevision = "HEAD"\n', '"shut"\nmodule = "logic.py"\n')
     sweep.write_text(head + "".join(f"[[variants]]\nname = {variant}" for variant in variants))
-    assert play(sweep).outcome.failed == {}
+    assert run_experiment(sweep).outcome.failed == {}
     by = {name: [] for name in ("present", "head", "shut")}  # type: ignore[var-annotated]
     for cell in cells_of(Store(sweep.parent / "out")):
         by[cell["variant"]].append(cell)
@@ -474,16 +486,16 @@
     assert refused["shut"] > refused["head"] + 20
 
 
-def trace(folder: Path, name: str, *lines: dict[str, object]) -> None:
+def write_trace(folder: Path, name: str, *lines: dict[str, object]) -> None:
     folder.mkdir(exist_ok=True)
     (folder / f"{name}.log").write_text("".join(f"0.5 {json.dumps(line)}\n" for line in lines))
 
 
-def test_traces_of_a_fleet_are_added_up(tmp_path: Path) -> None:
+def test_traces_of_a_fleet_are_counted(tmp_path: Path) -> None:
     start = 1_700_000_000 * 10**9
     listed = [["w1", "up", 1.0, start], ["w2", "draining", 1.0, 0]]
     for name in ("n1", "n2"):
-        trace(
+        write_trace(
             tmp_path,
             name,
             {"event": "told", "at": start, "what": "WorkerList", "kind": "full", "lines": listed},
@@ -513,7 +525,7 @@
     assert found.workers["w2"]["never_ran"] == 2
 
 
-def test_a_job_is_followed_through_all_logs_with_what_was_known_of_its_workers(tmp_path: Path) -> None:
+def test_a_job_is_followed_through_all_logs_with_the_known_state_of_its_workers(tmp_path: Path) -> None:
     listed = {"what": "WorkerList", "kind": "full", "lines": [["w1", "up", 2.5, 0], ["w2", "up", 5.0, 0]]}
     report = {"what": "ProbeEnded", "worker": "w1", "outcome": "ok", "report": {"free_slots": 3.0}}
     taken = {"event": "taken", "job": 1, "id": "abc"}
@@ -523,10 +535,10 @@
     answer = {"event": "answered", "job": 1, "id": "abc", "verdict": "failed", "elapsed": 8_000_000}
     for name, lines in {
         "n1": (listed, report, taken, other, send, end, answer),
-        # the same number, at another dispatcher and after its restart, is another job
+        # the same number is another job at another dispatcher and after a restart
         "n2": ({**taken, "id": "other"}, send, {"event": "settings"}, send),
     }.items():
-        trace(tmp_path, name, *({"at": at * 1_000_000, **line} for at, line in enumerate(lines, 1)))
+        write_trace(tmp_path, name, *({"at": at * 1_000_000, **line} for at, line in enumerate(lines, 1)))
     with (tmp_path / "n1.log").open("a") as log:
         log.write('{"at": 99')
     ran = CliRunner().invoke(app, ["lab", "follow", str(tmp_path), "abc", "--json"])
@@ -548,7 +560,7 @@
         ('{"at": 1,\n{"at": 2}\n', ":1: not a line of a log"),
     ],
 )
-def test_logs_that_cannot_be_counted_end_with_one_line(tmp_path: Path, text: str | None, says: str) -> None:
+def test_unusable_logs_give_a_one_line_error(tmp_path: Path, text: str | None, says: str) -> None:
     folder = tmp_path / "logs"
     if text is not None:
         folder.mkdir()
@@ -565,7 +577,7 @@
 
 
 def fleet_counts(monkeypatch: pytest.MonkeyPatch, played: World) -> dict[str, float]:
-    """Probes and sends a job over all dispatchers of a simulated run, which has to keep the rules."""
+    """Probes and sends per job over all dispatchers of a simulated run, in which no rule may be broken."""
     counts = {"probes": 0, "sends": 0}
     for name, method in (("probes", "probe"), ("sends", "start")):
         plain = getattr(SimulatedBack, method)
@@ -582,19 +594,21 @@
     return {"asked": asked} | {name: count / asked for name, count in counts.items()}
 
 
-def test_what_a_job_costs_the_fleet_is_bounded_with_three_dispatchers_and_with_forty(
+def test_probes_and_sends_per_job_are_bounded_with_three_and_with_forty_dispatchers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # each of forty that probes each quiet worker: more than fifty probes a job in this world
+    # If each of the forty dispatchers probed each worker without recent reports, this world would have more
+    # than fifty probes per job.
     wide = msgspec.structs.replace(load_world(EXPERIMENTS / "wide.toml"), duration=ms(6000), faults=[])
     few = msgspec.structs.replace(wide, dispatchers=msgspec.structs.replace(wide.dispatchers, count=3))
     small, large = fleet_counts(monkeypatch, few), fleet_counts(monkeypatch, wide)
     saved = probing.MAX_SAVED * wide.dispatchers.count / large["asked"]
     assert max(small["probes"], large["probes"]) <= probing.PROBES_PER_JOB + saved
-    assert large["sends"] <= 1.4 * small["sends"]  # 1.30 and 1.02: what others hold is known late
+    # 1.30 sends per job with forty dispatchers and 1.02 with three: each learns late of the others' jobs
+    assert large["sends"] <= 1.4 * small["sends"]
 
 
-def test_most_dispatchers_killed_at_once_in_a_release_break_no_rule_and_the_fleet_recovers() -> None:
+def test_killing_most_dispatchers_at_once_breaks_no_rule_and_the_fleet_recovers() -> None:
     wide = msgspec.structs.replace(load_world(EXPERIMENTS / "wide.toml"), duration=ms(14000))
     assert sum(fault.kind == "dispatcher killed" for fault in wide.faults) == 28
     result = sim.Simulation(wide, 3).run()
