--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -194,7 +194,7 @@
     fault = {"kind": "links", "at": "1 s", "lasts": "1 s"}
     with pytest.raises(WorldError, match=r"expects \[dispatchers.fleet\]"):
         convert({**to_plain_data(alone), "faults": [fault]}, World, "w.toml")
-    with pytest.raises(WorldError, match="live alone"):
+    with pytest.raises(WorldError, match="live runs only"):
         Simulation(world(), 1)
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -365,7 +365,7 @@
         assert time.monotonic() < limit and process.poll() is None
         time.sleep(0.01)
     process.send_signal(signal.SIGINT)
-    assert "goes on from there" in process.communicate(timeout=30)[1]
+    assert "run the same command again" in process.communicate(timeout=30)[1]
     assert process.returncode == 130
     kept = len(list(store.cells.glob("*.json")))
     assert 1 <= kept < 8
