--- a/ironbarrow/lab/sim/back.py
+++ b/ironbarrow/lab/sim/back.py
@@ -1,7 +1,7 @@
-"""Carries a simulated dispatcher's attempts to workers of the model, as the HTTP back does over sockets.
+"""Carries a simulated dispatcher's attempts to workers of the model, as the HTTP back end does over sockets.
 
 Connections are only counted: an attempt without an idle connection takes a round trip to connect, and a
-worker limits the number of its connections. Attempts end as in ``ironbarrow.backs.invoker``.
+worker limits the number of its connections. Attempts end as in ``ironbarrow.backend.invoker``.
 """
 
 from collections import deque
--- a/ironbarrow/lab/sim/run.py
+++ b/ironbarrow/lab/sim/run.py
@@ -253,7 +253,7 @@
         self.samples = LoadSamples(_SAMPLE_STEP, [], [])
 
     def make_back(self, number: int, clock: ProcessClock, host: Host) -> SimulatedBack:
-        """Creates the back of a dispatcher's new process."""
+        """Creates the back end of a dispatcher's new process."""
         zone = zone_of(self.world, number)
         return SimulatedBack(
             clock, host, self.fleet, self.audit, f"d{number}", zone, self.client_behaviour.demands
