--- a/benchmarks/fleet20.py
+++ b/benchmarks/fleet20.py
@@ -56,11 +56,13 @@
 def build_world(seed: int, rate: float) -> tuple[spec.World, list[tuple[str, float]]]:
     faults, phases, length = plan_faults(seed)
     classes = [
-        spec.Class(name="map", share=0.7, work=spec.Draw(mean=ms(200)), wanted=ms(2000), deadline=ms(10_000)),
-        spec.Class(
+        spec.JobClass(
+            name="map", share=0.7, work=spec.Distribution(mean=ms(200)), wanted=ms(2000), deadline=ms(10_000)
+        ),
+        spec.JobClass(
             name="booking",
             share=0.3,
-            work=spec.Draw(mean=ms(1500)),
+            work=spec.Distribution(mean=ms(1500)),
             wanted=ms(5000),
             deadline=ms(15_000),
             effect="unsafe",
@@ -70,7 +72,7 @@
         name="fleet20",
         duration=ms(length),
         classes=classes,
-        workers=[spec.Group(name="p", count=12, slots=8, cores=8)],
+        workers=[spec.WorkerGroup(name="p", count=12, slots=8, cores=8)],
         arrivals=spec.Arrivals(rate=rate),
         network=spec.Network(zones=ZONES),
         dispatchers=spec.Dispatchers(count=COUNT, fleet=spec.Fleet()),
--- a/ironbarrow/cli/lab.py
+++ b/ironbarrow/cli/lab.py
@@ -124,12 +124,11 @@
 ) -> None:
     """Summarize logs written with BALANCER_TRACE=1: actions by second and by worker, and how and why the jobs
     of each class ended."""
-    from ironbarrow.lab.tally import COLUMNS, LogsError
-    from ironbarrow.lab.tally import tally as tally_logs
+    from ironbarrow.lab.tally import COLUMNS, TraceLogError, count_traces
 
     try:
-        counts = tally_logs(logs, cold)
-    except LogsError as error:
+        counts = count_traces(logs, cold)
+    except TraceLogError as error:
         _fail(str(error))
     if as_json:
         typer.echo(json.dumps(counts.as_object()))
@@ -159,12 +158,12 @@
     as_json: JsonOption = False,
 ) -> None:
     """Trace one job through the logs of all dispatchers, with what was known of its workers."""
-    from ironbarrow.lab.follow import follow as follow_job
-    from ironbarrow.lab.tally import LogsError
+    from ironbarrow.lab.follow import follow_job
+    from ironbarrow.lab.tally import TraceLogError
 
     try:
         steps, truncated = follow_job(logs, job)
-    except LogsError as error:
+    except TraceLogError as error:
         _fail(str(error))
     if as_json:
         rows = [{"at": s.at, "dispatcher": s.dispatcher, "what": s.what, **s.fields} for s in steps]
--- a/ironbarrow/lab/experiment/spec.py
+++ b/ironbarrow/lab/experiment/spec.py
@@ -14,14 +14,14 @@
 from msgspec import Meta
 
 from ironbarrow.lab.model.spec import (
-    Part,
+    Table,
     World,
     WorldError,
     convert,
-    plain,
-    present_path,
+    current_path,
     read_toml,
-    with_present_names,
+    to_plain_data,
+    with_current_names,
 )
 
 ROOT = Path(__file__).resolve().parents[3]
@@ -31,7 +31,7 @@
 _LIVE_SOURCES = ("heathway", "ironbarrow", "ironbarrow/lab")
 
 
-class Variant(Part, frozen=True):
+class Variant(Table, frozen=True):
     """One way to run each cell: with another version of heathway, or with other settings of the world."""
 
     name: str
@@ -40,7 +40,7 @@
     set: dict[str, Any] = msgspec.field(default_factory=dict)  # values by dotted path in the world
 
 
-class Experiment(Part, frozen=True):
+class Experiment(Table, frozen=True):
     """A parameter sweep. Axes name keys of the world by dotted path, such as "arrivals.load"."""
 
     name: str
@@ -86,7 +86,7 @@
     if len(set(names)) != len(names):
         raise WorldError(f"{path}: `variants`: expected unique names, got {names}")
     world_path = path.parent / experiment.world
-    base = with_present_names(read_toml(world_path), str(world_path))
+    base = with_current_names(read_toml(world_path), str(world_path))
     live = experiment.mode == "live"
     if fleet and not live:
         raise WorldError(f"{path}: `mode`: expected 'live' with --fleet, got {experiment.mode!r}")
@@ -110,7 +110,7 @@
             for key, value in (*variant.set.items(), *axes.items()):
                 _set_by_path(raw, key, value, str(path))
             where = f"{path}: variant {variant.name!r}, {axes or 'no axes'}: {world_path.name}"
-            world = plain(convert(raw, World, where))
+            world = to_plain_data(convert(raw, World, where))
             for seed in seeds:
                 identity = json.dumps([world, seed, experiment.mode, sources], sort_keys=True)
                 name = blake2b(identity.encode(), digest_size=10).hexdigest()
@@ -120,7 +120,7 @@
 
 def _set_by_path(raw: dict[str, Any], key: str, value: Any, path: str) -> None:
     """Sets a value by its dotted path; an entry of a list is selected by its name."""
-    *parents, last = present_path(key).split(".")
+    *parents, last = current_path(key).split(".")
     node: Any = raw
     for part in parents:
         if isinstance(node, list):
--- a/ironbarrow/lab/follow.py
+++ b/ironbarrow/lab/follow.py
@@ -1,7 +1,7 @@
-"""The way of one job through the traces of a whole fleet: arrival, sends, call-backs, final answer.
+"""Follows one job through the traces of a fleet: arrival, attempts, call-backs, final answer.
 
-Each send says what its dispatcher had been told of the worker: its state and weight on the last list, what
-the last report said, and how old both were. Times are seconds from the first line of all logs.
+Each send shows what the dispatcher knew of the worker: its state and weight in the last list, the last load
+report, and the age of both. Times are seconds from the first line of all logs.
 """
 
 from collections.abc import Iterator
@@ -9,15 +9,25 @@
 from pathlib import Path
 from typing import Any
 
-from ironbarrow.lab.tally import SECOND, LogsError, read_lines, trace_files
-
-_SHOWN = ("attempt", "worker", "outcome", "kind", "elapsed", "verdict", "retry_after", "job_class", "slots")
+from ironbarrow.lab.tally import SECOND, TraceLogError, read_lines, trace_files
+
+_SHOWN_FIELDS = (
+    "attempt",
+    "worker",
+    "outcome",
+    "kind",
+    "elapsed",
+    "verdict",
+    "retry_after",
+    "job_class",
+    "slots",
+)
 _MS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One line of a trace that tells of the job."""
+    """A trace line about the job."""
 
     at: float  # s
     dispatcher: str
@@ -26,8 +36,8 @@
 
 
 @dataclass(slots=True)
-class _Told:
-    """What one dispatcher had been told of a worker. Times in ns."""
+class _KnownWorker:
+    """What a dispatcher knows of a worker. Times in ns."""
 
     state: str = "not listed"
     weight: float = 0.0
@@ -36,61 +46,64 @@
     reported_at: int = 0
 
     def as_fields(self, now: int) -> dict[str, Any]:
-        found: dict[str, Any] = {"state": self.state}
+        """Fields to show with a send at ``now``."""
+        fields: dict[str, Any] = {"state": self.state}
         if self.listed_at:
-            found |= {"weight": self.weight, "list_age_ms": (now - self.listed_at) // _MS}
+            fields |= {"weight": self.weight, "list_age_ms": (now - self.listed_at) // _MS}
         if self.reported_at:
-            found |= {"report": self.report, "report_age_ms": (now - self.reported_at) // _MS}
-        return found
+            fields |= {"report": self.report, "report_age_ms": (now - self.reported_at) // _MS}
+        return fields
 
 
-def _learn(told: dict[str, _Told], line: dict[str, Any]) -> None:
+def _update_known(workers: dict[str, _KnownWorker], line: dict[str, Any]) -> None:
     if line.get("what") == "WorkerList":
-        if line["kind"] not in ("changes", "lost"):  # a whole list: who is not in it is gone
-            for known in told.values():
+        if line["kind"] not in ("changes", "lost"):  # a full list: workers that are not in it are gone
+            for known in workers.values():
                 known.state = "gone"
         for name, state, weight, _ in line["lines"]:
-            known = told.setdefault(name, _Told())
+            known = workers.setdefault(name, _KnownWorker())
             known.state, known.weight, known.listed_at = state, weight, line["at"]
     elif line.get("report") and line.get("worker"):
-        known = told.setdefault(line["worker"], _Told())
+        known = workers.setdefault(line["worker"], _KnownWorker())
         known.report, known.reported_at = line["report"], line["at"]
 
 
 def _steps(dispatcher: str, lines: list[dict[str, Any]], job_id: str, start: int) -> Iterator[Step]:
-    told: dict[str, _Told] = {}
+    workers: dict[str, _KnownWorker] = {}
     number: int | None = None
     for line in lines:
-        if line.get("event") == "settings":  # a new process: its numbers begin anew, and it knows nothing
-            told, number = {}, None
-        _learn(told, line)
+        if line.get("event") == "settings":  # a new process numbers its jobs anew and knows no workers
+            workers, number = {}, None
+        _update_known(workers, line)
         if line.get("event") == "taken" and line["id"] == job_id:
             number = line["job"]
         if number is None or line.get("job") != number:
             continue
-        fields = {name: line[name] for name in _SHOWN if line.get(name) is not None}
+        fields = {name: line[name] for name in _SHOWN_FIELDS if line.get(name) is not None}
         if "elapsed" in fields:
             fields["elapsed_ms"] = fields.pop("elapsed") // _MS
         if line.get("what") == "Send":
-            fields |= told.get(line["worker"], _Told()).as_fields(line["at"])
+            fields |= workers.get(line["worker"], _KnownWorker()).as_fields(line["at"])
         what = line.get("what") or line["event"]
         yield Step((line["at"] - start) / SECOND, dispatcher, what, fields)
 
 
-def follow(folder: Path, job_id: str) -> tuple[list[Step], list[Path]]:
-    """All lines of a folder's traces that tell of a job, by time, and the logs whose torn last line was
-    passed over; a LogsError says what is wrong with the logs, or that none has the id."""
-    found: dict[Path, list[dict[str, Any]]] = {}
-    torn: list[Path] = []
+def follow_job(folder: Path, job_id: str) -> tuple[list[Step], list[Path]]:
+    """All trace lines about a job in the logs of a folder, by time, and the logs whose incomplete last line
+    was skipped. A TraceLogError if the logs are unusable or none has the id."""
+    lines_by_log: dict[Path, list[dict[str, Any]]] = {}
+    truncated: list[Path] = []
     for path in trace_files(folder):
-        found[path] = list(read_lines(path, torn))
-    start = min((line["at"] for lines in found.values() for line in lines), default=0)
+        lines_by_log[path] = list(read_lines(path, truncated))
+    start = min((line["at"] for lines in lines_by_log.values() for line in lines), default=0)
     steps: list[Step] = []
-    for path, lines in found.items():
+    for path, lines in lines_by_log.items():
         try:
             steps.extend(_steps(path.stem, lines, job_id, start))
         except (KeyError, TypeError, ValueError) as error:
-            raise LogsError(f"{path}: a line lacks what a trace has: {error!r}") from None
+            raise TraceLogError(
+                f"{path}: a trace line lacks a field or has a wrong value: {error!r}"
+            ) from None
     if not steps:
-        raise LogsError(f"{folder}: no job with the id {job_id} in {len(found)} logs")
-    return sorted(steps, key=lambda step: step.at), torn
+        raise TraceLogError(f"{folder}: no job with the id {job_id} in {len(lines_by_log)} logs")
+    return sorted(steps, key=lambda step: step.at), truncated
--- a/ironbarrow/lab/live/clients.py
+++ b/ironbarrow/lab/live/clients.py
@@ -10,11 +10,11 @@
 from ironbarrow.core.endings import ConnectionEndedError, Ending
 from ironbarrow.lab.audit import Auditor
 from ironbarrow.lab.live.http import HttpClient
-from ironbarrow.lab.model.client import Ended, Habits
-from ironbarrow.lab.model.front import Front
+from ironbarrow.lab.model.client import ClientBehaviour, Finished
+from ironbarrow.lab.model.load_balancer import LoadBalancer
 from ironbarrow.lab.model.network import Network
 from ironbarrow.lab.model.spec import World
-from ironbarrow.lab.model.workload import Order
+from ironbarrow.lab.model.workload import ClientRequest
 from ironbarrow.lab.record import Recorder
 from ironbarrow.runtime.loop import MS, SECOND, Coroutine, Loop, sleep
 from ironbarrow.wire.http import Message
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Client:
-    order: Order
+    order: ClientRequest
     tries: int = 0  # jobs requested for the order, each with an id of its own
     requests: int = 0  # sent for the current job
     late_by: int = 0  # of the first request, ns
@@ -39,9 +39,9 @@
         self,
         loop: Loop,
         world: World,
-        habits: Habits,
+        habits: ClientBehaviour,
         network: Network,
-        front: Front,
+        front: LoadBalancer,
         http_clients: list[HttpClient],
         audit: Auditor,
         recorder: Recorder,
@@ -52,10 +52,11 @@
         self.wrong_results = 0
         self.refused_connections = 0
         self.repeated_requests = 0  # sent again with the same job id
-        self.without_dispatcher: list[Order] = []  # given up because no dispatcher could be reached
-        self.on_end: Callable[[Order, str], None] | None = None  # called with each order and its outcome
+        self.without_dispatcher: list[ClientRequest] = []  # given up because no dispatcher could be reached
+        # called with each order and its outcome
+        self.on_end: Callable[[ClientRequest, str], None] | None = None
 
-    def submit(self, order: Order) -> None:
+    def submit(self, order: ClientRequest) -> None:
         """Starts an order that is due now."""
         self.in_progress += 1
         self._loop.spawn(self._serve(_Client(order)))
@@ -85,7 +86,7 @@
             step = self._habits.next_step(
                 order, "failed" if outcome == "broken" else outcome, client.tries, retry_after
             )
-            if isinstance(step, Ended):
+            if isinstance(step, Finished):
                 if dispatcher_lost:
                     self.without_dispatcher.append(order)
                 return step.outcome
@@ -96,7 +97,9 @@
         while True:
             client.requests += 1
             outcome, retry_after = yield from self._send_request(client, until)
-            repeat = self._habits.comes_again(client.order, outcome) if outcome in _DISPATCHER_LOST else None
+            repeat = (
+                self._habits.retry_same_id(client.order, outcome) if outcome in _DISPATCHER_LOST else None
+            )
             if repeat is None:
                 return outcome, retry_after
             self.repeated_requests += 1
@@ -109,12 +112,12 @@
         before an answer.
         """
         order = client.order
-        dispatcher = self._front.pick(order.zone)
+        dispatcher = self._front.choose(order.zone)
         yield from sleep(self._loop.now() + self._network.client_latency("consumers"))
         if dispatcher is None:
             return "unreachable", 0
         cls = self._world.classes[order.cls]
-        job_id = self._habits.new_try(order, client.tries)
+        job_id = self._habits.start_try(order, client.tries)
         time_left_ms = (order.due + order.deadline - self._loop.now()) // MS
         if time_left_ms < 1:
             return "no answer", 0
@@ -130,7 +133,7 @@
             client.late_by = max(0, self._loop.now() - due)
 
         def sent() -> None:
-            self._audit.taken(
+            self._audit.job_taken(
                 job_id, order.number, dispatcher, time_left_ms * MS, unsafe=cls.effect == "unsafe"
             )
 
@@ -144,9 +147,9 @@
                 "POST", target, headers, _BODY, until, sent
             )
         except ConnectionEndedError as error:
-            self._audit.left(job_id)
+            self._audit.client_left(job_id)
             if error.ending is Ending.STALLED:
-                return self._habits.gives_up(order), 0
+                return self._habits.timeout_outcome(order), 0
             if error.ending in (Ending.CONNECT_REFUSED, Ending.CONNECT_TIMED_OUT):
                 self.refused_connections += 1
                 return "unreachable", 0
@@ -158,13 +161,13 @@
         if answer.status == 200:
             if answer.body != f"done {job_id}".encode():
                 self.wrong_results += 1
-            self._audit.answered(job_id, "served")
+            self._audit.job_answered(job_id, "served")
             return "served", 0
         if answer.status in (429, 503):
-            self._audit.answered(job_id, "refused")
+            self._audit.job_answered(job_id, "refused")
             try:
                 return "refused", int(float(answer.headers.get("retry-after", "0")) * SECOND)
             except ValueError:
                 return "refused", 0
-        self._audit.answered(job_id, "failed")
+        self._audit.job_answered(job_id, "failed")
         return "failed", 0
--- a/ironbarrow/lab/live/discovery_server.py
+++ b/ironbarrow/lab/live/discovery_server.py
@@ -5,7 +5,7 @@
 from urllib.parse import parse_qs
 
 from ironbarrow.lab.live.http import Server, next_message
-from ironbarrow.lab.model.discovery import Discovery, News
+from ironbarrow.lab.model.discovery import Discovery, ListUpdate
 from ironbarrow.lab.settings import list_object
 from ironbarrow.runtime.loop import SECOND, Coroutine, Loop, Task, sleep
 from ironbarrow.runtime.sockets import Address, listen
@@ -32,8 +32,8 @@
         whether it is up, each time its entry is sent to the dispatcher."""
         self._loop, self._addresses, self._on_status = loop, addresses, on_status
         self._host = address[0]
-        self._known = discovery.whole()
-        self._updates: list[News] = []
+        self._known = discovery.full_list()
+        self._updates: list[ListUpdate] = []
         self._followers: dict[Task, None] = {}
         listener = listen(address)
         self.address: Address = listener.getsockname()[:2]
@@ -56,11 +56,11 @@
         """The current list, in the discovery service's format."""
         return list_object(self._known, self._addresses)
 
-    def _on_update(self, list_update: News) -> None:
-        if not list_update.whole:
+    def _on_update(self, list_update: ListUpdate) -> None:
+        if not list_update.is_full:
             merged = {e.name: e for e in self._known.entries}
             merged.update((e.name, e) for e in list_update.entries)
-            self._known = News(
+            self._known = ListUpdate(
                 list_update.version, True, tuple(e for e in merged.values() if e.status != "removed")
             )
         elif list_update.version >= self._known.version:
@@ -69,7 +69,7 @@
         for task in list(self._followers):
             task.wake()
 
-    def _line(self, list_update: News) -> bytes:
+    def _line(self, list_update: ListUpdate) -> bytes:
         for entry in list_update.entries:
             self._on_status(entry.name, entry.status == "up")
         return json.dumps(list_object(list_update, self._addresses)).encode() + b"\n"
--- a/ironbarrow/lab/live/run.py
+++ b/ironbarrow/lab/live/run.py
@@ -19,14 +19,14 @@
 from ironbarrow.lab.live.ports import LoopbackNetwork
 from ironbarrow.lab.live.processes import Instance, Program
 from ironbarrow.lab.live.worker_server import WorkerEndpoint
-from ironbarrow.lab.model.client import Habits
-from ironbarrow.lab.model.fleet import Faults, Fleet
-from ironbarrow.lab.model.front import Front
+from ironbarrow.lab.model.client import ClientBehaviour
+from ironbarrow.lab.model.fleet import FaultSchedule, Fleet
+from ironbarrow.lab.model.load_balancer import LoadBalancer
 from ironbarrow.lab.model.randomness import Streams
-from ironbarrow.lab.model.spec import Fault, Group, World
+from ironbarrow.lab.model.spec import Fault, WorkerGroup, World
 from ironbarrow.lab.model.worker import State, Worker
 from ironbarrow.lab.model.workload import Workload
-from ironbarrow.lab.record import Recorder, Sampler
+from ironbarrow.lab.record import LoadSamples, Recorder
 from ironbarrow.lab.result import Result
 from ironbarrow.lab.settings import zone_of
 from ironbarrow.runtime.clock import MS, SECOND
@@ -51,7 +51,7 @@
     on_worker_start: Callable[[Worker], None] = staticmethod(lambda worker: None)
     on_worker_end: Callable[[str], None] = staticmethod(lambda name: None)
 
-    def add(self, group: Group, name: str, zone: str, started_at: int = 0) -> Worker:
+    def add(self, group: WorkerGroup, name: str, zone: str, started_at: int = 0) -> Worker:
         worker = super().add(group, name, zone, started_at)
         self.on_worker_start(worker)
         return worker
@@ -86,9 +86,9 @@
         self.loop = loop = Loop(self._on_task_failure)
         self.errors = 0
         self.streams = Streams(seed)
-        self.audit = Auditor(loop, world, sockets_slack=SOCKET_TOLERANCE, lost_after=self.lost_after)
+        self.audit = Auditor(loop, world, transport_slack=SOCKET_TOLERANCE, lost_after=self.lost_after)
         self.fleet = _LiveFleet(loop, world, self.streams, self.audit)
-        self._habits = Habits(loop, world, self.streams)
+        self._habits = ClientBehaviour(loop, world, self.streams)
         self._endpoints: dict[str, list[WorkerEndpoint]] = {}
         count = world.dispatchers.count
         self._loopback = LoopbackNetwork.reserve(count)
@@ -96,13 +96,13 @@
         self._call_back_clients = [HttpClient(loop, address) for address in self._listen]
         self._addresses: list[dict[str, str]] = [{} for _ in range(count)]
         self._discovery_told: list[set[str]] = [set() for _ in range(count)]
-        self.front = Front(loop, [zone_of(world, n) for n in range(count)], world.clients.notice)
+        self.front = LoadBalancer(loop, [zone_of(world, n) for n in range(count)], world.clients.notice)
         for worker in self.fleet.workers.values():
             self._open_endpoints(worker)
         self.fleet.on_worker_start = self._open_endpoints
         self.fleet.on_worker_end = self._close_endpoints
         self.recorder = Recorder(world)
-        self.samples = Sampler(_SAMPLE_INTERVAL, [], [])
+        self.samples = LoadSamples(_SAMPLE_INTERVAL, [], [])
         http_clients = [HttpClient(loop, address) for address in self._listen]
         self.clients = Clients(
             loop,
@@ -115,7 +115,7 @@
             self.recorder,
         )
         self.workload = Workload(loop, world, self.streams, self.clients.submit)
-        self.faults = Faults(loop, world, self.fleet, self.workload, self, self.streams)
+        self.faults = FaultSchedule(loop, world, self.fleet, self.workload, self, self.streams)
         self._restart_delays: dict[int, int] = {}
         self._ready: set[int] = set()
         self._discovery_agents: list[DiscoveryAgent] = []
@@ -156,7 +156,7 @@
 
     def _add_instance(self, number: int) -> None:
         def record_status(name: str, up: bool) -> None:
-            self.audit.told(number, name, up=up)
+            self.audit.status_received(number, name, up=up)
 
         agent = DiscoveryAgent(
             self.loop,
@@ -190,7 +190,7 @@
             def alternative(own: int = number, zone: str = zone) -> HttpClient | None:
                 """Another dispatcher, as the front picks it for the own zone or else another one."""
                 zones = [zone, *(z for z in self.world.network.zones if z != zone)]
-                picked = (self.front.pick(z) for z in zones)
+                picked = (self.front.choose(z) for z in zones)
                 other = next((n for n in picked if n is not None and n != own), None)
                 return None if other is None else self._call_back_clients[other]
 
@@ -200,7 +200,7 @@
                 self._loopback.lab_listener(number),
                 zone=zone,
                 client=client,
-                needs=self._habits.needs,
+                needs=self._habits.demands,
                 audit=self.audit,
                 network=self.fleet.network,
                 dispatcher=number,
@@ -218,12 +218,12 @@
 
     def _on_ready(self, number: int) -> None:
         self._ready.add(number)
-        self.front.ready(number)
+        self.front.mark_ready(number)
 
     def _on_end(self, number: int) -> None:
         self._ready.discard(number)
         self.audit.dispatcher_died(number)
-        self.front.died(number)
+        self.front.mark_failed(number)
         if number in self._restart_delays:
             self.loop.call_at(
                 self.loop.now() + self._restart_delays.pop(number), self.instances[number].start
@@ -237,7 +237,7 @@
     def restart(self, number: int, down: int) -> None:
         """Stops a dispatcher with SIGTERM, and starts it again ``down`` ns after its end."""
         self._restart_delays[number] = down
-        self.front.leaves(number)
+        self.front.mark_stopping(number)
         self.instances[number].stop()
 
     def reload(self, number: int) -> None:
@@ -252,15 +252,15 @@
         """
         self.pauses += 1
         self.instances[number].pause()
-        self.audit.dispatcher_stopped(number)
-        self.front.died(number)
+        self.audit.dispatcher_paused(number)
+        self.front.mark_failed(number)
         self.loop.call_at(self.loop.now() + lasts, self._resume, number, self.instances[number].pid)
 
     def _resume(self, number: int, pid: int | None) -> None:
         if pid is not None and self.instances[number].pid == pid:
             self.instances[number].resume()
-            self.audit.dispatcher_goes_on(number)
-            self.front.ready(number)
+            self.audit.dispatcher_resumed(number)
+            self.front.mark_ready(number)
 
     def inject_first_exit(self, point: str, down: int) -> None:
         """Makes the first dispatcher that reaches a fault point end there; it starts again ``down`` ns later.
@@ -292,7 +292,7 @@
             yield from sleep(self.loop.now() + _STOP_POLL_INTERVAL)
         self.pause(number, lasts)
 
-    def trouble_links(self, fault: Fault) -> None:
+    def impair_links(self, fault: Fault) -> None:
         """Applies a fault of the links between dispatchers, and removes it after its duration."""
         pairs = self.link_pairs(fault)
         cut = fault.kind == "links cut"
@@ -380,7 +380,7 @@
             self._run_loop(50 * MS)
             if self._progress is not None and self.loop.now() > reported_at + 200 * MS:
                 reported_at = self.loop.now()
-                self._progress((reported_at - started_at) / SECOND, self.workload.made, len(self.recorder))
+                self._progress((reported_at - started_at) / SECOND, self.workload.created, len(self.recorder))
         span = (self.loop.now() - started_at) / SECOND
         rows = self.recorder.columns()
         late = float(np.percentile(rows["late_by"], 99)) if len(rows["late_by"]) else 0.0
@@ -391,7 +391,7 @@
             "live",
             rows,
             self.audit.finish(),
-            self.faults.played,
+            self.faults.injected,
             self.samples,
             0.0,
             span,
@@ -417,7 +417,7 @@
                 },
                 "fleet": self._fleet_notes(),
                 "folder": str(self._folder),
-                **self.audit.loads(started_at),
+                **self.audit.rates_by_second(started_at),
             },
         )
 
--- a/ironbarrow/lab/live/worker_server.py
+++ b/ironbarrow/lab/live/worker_server.py
@@ -9,7 +9,7 @@
 from ironbarrow.lab.audit import Auditor
 from ironbarrow.lab.live.http import HttpClient, Server, next_message
 from ironbarrow.lab.model.network import Network
-from ironbarrow.lab.model.worker import Need, Reply, Report, State, Worker
+from ironbarrow.lab.model.worker import Admission, Demand, Report, State, Worker
 from ironbarrow.runtime.loop import HANGUP, MS, SECOND, Coroutine, Loop, Task, Wait, sleep
 from ironbarrow.runtime.sockets import Address, listen
 from ironbarrow.transport.http import Connection
@@ -46,7 +46,7 @@
         *,
         zone: str,
         client: HttpClient,
-        needs: Mapping[str, Need],
+        needs: Mapping[str, Demand],
         audit: Auditor,
         network: Network,
         dispatcher: int = 0,
@@ -114,7 +114,7 @@
                 status, headers, body = answered
             else:
                 status, headers, body = 404, [], b""
-            while self._worker.trouble.hung:  # a worker that hangs sends no answer
+            while self._worker.impairment.hung:  # a worker that hangs sends no answer
                 yield from sleep(self._loop.now() + 20 * MS)
             yield from self._network_delay()
             if status == _ACCEPTED and connection.peer_hung_up():
@@ -132,7 +132,7 @@
 
     def _abandon(self, job_id: str) -> None:
         """Cancels a job whose attempt the dispatcher has given up."""
-        self._audit.attempt_over(job_id, self._worker.name, never_ran=False)
+        self._audit.attempt_finished(job_id, self._worker.name, never_ran=False)
         self._worker.cancel(job_id)
 
     def _receive_job(
@@ -146,7 +146,7 @@
         given_up = (
             connection.peer_hung_up()
         )  # closed already, although this process reads the request only now
-        self._audit.sent(job_id, name, first_byte_at, self._dispatcher, given_up=given_up)
+        self._audit.attempt_sent(job_id, name, first_byte_at, self._dispatcher, given_up=given_up)
         if given_up:
             return None
         job = self._jobs[job_id] = _ReceivedJob(job_id)
@@ -155,7 +155,7 @@
             self._on_state(job, state, report)
 
         reply = self._worker.arrive(job_id, need, on_state)
-        if reply is Reply.NOTHING:
+        if reply is Admission.NO_REPLY:
             job.waiter = self._loop.current
             while not job.late_reply:
                 event = yield Wait(connection.sock.fileno(), HANGUP, self._loop.now() + 600 * SECOND)
@@ -164,15 +164,15 @@
                     self._abandon(job_id)
                     return None
             job.waiter = None
-            reply = Reply.TAKEN if job.late_reply == "accepted" else Reply.FULL
-        if reply is Reply.TAKEN:
+            reply = Admission.ACCEPTED if job.late_reply == "accepted" else Admission.FULL
+        if reply is Admission.ACCEPTED:
             return _ACCEPTED, [], b""
         self._jobs.pop(job_id, None)
-        if reply is Reply.FULL:
-            self._audit.attempt_over(job_id, name, never_ran=True)
+        if reply is Admission.FULL:
+            self._audit.attempt_finished(job_id, name, never_ran=True)
             load = ("X-Server-Load", _load_header(self._worker.report()))
             return 503, [("X-Not-Processed", "1"), load], b""
-        self._audit.attempt_over(job_id, name, never_ran=False)
+        self._audit.attempt_finished(job_id, name, never_ran=False)
         return None
 
     # Call-backs
@@ -184,7 +184,7 @@
                 job.waiter.wake()
             return
         if state in ("done", "failed", "returned", "lost"):
-            self._audit.attempt_over(job.job_id, self._worker.name, never_ran=state == "returned")
+            self._audit.attempt_finished(job.job_id, self._worker.name, never_ran=state == "returned")
         job.states.append((state, report))
         if not job.sending:
             job.sending = True
--- a/ironbarrow/lab/record.py
+++ b/ironbarrow/lab/record.py
@@ -1,4 +1,4 @@
-"""What became of each order: one row a job, columns by name, and the figures that come of them."""
+"""The outcome of each request as one row of named columns, and metrics computed from these rows."""
 
 from array import array
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 import numpy as np
 
 from ironbarrow.lab.model.spec import World
-from ironbarrow.lab.model.workload import Order
+from ironbarrow.lab.model.workload import ClientRequest
 from ironbarrow.runtime.clock import SECOND
 
 OUTCOMES = ("served", "refused", "failed", "no answer", "left")
@@ -15,11 +15,11 @@
 
 
 class Recorder:
-    """Takes one row for each order once it is over. Latency counts from when the order was due."""
+    """Collects one row for each request when it ends. Latency counts from the time when it was due."""
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self.due = array("q")  # from the run's start, ns
+        self.due = array("q")  # since the run's start, ns
         self.latency = array("q")  # from due to the last byte of the last answer, ns
         self.cls = array("b")
         self.outcome = array("b")
@@ -27,22 +27,22 @@
         self.farm = array("h")
         self.in_time = array("b")
         self.work = array("d")
-        self.late_by = array("q")  # how long after it was due its first try was sent, ns
+        self.late_by = array("q")  # from due to the first try, ns
         self.started_at = 0
 
     def __len__(self) -> int:
         return len(self.due)
 
-    def add(self, order: Order, outcome: str, now: int, tries: int, late_by: int = 0) -> None:
-        """One order's end at ``now``."""
-        self.due.append(order.due - self.started_at)
-        self.latency.append(now - order.due)
-        self.cls.append(order.cls)
+    def add(self, request: ClientRequest, outcome: str, now: int, tries: int, late_by: int = 0) -> None:
+        """Adds a request that ended at ``now``."""
+        self.due.append(request.due - self.started_at)
+        self.latency.append(now - request.due)
+        self.cls.append(request.cls)
         self.outcome.append(OUTCOMES.index(outcome))
         self.tries.append(min(127, tries))
-        self.farm.append(order.farm)
-        self.in_time.append(outcome == "served" and now - order.due <= order.wanted)
-        self.work.append(order.work * order.slots)
+        self.farm.append(request.farm)
+        self.in_time.append(outcome == "served" and now - request.due <= request.wanted)
+        self.work.append(request.work * request.slots)
         self.late_by.append(late_by)
 
     def columns(self) -> dict[str, Column]:
@@ -52,8 +52,8 @@
 
 
 @dataclass(slots=True)
-class Sampler:
-    """Load by worker over time: one row of held jobs each step."""
+class LoadSamples:
+    """Load by worker over time: a row with each worker's number of jobs every ``step`` ns."""
 
     step: int
     names: list[str]
@@ -61,22 +61,22 @@
 
 
 def summarise(world: World, rows: dict[str, Column]) -> dict[str, Any]:
-    """Figures of a run: for all jobs and by class; latencies in ms over served jobs."""
+    """Metrics of a run, for all jobs and by class. Latencies are in ms and over served jobs."""
     by_class = {}
     for number, cls in enumerate(world.classes):
         mask = rows["cls"] == number
-        by_class[cls.name] = _figures(
+        by_class[cls.name] = _metrics(
             {name: column[mask] for name, column in rows.items()}, np.full(mask.sum(), cls.worth)
         )
     flooding = [f.farm for f in world.faults if f.kind == "flood" and f.farm is not None]
     worth = np.array([cls.worth for cls in world.classes])[rows["cls"]] if len(rows["cls"]) else np.array([])
     if flooding and len(worth):
         mask = ~np.isin(rows["farm"], flooding)
-        by_class["other farms"] = _figures({n: column[mask] for n, column in rows.items()}, worth[mask])
-    return {"all": _figures(rows, worth), "classes": by_class}
+        by_class["other farms"] = _metrics({n: column[mask] for n, column in rows.items()}, worth[mask])
+    return {"all": _metrics(rows, worth), "classes": by_class}
 
 
-def _figures(rows: dict[str, Column], worth: Column) -> dict[str, Any]:
+def _metrics(rows: dict[str, Column], worth: Column) -> dict[str, Any]:
     asked = len(rows["due"])
     outcome = rows["outcome"]
     value = worth * rows["work"]
@@ -98,12 +98,12 @@
 
 
 def service_over_time(world: World, rows: dict[str, Column], step_s: float = 1.0) -> tuple[Column, Column]:
-    """Worth served in time over worth asked for, by when jobs were due: times (s) and shares."""
+    """The share of the requested worth that was served in time, by due time: times (s) and shares."""
     if not len(rows["due"]):
         return np.array([]), np.array([])
     worth = np.array([cls.worth for cls in world.classes])[rows["cls"]] * rows["work"]
-    place = (rows["due"] / (step_s * SECOND)).astype(int)
-    asked = np.bincount(place, worth)
-    got = np.bincount(place, worth * rows["in_time"], minlength=len(asked))
+    bins = (rows["due"] / (step_s * SECOND)).astype(int)
+    asked = np.bincount(bins, worth)
+    served = np.bincount(bins, worth * rows["in_time"], minlength=len(asked))
     with np.errstate(invalid="ignore"):
-        return np.arange(len(asked)) * step_s, np.where(asked > 0, got / asked, np.nan)
+        return np.arange(len(asked)) * step_s, np.where(asked > 0, served / asked, np.nan)
--- a/ironbarrow/lab/scale/discovery.py
+++ b/ironbarrow/lab/scale/discovery.py
@@ -11,7 +11,7 @@
 from urllib.parse import parse_qs
 
 from ironbarrow.lab.live.http import Server, next_message
-from ironbarrow.lab.model.discovery import Entry, News
+from ironbarrow.lab.model.discovery import Entry, ListUpdate
 from ironbarrow.lab.scale.messages import Traffic
 from ironbarrow.lab.settings import list_object
 from ironbarrow.runtime.loop import SECOND, Coroutine, Loop, Task, sleep
@@ -34,9 +34,9 @@
         self.changed_at: dict[int, int] = {}
         self.regions: list[RegionFeed] = []
 
-    def snapshot(self) -> News:
+    def snapshot(self) -> ListUpdate:
         """The full list."""
-        return News(self.version, True, tuple(self.entries.values()))
+        return ListUpdate(self.version, True, tuple(self.entries.values()))
 
     def change(self, *entries: Entry) -> int:
         """Applies and publishes new entries; those with status ``removed`` leave the list. Returns the new
@@ -48,7 +48,7 @@
             else:
                 self.entries[entry.name] = entry
         self.changed_at[self.version] = time.monotonic_ns()
-        update = News(self.version, False, entries)
+        update = ListUpdate(self.version, False, entries)
         for region in self.regions:
             region.publish(update)
         return self.version
@@ -80,7 +80,7 @@
         """The full list as one JSON line."""
         return _line(self.known())
 
-    def publish(self, update: News) -> None:
+    def publish(self, update: ListUpdate) -> None:
         """Encodes a change and notifies the agents."""
         self.lines.append(_line(list_object(update, self._addresses)))
         for agent in self.agents:
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -19,7 +19,16 @@
 from ironbarrow.lab.fleet.files import fleet_file
 from ironbarrow.lab.fleet.links import CUT, NO_FAULT, LinkFault, LinkProxies
 from ironbarrow.lab.live.run import LiveRun
-from ironbarrow.lab.model.spec import Fault, Fleet, World, WorldError, convert, load_world, plain, with_fleet
+from ironbarrow.lab.model.spec import (
+    Fault,
+    Fleet,
+    World,
+    WorldError,
+    convert,
+    load_world,
+    to_plain_data,
+    with_fleet,
+)
 from ironbarrow.lab.sim.clock import SimulatedClock
 from ironbarrow.lab.sim.run import Simulation
 from ironbarrow.runtime.loop import MS, Loop
@@ -176,7 +185,7 @@
     ],
 )
 def test_an_invalid_fleet_fault_is_reported_with_its_key(fault: dict[str, Any], named_key: str) -> None:
-    raw = {**plain(world()), "faults": [fault]}
+    raw = {**to_plain_data(world()), "faults": [fault]}
     with pytest.raises(WorldError) as error:
         convert(raw, World, "w.toml")
     assert named_key in str(error.value)
@@ -186,8 +195,8 @@
     alone = load_world(EXPERIMENTS / "small.toml")
     fault = {"kind": "links", "at": "1 s", "lasts": "1 s"}
     with pytest.raises(WorldError, match=r"expects \[dispatchers.fleet\]"):
-        convert({**plain(alone), "faults": [fault]}, World, "w.toml")
-    with pytest.raises(WorldError, match="live alone"):
+        convert({**to_plain_data(alone), "faults": [fault]}, World, "w.toml")
+    with pytest.raises(WorldError, match="live runs only"):
         Simulation(world(), 1)
 
 
@@ -228,13 +237,13 @@
 
 TAKEN, TAKEN_AGAIN = ("taken", "j", 7, 0, 10**10), ("taken", "j", 7, 1, 10**10)
 SERVED = ("answered", "served")
-DISPATCHER_DIED, CLIENT_LEFT = ("dispatcher_died", 0), ("left", "j")
+DISPATCHER_DIED, CLIENT_LEFT = ("dispatcher_died", 0), ("client_left", "j")
 DONE = [("job_ended", "p", "j", "done"), ("attempt_over", "j", "p")]
 EVENT_SEQUENCES: dict[str, tuple[list[Any], Breach | None]] = {
     "taken over once": (
         [
             TAKEN,
-            ("sent", "j", "p"),
+            ("attempt_sent", "j", "p"),
             DISPATCHER_DIED,
             CLIENT_LEFT,
             TAKEN_AGAIN,
@@ -247,30 +256,30 @@
     "deleted, then sent again": (
         [
             TAKEN,
-            ("sent", "j", "p"),
+            ("attempt_sent", "j", "p"),
             DISPATCHER_DIED,
             CLIENT_LEFT,
             TAKEN_AGAIN,
             ("attempt_over", "j", "p"),
-            ("sent", "j", "q"),
+            ("attempt_sent", "j", "q"),
         ],
-        Breach.FALSE_PROOF,  # for a booking; allowed for a safe job
+        Breach.UNSAFE_RESEND,  # for a booking; allowed for a safe job
     ),
     "sent again beside the first": (
-        [TAKEN, ("sent", "j", "p"), DISPATCHER_DIED, TAKEN_AGAIN, ("sent", "j", "q")],
+        [TAKEN, ("attempt_sent", "j", "p"), DISPATCHER_DIED, TAKEN_AGAIN, ("attempt_sent", "j", "q")],
         Breach.SECOND_COPY,
     ),
     "a booking started by two workers": (
         [TAKEN, ("job_started", "p", "j"), DISPATCHER_DIED, TAKEN_AGAIN, ("job_started", "q", "j")],
-        Breach.RAN_TWICE,
+        Breach.UNSAFE_JOB_RAN_TWICE,
     ),
     "four attempts over two dispatchers": (
-        [TAKEN, *[("sent", "j", "p"), ("never", "j", "p")] * 2, DISPATCHER_DIED, TAKEN_AGAIN]
-        + [("sent", "j", "p"), ("never", "j", "p")] * 2,
-        Breach.TOO_MANY,
+        [TAKEN, *[("attempt_sent", "j", "p"), ("never", "j", "p")] * 2, DISPATCHER_DIED, TAKEN_AGAIN]
+        + [("attempt_sent", "j", "p"), ("never", "j", "p")] * 2,
+        Breach.TOO_MANY_ATTEMPTS,
     ),
     "the same answer twice": (
-        [TAKEN, ("sent", "j", "p"), ("job_started", "p", "j"), *DONE, SERVED, TAKEN_AGAIN, SERVED],
+        [TAKEN, ("attempt_sent", "j", "p"), ("job_started", "p", "j"), *DONE, SERVED, TAKEN_AGAIN, SERVED],
         None,
     ),
     "two answers that differ": (
@@ -279,7 +288,7 @@
     ),
     "run after its refusal": (
         [TAKEN, ("answered", "refused"), ("job_started", "p", "j")],
-        Breach.UNLAWFUL,
+        Breach.UNSAFE_REFUSAL,
     ),
 }
 
@@ -289,11 +298,11 @@
     audit = Auditor(SimulatedClock(), world())
     for what, *more in steps:
         if what == "taken":
-            audit.taken(*more, unsafe=True)
+            audit.job_taken(*more, unsafe=True)
         elif what == "answered":
-            audit.answered("j", *more)
+            audit.job_answered("j", *more)
         elif what in ("attempt_over", "never"):
-            audit.attempt_over(*more, never_ran=what == "never")
+            audit.attempt_finished(*more, never_ran=what == "never")
         else:
             getattr(audit, what)(*more)
     assert dict(audit.finish().breaches) == ({breach.value: 1} if breach else {})
@@ -388,11 +397,11 @@
 FORBIDDEN_BREACHES = (
     Breach.TWO_ANSWERS,
     Breach.SECOND_COPY,
-    Breach.TOO_MANY,
-    Breach.RAN_TWICE,
-    Breach.FALSE_PROOF,
-    Breach.UNLAWFUL,
-    Breach.INVENTED,
+    Breach.TOO_MANY_ATTEMPTS,
+    Breach.UNSAFE_JOB_RAN_TWICE,
+    Breach.UNSAFE_RESEND,
+    Breach.UNSAFE_REFUSAL,
+    Breach.UNFOUNDED_SUCCESS,
 )
 
 
@@ -471,7 +480,7 @@
 def run_case(name: str, folder: Path) -> dict[str, Any]:
     """Runs a case; called in a process of its own."""
     case = CASES[name]
-    raw = {**msgspec.toml.decode(LIVE_WORLD), "faults": plain(list(case.faults))}
+    raw = {**msgspec.toml.decode(LIVE_WORLD), "faults": to_plain_data(list(case.faults))}
     run = LiveRun(convert(raw, World, name), 1, folder)
     if case.first_crash_point:
         run.inject_first_exit(case.first_crash_point, 500 * MS)
