--- a/ironbarrow/lab/live/ports.py
+++ b/ironbarrow/lab/live/ports.py
@@ -71,7 +71,7 @@
     def lab_listener(self, number: int) -> Address:
         """The address for the laboratory's own listeners that serve one dispatcher, at any free port.
 
-        Danger: at the dispatcher's own address the kernel could give a listener the port that the dispatcher
+        At the dispatcher's own address the kernel could give a listener the port that the dispatcher
         binds later.
         """
         return f"{self.prefix}.{_FIRST_LAB_LISTENER + number}", 0
--- a/ironbarrow/lab/live/processes.py
+++ b/ironbarrow/lab/live/processes.py
@@ -282,7 +282,7 @@
 
 
 def _replace_text(path: Path, text: str) -> None:
-    """Replaces a file atomically. Danger: a dispatcher may read the file at any time."""
+    """Replaces a file atomically. A dispatcher may read the file at any time."""
     temporary = path.with_name(path.name + ".new")
     temporary.write_text(text)
     temporary.replace(path)
--- a/ironbarrow/lab/live/worker_server.py
+++ b/ironbarrow/lab/live/worker_server.py
@@ -100,7 +100,7 @@
             if self._worker.state is State.DOWN:
                 return
             if request.method == "DELETE" and path.startswith("/jobs/"):
-                # Danger: if this process runs late, a DELETE could overtake its job's POST.
+                # If this process runs late, a DELETE could overtake its job's POST.
                 while path.removeprefix("/jobs/") in self._worker.arriving:
                     yield from sleep(self._loop.now() + MS)
                 status, headers, body = self._delete(path.removeprefix("/jobs/"))
--- a/ironbarrow/lab/model/worker.py
+++ b/ironbarrow/lab/model/worker.py
@@ -379,7 +379,7 @@
     # Cold starts
 
     def _record_cold_work(self, work: float) -> None:
-        """Danger: a cold worker that receives more work within a window than it can bear crashes. Jobs count
+        """A cold worker that receives more work within a window than it can bear crashes. Jobs count
         with the mean work of their class, because senders cannot know a job's work before it has run."""
         now = self._clock.now()
         if not self.started_at or now >= self.started_at + self._cold.time:
--- a/ironbarrow/lab/model/workload.py
+++ b/ironbarrow/lab/model/workload.py
@@ -102,7 +102,7 @@
     # Requests
 
     def _arrive(self, due: int) -> None:
-        # Danger: if the next arrival were scheduled only after this request, slow service would lower the
+        # If the next arrival were scheduled only after this request, slow service would lower the
         # arrival rate (coordinated omission)
         self._schedule_next(due)
         self.created += 1
--- a/ironbarrow/lab/sim/clock.py
+++ b/ironbarrow/lab/sim/clock.py
@@ -52,7 +52,7 @@
             self.events += 1
             timer.call(*timer.args)
             if len(heap) > self._cleanup_size:
-                # Danger: each job leaves cancelled timers at its distant deadline, and without this removal
+                # Each job leaves cancelled timers at its distant deadline, and without this removal
                 # the heap would grow with every job. In place, because the loop uses the same list.
                 heap[:] = [item for item in heap if item[2].call is not None]
                 heapify(heap)
